--- a/src/fleet/owners.rs
+++ b/src/fleet/owners.rs
@@ -111,7 +111,7 @@
         if self.owner == ip {
             return Role::Owner;
         }
-        if self.standby == Some(ip) { Role::Standby } else { Role::Stranger }
+        if self.standby == Some(ip) { Role::Standby } else { Role::Unassigned }
     }
 
     /// The owner, then the standby.
--- a/src/placement/backoff.rs
+++ b/src/placement/backoff.rs
@@ -10,7 +10,7 @@
 
 /// A request of a slow start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Trial {
+pub struct SlowStartSlot {
     /// When the backoff began that it follows.
     began: Duration,
 }
@@ -45,30 +45,30 @@
     }
 
     /// Whether a request may be sent that is one of the slow start or not.
-    pub fn may_send(&self, trial: Option<Trial>, now: Duration) -> bool {
-        self.until <= now && (self.limit.is_none() || self.is_counted(trial))
+    pub fn may_send(&self, slow_start_slot: Option<SlowStartSlot>, now: Duration) -> bool {
+        self.until <= now && (self.limit.is_none() || self.is_counted(slow_start_slot))
     }
 
     /// Counts a request in, if there is a slow start and it has room.
-    pub fn enter(&mut self, now: Duration) -> Option<Trial> {
+    pub fn enter(&mut self, now: Duration) -> Option<SlowStartSlot> {
         let has_room = self.limit.is_some_and(|limit| self.in_flight < limit);
         if now < self.until || !has_room {
             return None;
         }
         self.in_flight += 1;
-        Some(Trial { began: self.began })
+        Some(SlowStartSlot { began: self.began })
     }
 
     /// Counts a request out.
-    pub fn leave(&mut self, trial: Option<Trial>) {
-        if self.is_counted(trial) {
+    pub fn leave(&mut self, slow_start_slot: Option<SlowStartSlot>) {
+        if self.is_counted(slow_start_slot) {
             self.in_flight = self.in_flight.saturating_sub(1);
         }
     }
 
     /// The upstream has accepted a request of the slow start. True when that is over, at `slots` requests.
-    pub fn accepted(&mut self, trial: Option<Trial>, slots: u32) -> bool {
-        if !self.is_counted(trial) {
+    pub fn accepted(&mut self, slow_start_slot: Option<SlowStartSlot>, slots: u32) -> bool {
+        if !self.is_counted(slow_start_slot) {
             return false;
         }
         self.limit = self.limit.map(|limit| limit * 2).filter(|limit| *limit < slots);
@@ -91,7 +91,7 @@
     }
 
     /// Requests of before the last backoff aren't counted in its slow start.
-    fn is_counted(&self, trial: Option<Trial>) -> bool {
-        trial.is_some_and(|trial| trial.began == self.began)
+    fn is_counted(&self, slow_start_slot: Option<SlowStartSlot>) -> bool {
+        slow_start_slot.is_some_and(|slow_start_slot| slow_start_slot.began == self.began)
     }
 }
--- a/src/placement/choice.rs
+++ b/src/placement/choice.rs
@@ -15,7 +15,7 @@
 
 /// An engine that keeps some of a prompt, from which another may copy it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Source {
+pub struct CopySource {
     /// Where it listens.
     pub addr: SocketAddr,
     /// Tokens at the head of the prompt that it keeps.
@@ -24,19 +24,19 @@
 
 /// What a choice needs to know of a request.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted<'a> {
+pub struct SelectionCriteria<'a> {
     /// The service.
     pub service: &'a str,
     /// What is to be read, where it is a model.
     pub prompt: Option<&'a Prompt>,
     /// Upstreams that are out of the question.
-    pub except: &'a [UpstreamName],
+    pub excluded: &'a [UpstreamName],
     /// How long it may wait for an engine where the engines are busy.
     pub wait_max: Duration,
     /// The same where they are idle: no less.
     pub wait_max_idle: Duration,
     /// Whether it may go to any engine for that, or only to the one that it costs least.
-    pub anywhere: bool,
+    pub any_engine: bool,
     /// The engines that it may go to; all of the service if nothing is given.
     pub group: Option<Group>,
     /// The versions that it may go to, while another one is rolled out.
@@ -44,31 +44,31 @@
     /// The availability zone of the box that sends it; this box's if nothing is given.
     pub zone: Option<&'a ZoneName>,
     /// An engine that may not be chosen and keeps some of the prompt.
-    pub source: Option<Source>,
+    pub source: Option<CopySource>,
     /// By what right this box chooses, where an engine is cold.
     pub role: Role,
 }
 
-impl<'a> Wanted<'a> {
+impl<'a> SelectionCriteria<'a> {
     /// Any upstream of a service, those in `except` apart, that has no longer wait than this.
     pub fn any(
         service: &'a str,
         prompt: Option<&'a Prompt>,
-        except: &'a [UpstreamName],
+        excluded: &'a [UpstreamName],
         wait_max: Duration,
-    ) -> Wanted<'a> {
-        Wanted {
+    ) -> SelectionCriteria<'a> {
+        SelectionCriteria {
             service,
             prompt,
-            except,
+            excluded,
             wait_max,
             wait_max_idle: wait_max,
-            anywhere: true,
+            any_engine: true,
             group: None,
             side: Side::Any,
             zone: None,
             source: None,
-            role: Role::Stranger,
+            role: Role::Unassigned,
         }
     }
 }
@@ -85,9 +85,9 @@
     /// Expected wait until it begins to read the prompt.
     pub wait: Duration,
     /// Tokens of the prompt that it has to read.
-    pub unread: u32,
+    pub prefill_tokens: u32,
     /// Tokens of the prompt that it copies from another engine.
-    pub copied: u32,
+    pub copied_tokens: u32,
     /// That engine.
     pub copy_from: Option<SocketAddr>,
     /// Whether whoever chose it knows what all boxes send there, and has counted it.
@@ -100,15 +100,15 @@
 
 /// Why there is no choice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum NoChoice {
+pub enum ChoiceError {
     /// No upstream of the service is known and in use.
     NoUpstream,
     /// All that are in use have no room.
     Full,
     /// Much that others share would have to be read, which may be kept elsewhere.
-    NotKept,
+    NotCached,
     /// None was wanted.
-    OnlyLooked,
+    LookupOnly,
     /// It would have to wait for too long at each engine that has room.
     Busy {
         /// The shortest wait.
@@ -116,15 +116,15 @@
     },
 }
 
-impl NoChoice {
+impl ChoiceError {
     /// The cause as a word for logs.
     pub fn code(self) -> &'static str {
         match self {
-            NoChoice::NoUpstream => "no-upstream",
-            NoChoice::Full => "full",
-            NoChoice::NotKept => "not-kept",
-            NoChoice::OnlyLooked => "only-looked",
-            NoChoice::Busy { .. } => "busy",
+            ChoiceError::NoUpstream => "no-upstream",
+            ChoiceError::Full => "full",
+            ChoiceError::NotCached => "not-kept",
+            ChoiceError::LookupOnly => "only-looked",
+            ChoiceError::Busy { .. } => "busy",
         }
     }
 }
--- a/src/placement/cold.rs
+++ b/src/placement/cold.rs
@@ -26,15 +26,17 @@
 
 /// A box that comes to keep the model of an engine doesn't know what others have just sent there; it waits
 /// for as long as the bound looks back.
-pub const LOOKS_BACK: Duration = Duration::from_secs(1);
+pub const RATE_WINDOW: Duration = Duration::from_secs(1);
 
 /// What an engine bears while it is cold, by the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ColdLimits {
     /// How long it stays cold after a start.
-    pub lasts: Duration,
+    #[serde(rename = "lasts")]
+    pub duration: Duration,
     /// Time between two requests that it bears.
-    pub pace: Duration,
+    #[serde(rename = "pace")]
+    pub min_interval: Duration,
 }
 
 /// How far above its pace an engine may get requests in any one second, by the operator's settings.
@@ -49,7 +51,7 @@
 impl ColdBound {
     /// Requests in any second that are too many for an engine of these limits.
     fn per_second(self, limits: ColdLimits) -> f64 {
-        self.overage / limits.pace.as_secs_f64() + self.slack
+        self.overage / limits.min_interval.as_secs_f64() + self.slack
     }
 }
 
@@ -75,7 +77,7 @@
         draw: u32,
     },
     /// None: nobody who keeps the model answers.
-    Stranger,
+    Unassigned,
 }
 
 impl Role {
@@ -85,7 +87,7 @@
             Role::Owner => "owner",
             Role::Standby => "standby",
             Role::Peer { .. } => "peer",
-            Role::Stranger => "alone",
+            Role::Unassigned => "alone",
         }
     }
 }
@@ -140,7 +142,7 @@
                 let first = self.since + own_pace(limits, bound, boxes).mul_f64(turn);
                 self.next.max(self.own_next).max(first) <= now
             }
-            Role::Stranger => false,
+            Role::Unassigned => false,
         }
     }
 
@@ -162,7 +164,7 @@
 /// Time between two requests that an owner sends. No faster than the engine bears.
 fn owner_pace(limits: ColdLimits, bound: ColdBound) -> Duration {
     let pace = Duration::from_secs_f64(1.0 / (bound.per_second(limits) * OWNER_SHARE));
-    pace.max(limits.pace)
+    pace.max(limits.min_interval)
 }
 
 /// Time between two requests that one of so many boxes sends by itself.
--- a/src/placement/engine.rs
+++ b/src/placement/engine.rs
@@ -10,7 +10,7 @@
 use crate::placement::cache::PrefixCache;
 use crate::placement::cold::ColdStart;
 use crate::placement::cold::Role;
-use crate::placement::speed::Factor;
+use crate::placement::speed::SlowdownFactor;
 use crate::placement::speed::Speed;
 use crate::placement::speed::Work;
 use crate::placement::tuning::Tuning;
@@ -79,7 +79,7 @@
     /// since, and as of when.
     load: f64,
     load_at: Duration,
-    factor: Factor,
+    factor: SlowdownFactor,
     cold: ColdStart,
 }
 
@@ -91,13 +91,13 @@
     /// What is to be read.
     pub prompt: &'a Prompt,
     /// Tokens of it that must be read.
-    pub unread: u32,
+    pub prefill_tokens: u32,
     /// Tokens of it that are copied from another engine.
-    pub copied: u32,
+    pub copied_tokens: u32,
     /// The box that sends it; nothing for this one.
     pub sender: Option<IpAddr>,
-    /// By what right this box has decided that; nothing where another one has.
-    pub decided: Option<Role>,
+    /// By what right this box has decided_by that; nothing where another one has.
+    pub decided_by: Option<Role>,
 }
 
 impl Engine {
@@ -113,7 +113,7 @@
             advanced: 0.0,
             load: 0.0,
             load_at: Duration::ZERO,
-            factor: Factor::default(),
+            factor: SlowdownFactor::default(),
             cold: ColdStart::default(),
         }
     }
@@ -143,11 +143,11 @@
     /// between prompts that running requests need to go on.
     pub fn wait(&self, speed: &Speed, tuning: Tuning, now: Duration) -> Duration {
         self.backlog(speed, now)
-            .max(Duration::from_secs_f64(self.load(tuning, now) / tuning.reading_share))
+            .max(Duration::from_secs_f64(self.load(tuning, now) / tuning.prefill_share))
     }
 
     fn load(&self, tuning: Tuning, now: Duration) -> f64 {
-        let drained = now.saturating_sub(self.load_at).as_secs_f64() * tuning.reading_share;
+        let drained = now.saturating_sub(self.load_at).as_secs_f64() * tuning.prefill_share;
         (self.load - drained).max(0.0)
     }
 
@@ -211,17 +211,19 @@
         tuning: Tuning,
         now: Duration,
     ) {
-        let Placement { request, prompt, unread, copied, sender, decided } = placement;
+        let Placement { request, prompt, prefill_tokens, copied_tokens, sender, decided_by } =
+            placement;
         if let Some(limits) = self.limits.cold {
-            self.cold.begin(decided, limits, tuning.cold, now);
+            self.cold.begin(decided_by, limits, tuning.cold, now);
         }
-        let work = Work::reading(prompt.tokens.saturating_sub(unread), unread);
+        let work = Work::reading(prompt.tokens.saturating_sub(prefill_tokens), prefill_tokens);
         let ahead = self.left(speed, now).and(work);
         self.load = self.load(tuning, now) + self.reading(work, speed);
         self.load_at = now;
         let tokens = u64::from(prompt.tokens) + u64::from(prompt.written_max);
         self.cache.read(&prompt.parts);
-        let copying = if copied == 0 { Duration::ZERO } else { self.copy_time(copied) };
+        let copying =
+            if copied_tokens == 0 { Duration::ZERO } else { self.copy_time(copied_tokens) };
         let had_slot = self.runs.len() < self.limits.slots as usize;
         self.reading.push_back(Reading { request, placed: now, work, ahead, copying, had_slot });
         if let Some(before) = self.runs.insert(request, Run { placed: now, sender, tokens }) {
@@ -232,9 +234,9 @@
 
     /// Notes that it is cold for so long, or for as long as after a start if nothing is known. True where
     /// that is news.
-    pub fn chill(&mut self, cold_for: Option<Duration>, now: Duration) -> bool {
+    pub fn mark_cold(&mut self, cold_for: Option<Duration>, now: Duration) -> bool {
         let Some(limits) = self.limits.cold else { return false };
-        self.cold.note(now + cold_for.unwrap_or(limits.lasts), now)
+        self.cold.note(now + cold_for.unwrap_or(limits.duration), now)
     }
 
     /// How long it stays cold.
@@ -314,7 +316,7 @@
 
     /// Forgets the requests of a box that is gone, and will never tell of their ends. The engine
     /// has dropped them with their connections.
-    pub fn forget_sender(&mut self, sender: IpAddr) {
+    pub fn remove_sender(&mut self, sender: IpAddr) {
         self.end_all(|run| run.sender == Some(sender));
     }
 
--- a/src/placement/plain.rs
+++ b/src/placement/plain.rs
@@ -16,8 +16,8 @@
 use crate::placement::admit;
 use crate::placement::admit::Denial;
 use crate::placement::choice::Choice;
-use crate::placement::choice::NoChoice;
-use crate::placement::fleet::Fleet;
+use crate::placement::choice::ChoiceError;
+use crate::placement::registry::UpstreamRegistry;
 use crate::placement::share::Shares;
 
 /// Time in which a request is worked on, in seconds, until the first answers have told.
@@ -37,10 +37,10 @@
 
 /// Requests at an upstream, in multiples of its slots, that no admission exceeds, however long the aim: more would
 /// fill its queue and have to wait for the others' slow ones.
-pub const WAITING_MAX: u32 = 3;
+pub const PLACED_PER_SLOT_MAX: u32 = 3;
 
 /// What each request counts among the shares of workspaces.
-pub const CHARGE: u64 = 1;
+pub const REQUEST_CHARGE: u64 = 1;
 
 #[derive(Clone, Copy, Debug)]
 struct Run {
@@ -102,7 +102,7 @@
     }
 
     /// Forgets the requests of a box that is gone.
-    pub fn forget_sender(&mut self, sender: IpAddr) {
+    pub fn remove_sender(&mut self, sender: IpAddr) {
         self.runs.retain(|_, run| run.sender != Some(sender));
     }
 
@@ -114,7 +114,7 @@
 
 /// A request for a plain service, as whoever counts its upstreams sees it.
 #[derive(Clone, Copy, Debug)]
-pub struct Wish<'a> {
+pub struct PlainQuery<'a> {
     /// Names the send.
     pub request: u64,
     /// The service.
@@ -122,11 +122,11 @@
     /// Whom it is charged to.
     pub workspace: Option<&'a WorkspaceName>,
     /// Upstreams that are out of the question.
-    pub except: &'a [UpstreamName],
+    pub excluded: &'a [UpstreamName],
     /// The versions that it may go to.
     pub side: Side,
     /// The route's aim for the answer.
-    pub aim: Duration,
+    pub target_latency: Duration,
     /// How much of that has passed.
     pub waited: Duration,
     /// The availability zone of the box that sends it.
@@ -138,35 +138,35 @@
 /// Places a request and counts it, or counts it as refused. What would be answered too late is refused at once,
 /// unless it needn't wait at all. A workspace beyond its share waits for less.
 pub fn admit(
-    fleet: &mut Fleet,
+    fleet: &mut UpstreamRegistry,
     shares: &mut Shares,
-    wish: Wish<'_>,
+    query: PlainQuery<'_>,
     now: Duration,
 ) -> Result<Choice, Denial> {
-    let share_used = wish.workspace.map_or(0.0, |w| shares.used(w, CHARGE, now));
-    let (by_share, _) = admit::waits_max(fleet.tuning(), wish.aim, share_used);
-    let chosen = fleet.choose_plain(wish, now);
+    let share_used = query.workspace.map_or(0.0, |w| shares.share_used(w, REQUEST_CHARGE, now));
+    let (by_share, _) = admit::wait_limits(fleet.tuning(), query.target_latency, share_used);
+    let chosen = fleet.choose_plain(query, now);
     let (cause, wait_max) = match chosen {
         Ok((choice, work)) => {
-            let left = wish.aim.mul_f64(AIM_SHARE).saturating_sub(wish.waited + work);
+            let left = query.target_latency.mul_f64(AIM_SHARE).saturating_sub(query.waited + work);
             let wait_max = by_share.min(left);
-            let has_room = choice.running < fleet.placed_max(&choice.upstream) as usize;
+            let has_room = choice.running < fleet.admission_limit(&choice.upstream) as usize;
             if has_room && choice.wait <= wait_max {
                 let choice = Choice { is_counted: true, ..choice };
-                fleet.begin_plain(&choice.upstream, wish.request, wish.sender, now);
-                if let Some(workspace) = wish.workspace {
-                    let counted = shares.begin(workspace, CHARGE, now);
-                    shares.keep(wish.request, counted);
+                fleet.begin_plain(&choice.upstream, query.request, query.sender, now);
+                if let Some(workspace) = query.workspace {
+                    let counted = shares.begin(workspace, REQUEST_CHARGE, now);
+                    shares.remember(query.request, counted);
                 }
                 return Ok(choice);
             }
-            (NoChoice::Busy { wait: choice.wait }, wait_max)
+            (ChoiceError::Busy { wait: choice.wait }, wait_max)
         }
         Err(cause) => (cause, Duration::ZERO),
     };
-    if let Some(workspace) = wish.workspace {
-        let counted = shares.refuse(workspace, CHARGE, now);
-        shares.keep(wish.request, counted);
+    if let Some(workspace) = query.workspace {
+        let counted = shares.refuse(workspace, REQUEST_CHARGE, now);
+        shares.remember(query.request, counted);
     }
-    Err(Denial { cause, share_used, wait_max, source: None, may_go_on: false })
+    Err(Denial { cause, share_used, wait_max, source: None, may_try_other_groups: false })
 }
--- a/src/placement/fleet.rs
+++ b/src/placement/registry.rs
@@ -1,12 +1,12 @@
 //! All upstreams that this box knows.
 
 mod backoff;
-mod choosing;
 mod cold;
 mod index;
 pub mod learned;
 mod plain;
-mod reach;
+mod reachability;
+mod selection;
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -22,10 +22,10 @@
 use crate::names::VersionName;
 use crate::names::ZoneName;
 use crate::placement::backoff::Backoff;
-use crate::placement::choice::Wanted;
+use crate::placement::choice::SelectionCriteria;
 use crate::placement::engine::Engine;
 use crate::placement::engine::Placement;
-use crate::placement::fleet::index::Index;
+use crate::placement::registry::index::Index;
 use crate::placement::speed::Speed;
 use crate::placement::tuning::Tuning;
 use crate::placement::upstream::Health;
@@ -35,7 +35,7 @@
 
 /// All upstreams that this box knows.
 #[derive(Debug)]
-pub struct Fleet {
+pub struct UpstreamRegistry {
     zone: ZoneName,
     tuning: Tuning,
     /// How fast engines read, where some have told.
@@ -48,21 +48,21 @@
     /// Those where something has been placed and may still be there.
     busy: BTreeSet<UpstreamName>,
     /// Those that may not be reachable.
-    doubted: BTreeSet<UpstreamName>,
+    unverified: BTreeSet<UpstreamName>,
     /// Those that have asked this box to back off, whether they are listed or not.
     backoffs: BTreeMap<UpstreamName, Backoff>,
     /// Upstreams that choices have looked at so far.
-    looked_at: Cell<u64>,
+    examined: Cell<u64>,
     /// Zones whose upstreams get nothing.
     closed: BTreeSet<ZoneName>,
     /// Versions that are rolled out.
     targets: BTreeMap<ServiceName, VersionName>,
 }
 
-impl Fleet {
+impl UpstreamRegistry {
     /// Nothing is known yet.
-    pub fn new(zone: ZoneName, tuning: Tuning) -> Fleet {
-        Fleet {
+    pub fn new(zone: ZoneName, tuning: Tuning) -> UpstreamRegistry {
+        UpstreamRegistry {
             zone,
             tuning,
             speeds: BTreeMap::new(),
@@ -70,16 +70,16 @@
             upstreams: BTreeMap::new(),
             index: Index::default(),
             busy: BTreeSet::new(),
-            doubted: BTreeSet::new(),
+            unverified: BTreeSet::new(),
             backoffs: BTreeMap::new(),
-            looked_at: Cell::new(0),
+            examined: Cell::new(0),
             closed: BTreeSet::new(),
             targets: BTreeMap::new(),
         }
     }
 
     /// Takes over an upstream that is new or has changed. `limits` where it is an engine.
-    pub fn set(&mut self, listed: Listed, limits: Option<EngineLimits>) {
+    pub fn upsert(&mut self, listed: Listed, limits: Option<EngineLimits>) {
         if let Some(known) = self.upstreams.get_mut(&listed.name) {
             self.index.remove(known);
             known.listed = listed;
@@ -96,12 +96,12 @@
     }
 
     /// The upstreams of these zones get nothing from now on, and those of all others may.
-    pub fn close(&mut self, zones: BTreeSet<ZoneName>) {
+    pub fn set_closed_zones(&mut self, zones: BTreeSet<ZoneName>) {
         self.closed = zones;
     }
 
     /// These versions are rolled out from now on, and no others.
-    pub fn roll_out(&mut self, targets: BTreeMap<ServiceName, VersionName>) {
+    pub fn set_rollout_targets(&mut self, targets: BTreeMap<ServiceName, VersionName>) {
         self.targets = targets;
     }
 
@@ -123,12 +123,12 @@
     }
 
     /// Whether an upstream may get a request of a side. Of one that isn't listed nothing is known.
-    pub fn may_get(&self, name: &UpstreamName, side: Side) -> bool {
+    pub fn allows_side(&self, name: &UpstreamName, side: Side) -> bool {
         self.upstreams.get(name).is_none_or(|u| self.is_on(side, u))
     }
 
     /// Slots of the open upstreams of a service of a version, and of its others.
-    pub fn slots_by(&self, service: &str, version: &str) -> (u64, u64) {
+    pub fn slots_by_version(&self, service: &str, version: &str) -> (u64, u64) {
         let open = self.upstreams.values().filter(|u| &*u.listed.service == service);
         open.filter(|u| self.takes(u)).fold((0, 0), |(is, other), u| {
             let slots = u64::from(u.listed.slots);
@@ -137,18 +137,18 @@
     }
 
     /// Requests of this box at a service's upstreams of other versions than this one.
-    pub fn outstanding_beside(&self, service: &str, version: &str) -> u32 {
+    pub fn outstanding_on_other_versions(&self, service: &str, version: &str) -> u32 {
         let of_service = self.upstreams.values().filter(|u| &*u.listed.service == service);
         of_service.filter(|u| &*u.listed.version != version).map(Upstream::outstanding).sum()
     }
 
     /// All upstreams, as they are to be told to another box.
-    pub fn told(&self, now: Duration) -> Vec<Listed> {
+    pub fn listings(&self, now: Duration) -> Vec<Listed> {
         self.upstreams.values().map(|u| u.told(now)).collect()
     }
 
     /// An upstream, as it is to be told to another box.
-    pub fn told_of(&self, name: &UpstreamName, now: Duration) -> Option<Listed> {
+    pub fn listing(&self, name: &UpstreamName, now: Duration) -> Option<Listed> {
         self.upstreams.get(name).map(|u| u.told(now))
     }
 
@@ -158,11 +158,11 @@
             self.index.remove(&upstream);
         }
         self.busy.remove(name);
-        self.doubted.remove(name);
+        self.unverified.remove(name);
     }
 
     /// Marks an upstream as leaving.
-    pub fn leave(&mut self, name: &UpstreamName) {
+    pub fn mark_leaving(&mut self, name: &UpstreamName) {
         if let Some(upstream) = self.upstreams.get_mut(name) {
             self.index.remove(upstream);
             upstream.listed.leaving = true;
@@ -205,7 +205,7 @@
 
     /// Notes the first token of a request, which came `took` after it was sent: nothing where that
     /// was when it was noted.
-    pub fn first(
+    pub fn record_first_token(
         &mut self,
         name: &UpstreamName,
         request: u64,
@@ -235,7 +235,7 @@
     }
 
     /// Notes the end of a request.
-    pub fn end(&mut self, name: &UpstreamName, request: u64) {
+    pub fn remove_request(&mut self, name: &UpstreamName, request: u64) {
         let Some(upstream) = self.upstreams.get_mut(name) else { return };
         match &mut upstream.engine {
             Some(engine) => engine.end(request),
@@ -259,11 +259,11 @@
     }
 
     /// Forgets the requests of a box that is gone.
-    pub fn forget_sender(&mut self, sender: IpAddr) {
+    pub fn remove_sender(&mut self, sender: IpAddr) {
         for name in &self.busy {
             let Some(upstream) = self.upstreams.get_mut(name) else { continue };
-            upstream.plain.forget_sender(sender);
-            upstream.engine.iter_mut().for_each(|engine| engine.forget_sender(sender));
+            upstream.plain.remove_sender(sender);
+            upstream.engine.iter_mut().for_each(|engine| engine.remove_sender(sender));
         }
     }
 
@@ -273,20 +273,20 @@
     }
 
     /// The engines of a group.
-    pub fn engines_of(&self, group: Group) -> impl Iterator<Item = &Listed> {
+    pub fn engines_in_group(&self, group: Group) -> impl Iterator<Item = &Listed> {
         let of_group = self.index.of_group(group).filter_map(|name| self.upstreams.get(name));
         of_group.filter(|u| u.engine.is_some()).map(|u| &u.listed)
     }
 
     /// Counts a request of this box in.
-    pub fn sent(&mut self, name: &UpstreamName) {
+    pub fn request_sent(&mut self, name: &UpstreamName) {
         if let Some(upstream) = self.upstreams.get_mut(name) {
             upstream.sent();
         }
     }
 
     /// Counts a request of this box out, and notes how it went.
-    pub fn ended(&mut self, name: &UpstreamName, health: Option<Health>, now: Duration) {
+    pub fn request_ended(&mut self, name: &UpstreamName, health: Option<Health>, now: Duration) {
         let Some(upstream) = self.upstreams.get_mut(name) else { return };
         upstream.ended();
         if let Some(health) = health {
@@ -295,7 +295,7 @@
     }
 
     /// Notes how a request of this box goes.
-    pub fn note(&mut self, name: &UpstreamName, health: Health, now: Duration) {
+    pub fn record_health(&mut self, name: &UpstreamName, health: Health, now: Duration) {
         if let Some(upstream) = self.upstreams.get_mut(name) {
             upstream.note(health, now);
         }
@@ -319,12 +319,12 @@
     }
 
     /// Upstreams that choices have looked at so far: what they cost.
-    pub fn looked_at(&self) -> u64 {
-        self.looked_at.get()
+    pub fn examined(&self) -> u64 {
+        self.examined.get()
     }
 
     fn look_at(&self, name: &UpstreamName) -> Option<&Upstream> {
-        self.looked_at.set(self.looked_at.get() + 1);
+        self.examined.set(self.examined.get() + 1);
         self.upstreams.get(name)
     }
 
@@ -348,14 +348,14 @@
     }
 
     /// Upstreams of a service that may get work; those that rest only if there are no others.
-    fn usable(&self, wanted: Wanted<'_>, now: Duration) -> Vec<&Upstream> {
+    fn usable(&self, criteria: SelectionCriteria<'_>, now: Duration) -> Vec<&Upstream> {
         let open: Vec<&Upstream> = self
             .index
-            .of(wanted.service, wanted.group)
+            .of(criteria.service, criteria.group)
             .filter_map(|name| self.look_at(name))
             .filter(|u| self.takes(u))
-            .filter(|u| self.is_on(wanted.side, u))
-            .filter(|u| !wanted.except.contains(&u.listed.name))
+            .filter(|u| self.is_on(criteria.side, u))
+            .filter(|u| !criteria.excluded.contains(&u.listed.name))
             .collect();
         let awake: Vec<&Upstream> = open.iter().copied().filter(|u| u.is_awake(now)).collect();
         if awake.is_empty() { open } else { awake }
--- a/src/placement/fleet/cold.rs
+++ b/src/placement/registry/cold.rs
@@ -5,36 +5,36 @@
 use crate::fleet::owners::Group;
 use crate::names::UpstreamName;
 use crate::names::ZoneName;
-use crate::placement::fleet::Fleet;
+use crate::placement::registry::UpstreamRegistry;
 
-impl Fleet {
+impl UpstreamRegistry {
     /// Notes that an upstream is cold for so long, or for as long as after a start if nothing is known. True
     /// where that is news.
-    pub fn chill(
+    pub fn mark_cold(
         &mut self,
         name: &UpstreamName,
         cold_for: Option<Duration>,
         now: Duration,
     ) -> bool {
-        self.engine(name).is_some_and(|engine| engine.chill(cold_for, now))
+        self.engine(name).is_some_and(|engine| engine.mark_cold(cold_for, now))
     }
 
     /// Engines of a zone may just have started, all of them.
-    pub fn chill_zone(&mut self, zone: &ZoneName, now: Duration) {
+    pub fn mark_zone_cold(&mut self, zone: &ZoneName, now: Duration) {
         let of_zone = self.upstreams.values_mut().filter(|u| u.listed.zone == *zone);
         of_zone.filter_map(|u| u.engine.as_mut()).for_each(|engine| {
-            engine.chill(None, now);
+            engine.mark_cold(None, now);
         });
     }
 
     /// Whether the upstream is an engine that bears less than usual after a start.
-    pub fn may_be_cold(&self, name: &UpstreamName) -> bool {
+    pub fn has_cold_limits(&self, name: &UpstreamName) -> bool {
         let engine = self.upstreams.get(name).and_then(|u| u.engine.as_ref());
         engine.is_some_and(|engine| engine.limits().cold.is_some())
     }
 
     /// Cold engines of a group get nothing before `until`.
-    pub fn hold_cold(&mut self, group: Group, until: Duration) {
+    pub fn hold_cold_engines(&mut self, group: Group, until: Duration) {
         let of_group: Vec<UpstreamName> = self.index.of_group(group).cloned().collect();
         for name in &of_group {
             self.engine(name).into_iter().for_each(|e| e.hold_if_cold(until));
--- a/src/placement/fleet/learned.rs
+++ b/src/placement/registry/learned.rs
@@ -7,16 +7,16 @@
 use crate::fleet::owners::Group;
 use crate::names::ServiceName;
 use crate::names::UpstreamName;
-use crate::placement::fleet::Fleet;
+use crate::placement::registry::UpstreamRegistry;
 use crate::placement::speed::Speed;
 use crate::placement::upstream::Upstream;
 use crate::proxy::dialect::Part;
 
 /// What a box has learned of engines, for one that has just started.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Learned {
+pub struct LearnedReport {
     /// What engines keep.
-    pub kept: Vec<Kept>,
+    pub cached: Vec<CachedParts>,
     /// How fast those of a service read.
     pub speeds: Vec<(ServiceName, Speed)>,
     /// Upstreams that have said themselves that they are draining.
@@ -25,18 +25,18 @@
 
 /// What an engine is believed to keep.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct CachedParts {
     /// The engine.
     pub upstream: UpstreamName,
     /// Parts of prompts, those unused longest first.
     pub parts: Vec<Part>,
 }
 
-impl Fleet {
+impl UpstreamRegistry {
     /// What has been learned of the engines, or of those of one group.
-    pub fn learned(&self, group: Option<Group>) -> Learned {
+    pub fn learned(&self, group: Option<Group>) -> LearnedReport {
         let kept = |u: &Upstream| {
-            Some(Kept { upstream: u.listed.name.clone(), parts: u.engine.as_ref()?.parts() })
+            Some(CachedParts { upstream: u.listed.name.clone(), parts: u.engine.as_ref()?.parts() })
         };
         let speeds = self.speeds.iter().map(|(service, s)| (service.clone(), s.clone()));
         let kept = match group {
@@ -46,12 +46,12 @@
             }
             None => self.upstreams.values().filter_map(kept).collect(),
         };
-        Learned { kept, speeds: speeds.collect(), draining: Vec::new() }
+        LearnedReport { cached: kept, speeds: speeds.collect(), draining: Vec::new() }
     }
 
     /// Takes over what another box has learned of the engines.
-    pub fn take_over(&mut self, learned: &Learned) {
-        for kept in &learned.kept {
+    pub fn apply_learned(&mut self, learned: &LearnedReport) {
+        for kept in &learned.cached {
             if let Some(engine) = self.engine(&kept.upstream) {
                 engine.keep(&kept.parts);
             }
--- a/src/placement/fleet/choosing.rs
+++ b/src/placement/registry/selection.rs
@@ -5,10 +5,10 @@
 use crate::fleet::owners::Group;
 use crate::fleet::rollout::Side;
 use crate::placement::choice::Choice;
-use crate::placement::choice::NoChoice;
-use crate::placement::choice::Source;
-use crate::placement::choice::Wanted;
-use crate::placement::fleet::Fleet;
+use crate::placement::choice::ChoiceError;
+use crate::placement::choice::CopySource;
+use crate::placement::choice::SelectionCriteria;
+use crate::placement::registry::UpstreamRegistry;
 use crate::placement::speed::Work;
 use crate::placement::upstream::Context;
 use crate::placement::upstream::Plan;
@@ -47,43 +47,47 @@
     }
 }
 
-impl Fleet {
+impl UpstreamRegistry {
     /// Chooses the upstream with the least expected time, weighing what it must read.
-    pub fn choose(&self, wanted: Wanted<'_>, now: Duration) -> Result<Choice, NoChoice> {
-        let usable = self.usable(wanted, now);
+    pub fn choose(
+        &self,
+        criteria: SelectionCriteria<'_>,
+        now: Duration,
+    ) -> Result<Choice, ChoiceError> {
+        let usable = self.usable(criteria, now);
         if usable.is_empty() {
-            return Err(NoChoice::NoUpstream);
+            return Err(ChoiceError::NoUpstream);
         }
-        let candidates = self.candidates(&usable, wanted, now);
-        let busy = busy(&candidates, wanted.wait_max_idle);
+        let candidates = self.candidates(&usable, criteria, now);
+        let busy = busy(&candidates, criteria.wait_max_idle);
         let [when_idle, when_busy] =
-            [wanted.wait_max_idle, wanted.wait_max].map(|d| d.as_secs_f64());
+            [criteria.wait_max_idle, criteria.wait_max].map(|d| d.as_secs_f64());
         let wait_max = when_idle * (1.0 - busy) + when_busy * busy;
         let is_soon = |c: &&Candidate<'_>| c.wait().as_secs_f64() <= wait_max;
-        let anywhere = wanted.anywhere || busy < SPARE;
+        let any_engine = criteria.any_engine || busy < SPARE;
         let best = candidates
             .iter()
-            .filter(|c| !anywhere || is_soon(c))
+            .filter(|c| !any_engine || is_soon(c))
             .min_by(|a, b| a.cost.total_cmp(&b.cost))
             .filter(is_soon);
         if let Some(best) = best {
             return Ok(best.upstream.choice(best.plan));
         }
         let shortest = candidates.iter().map(Candidate::wait).min();
-        Err(shortest.map_or(NoChoice::Full, |wait| NoChoice::Busy { wait }))
+        Err(shortest.map_or(ChoiceError::Full, |wait| ChoiceError::Busy { wait }))
     }
 
     /// The upstreams with room, and what sending the request to each would cost.
     fn candidates<'a>(
         &self,
         usable: &[&'a Upstream],
-        wanted: Wanted<'_>,
+        criteria: SelectionCriteria<'_>,
         now: Duration,
     ) -> Vec<Candidate<'a>> {
-        let speed = self.speed(wanted.service);
-        let zone = wanted.zone.unwrap_or(&self.zone);
+        let speed = self.speed(criteria.service);
+        let zone = criteria.zone.unwrap_or(&self.zone);
         let cx = Context { speed, tuning: self.tuning, zone, now };
-        let Some(prompt) = wanted.prompt else {
+        let Some(prompt) = criteria.prompt else {
             return usable
                 .iter()
                 .map(|u| Candidate { upstream: u, plan: None, cost: u.cost(None, cx) })
@@ -91,13 +95,13 @@
         };
         // Looked up once: what engines keep is spread over memory, and many engines are asked.
         let kept = kept(usable, prompt);
-        let source = self.source(usable, &kept, wanted, prompt);
+        let source = self.source(usable, &kept, criteria, prompt);
         let homes = homes(usable, prompt);
         let own = prompt.parts.last().map_or(0, |own| own.tokens);
         let shared = prompt.tokens.saturating_sub(own);
         let lead_max = Duration::from_secs_f64(speed.reading(Work::reading(0, shared)));
         let candidate = |(u, kept): (&&'a Upstream, &u32)| {
-            if !u.has_room(prompt) || !u.bears(wanted.role, cx) {
+            if !u.has_room(prompt) || !u.bears(criteria.role, cx) {
                 return None;
             }
             let rank = homes.iter().position(|home| home.is_some_and(|h| std::ptr::eq(h, *u)));
@@ -115,19 +119,19 @@
         &self,
         usable: &[&Upstream],
         kept: &[u32],
-        wanted: Wanted<'_>,
+        criteria: SelectionCriteria<'_>,
         prompt: &Prompt,
-    ) -> Option<Source> {
-        let source = |u: &Upstream, kept| Source { addr: u.listed.addr, kept };
+    ) -> Option<CopySource> {
+        let source = |u: &Upstream, kept| CopySource { addr: u.listed.addr, kept };
         let staying = usable.iter().zip(kept).map(|(u, kept)| source(u, *kept));
         let leaving = self
             .index
-            .leaving(wanted.service)
+            .leaving(criteria.service)
             .filter_map(|name| self.look_at(name))
-            .filter(|u| !u.is_doubted() && !self.closed.contains(&u.listed.zone))
-            .filter(|u| self.is_on(wanted.side, u))
+            .filter(|u| !u.is_unverified() && !self.closed.contains(&u.listed.zone))
+            .filter(|u| self.is_on(criteria.side, u))
             .filter_map(|u| Some(source(u, u.engine.as_ref()?.kept(prompt))));
-        staying.chain(leaving).chain(wanted.source).max_by_key(|s| s.kept)
+        staying.chain(leaving).chain(criteria.source).max_by_key(|s| s.kept)
     }
 
     /// The hash of the engine of a side to which a prompt belongs, of those that aren't in `avoided`; all boxes
@@ -144,7 +148,7 @@
 
     /// The same among the engines that leave, too: one of them may still keep what its successor
     /// doesn't.
-    pub fn home_elsewhere(
+    pub fn home_including_leaving(
         &self,
         service: &str,
         prompt: &Prompt,
@@ -155,10 +159,14 @@
     }
 
     /// The engine that keeps the most of a prompt.
-    pub fn keeper(&self, wanted: Wanted<'_>, now: Duration) -> Option<Source> {
-        let prompt = wanted.prompt?;
-        let usable = self.usable(wanted, now);
-        self.source(&usable, &kept(&usable, prompt), wanted, prompt).filter(|s| s.kept != 0)
+    pub fn best_cached_source(
+        &self,
+        criteria: SelectionCriteria<'_>,
+        now: Duration,
+    ) -> Option<CopySource> {
+        let prompt = criteria.prompt?;
+        let usable = self.usable(criteria, now);
+        self.source(&usable, &kept(&usable, prompt), criteria, prompt).filter(|s| s.kept != 0)
     }
 
     /// The hash of the engine to which a prompt belongs by what of it is shared.
--- a/src/placement/share.rs
+++ b/src/placement/share.rs
@@ -25,21 +25,21 @@
     window: Window,
     /// The newest part of it.
     lately: Window,
-    /// What this box has admitted and refused since [`Shares::take_own`].
+    /// What this box has admitted and refused since [`Shares::take_local`].
     own: Sums,
     /// All that was counted since the start, for figures.
     totals: Sums,
     /// What was counted for requests that may still turn out to run nowhere, and these in the order in which they
     /// were counted.
-    kept: FxHashMap<u64, Counted>,
+    kept: FxHashMap<u64, ShareCharge>,
     kept_since: VecDeque<(Duration, u64)>,
 }
 
 /// What was counted of one request or sum.
 #[derive(Clone, Debug)]
-pub struct Counted {
+pub struct ShareCharge {
     workspace: WorkspaceName,
-    tokens: Tokens,
+    tokens: TokenCounts,
     at: Duration,
     /// Whether this box has counted it, and tells others.
     is_own: bool,
@@ -47,26 +47,26 @@
 
 /// What a workspace asked for and got; less than nothing where more is taken back than was counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Tokens {
+pub struct TokenCounts {
     /// What it asked for.
-    pub asked: i64,
+    pub requested: i64,
     /// What was begun of that.
-    pub begun: i64,
+    pub admitted: i64,
 }
 
-impl Tokens {
+impl TokenCounts {
     /// Of a request that is begun.
-    pub fn begun(tokens: u64) -> Tokens {
-        Tokens { asked: tokens as i64, begun: tokens as i64 }
+    pub fn admitted(tokens: u64) -> TokenCounts {
+        TokenCounts { requested: tokens as i64, admitted: tokens as i64 }
     }
 
     /// Of a request that is refused.
-    pub fn refused(tokens: u64) -> Tokens {
-        Tokens { asked: tokens as i64, begun: 0 }
+    pub fn refused(tokens: u64) -> TokenCounts {
+        TokenCounts { requested: tokens as i64, admitted: 0 }
     }
 
-    fn negated(self) -> Tokens {
-        Tokens { asked: -self.asked, begun: -self.begun }
+    fn negated(self) -> TokenCounts {
+        TokenCounts { requested: -self.requested, admitted: -self.admitted }
     }
 }
 
@@ -87,7 +87,7 @@
 
 /// What each workspace asked for and got in some time. Those that asked for nothing aren't there.
 #[derive(Debug, Default)]
-struct Sums(FxHashMap<WorkspaceName, Tokens>);
+struct Sums(FxHashMap<WorkspaceName, TokenCounts>);
 
 impl Shares {
     /// Nothing is counted yet; counts are kept for `window`.
@@ -104,28 +104,33 @@
     }
 
     /// Counts a request that begins.
-    pub fn begin(&mut self, workspace: &WorkspaceName, tokens: u64, now: Duration) -> Counted {
-        self.count(workspace, Tokens::begun(tokens), now)
+    pub fn begin(&mut self, workspace: &WorkspaceName, tokens: u64, now: Duration) -> ShareCharge {
+        self.count(workspace, TokenCounts::admitted(tokens), now)
     }
 
     /// Counts a request that is refused.
-    pub fn refuse(&mut self, workspace: &WorkspaceName, tokens: u64, now: Duration) -> Counted {
-        self.count(workspace, Tokens::refused(tokens), now)
+    pub fn refuse(&mut self, workspace: &WorkspaceName, tokens: u64, now: Duration) -> ShareCharge {
+        self.count(workspace, TokenCounts::refused(tokens), now)
     }
 
     /// Adds what another box has counted.
-    pub fn add(&mut self, workspace: &WorkspaceName, tokens: Tokens, now: Duration) -> Counted {
+    pub fn add_remote(
+        &mut self,
+        workspace: &WorkspaceName,
+        tokens: TokenCounts,
+        now: Duration,
+    ) -> ShareCharge {
         self.window.add(workspace, tokens, now);
         self.lately.add(workspace, tokens, now);
         self.totals.add(workspace, tokens);
-        Counted { workspace: workspace.clone(), tokens, at: now, is_own: false }
+        ShareCharge { workspace: workspace.clone(), tokens, at: now, is_own: false }
     }
 
     /// Remembers for which request something was counted, for as long as it matters. A request counts once: what was
     /// counted for it before is taken back.
-    pub fn keep(&mut self, request: u64, counted: Counted) {
+    pub fn remember(&mut self, request: u64, counted: ShareCharge) {
         let now = counted.at;
-        self.take_back(request, now);
+        self.revert(request, now);
         while let Some((at, oldest)) = self.kept_since.front().copied()
             && at + self.window.length() < now
         {
@@ -140,8 +145,8 @@
 
     /// Takes back what was counted for a request that runs nowhere by that decision. Else a workspace that is served by
     /// boxes whose questions are answered too late would be held to a part of its share.
-    pub fn take_back(&mut self, request: u64, now: Duration) {
-        let Some(Counted { workspace, tokens, at, is_own }) = self.kept.remove(&request) else {
+    pub fn revert(&mut self, request: u64, now: Duration) {
+        let Some(ShareCharge { workspace, tokens, at, is_own }) = self.kept.remove(&request) else {
             return;
         };
         self.window.take_back(&workspace, tokens, at, now);
@@ -153,19 +158,19 @@
     }
 
     /// What each workspace asked for and got since the start, as far as this box has counted or been told.
-    pub fn totals(&self) -> impl Iterator<Item = (WorkspaceName, Tokens)> {
+    pub fn totals(&self) -> impl Iterator<Item = (WorkspaceName, TokenCounts)> {
         self.totals.0.iter().map(|(name, tokens)| (name.clone(), *tokens))
     }
 
     /// What this box has admitted and refused since the last call, to be added elsewhere.
-    pub fn take_own(&mut self) -> FxHashMap<WorkspaceName, Tokens> {
+    pub fn take_local(&mut self) -> FxHashMap<WorkspaceName, TokenCounts> {
         std::mem::take(&mut self.own).0
     }
 
     /// How much of its share a workspace would have used with a request of this size: over one is
     /// over its share. One that asks for no more than its share never is; for one that does, what it
     /// had lately counts.
-    pub fn used(&mut self, workspace: &WorkspaceName, tokens: u64, now: Duration) -> f64 {
+    pub fn share_used(&mut self, workspace: &WorkspaceName, tokens: u64, now: Duration) -> f64 {
         let sums = self.window.sums(now);
         let level = sums.level(workspace, tokens);
         if sums.asked(workspace) + tokens <= level {
@@ -175,9 +180,14 @@
         lately.used(workspace, tokens, lately.level(workspace, tokens))
     }
 
-    fn count(&mut self, workspace: &WorkspaceName, tokens: Tokens, now: Duration) -> Counted {
+    fn count(
+        &mut self,
+        workspace: &WorkspaceName,
+        tokens: TokenCounts,
+        now: Duration,
+    ) -> ShareCharge {
         self.own.add(workspace, tokens);
-        Counted { is_own: true, ..self.add(workspace, tokens, now) }
+        ShareCharge { is_own: true, ..self.add_remote(workspace, tokens, now) }
     }
 }
 
@@ -186,7 +196,7 @@
         Window { step: length / STEPS, steps: VecDeque::new(), sums: Sums::default() }
     }
 
-    fn add(&mut self, workspace: &WorkspaceName, tokens: Tokens, now: Duration) {
+    fn add(&mut self, workspace: &WorkspaceName, tokens: TokenCounts, now: Duration) {
         self.expire(now);
         let number = self.number(now);
         if self.steps.back().is_none_or(|s| s.number != number) {
@@ -201,7 +211,7 @@
     fn take_back(
         &mut self,
         workspace: &WorkspaceName,
-        tokens: Tokens,
+        tokens: TokenCounts,
         at: Duration,
         now: Duration,
     ) {
@@ -235,14 +245,14 @@
 }
 
 impl Sums {
-    fn add(&mut self, workspace: &WorkspaceName, tokens: Tokens) {
-        if tokens == Tokens::default() {
+    fn add(&mut self, workspace: &WorkspaceName, tokens: TokenCounts) {
+        if tokens == TokenCounts::default() {
             return;
         }
         let sum = self.0.entry(workspace.clone()).or_default();
-        sum.asked = sum.asked.saturating_add(tokens.asked);
-        sum.begun = sum.begun.saturating_add(tokens.begun);
-        if *sum == Tokens::default() {
+        sum.requested = sum.requested.saturating_add(tokens.requested);
+        sum.admitted = sum.admitted.saturating_add(tokens.admitted);
+        if *sum == TokenCounts::default() {
             self.0.remove(workspace);
         }
     }
@@ -252,11 +262,11 @@
     }
 
     fn asked(&self, workspace: &WorkspaceName) -> u64 {
-        self.0.get(workspace).map_or(0, |t| at_least_zero(t.asked))
+        self.0.get(workspace).map_or(0, |t| at_least_zero(t.requested))
     }
 
     fn begun(&self, workspace: &WorkspaceName) -> u64 {
-        self.0.get(workspace).map_or(0, |t| at_least_zero(t.begun))
+        self.0.get(workspace).map_or(0, |t| at_least_zero(t.admitted))
     }
 
     /// How much of its share, `level`, a workspace would have used with a request of this size.
@@ -266,15 +276,15 @@
 
     /// The most that any workspace gets when what was served is shared by max-min.
     fn level(&self, workspace: &WorkspaceName, tokens: u64) -> u64 {
-        let begun = self.0.values().map(|t| at_least_zero(t.begun));
+        let begun = self.0.values().map(|t| at_least_zero(t.admitted));
         let capacity = begun.fold(tokens, u64::saturating_add);
         let own = self.asked(workspace) + tokens;
         let others = self.0.iter().filter(|(name, _)| *name != workspace);
-        let others = others.map(|(_, t)| at_least_zero(t.asked));
-        let mut asked: Vec<u64> = others.chain([own]).collect();
-        asked.sort_unstable();
-        let (mut left, mut count) = (capacity, asked.len() as u64);
-        for want in asked {
+        let others = others.map(|(_, t)| at_least_zero(t.requested));
+        let mut requested: Vec<u64> = others.chain([own]).collect();
+        requested.sort_unstable();
+        let (mut left, mut count) = (capacity, requested.len() as u64);
+        for want in requested {
             let even = left / count.max(1);
             if even <= want {
                 return even;
--- a/src/placement/speed.rs
+++ b/src/placement/speed.rs
@@ -107,9 +107,9 @@
     pub fn new(tuning: &Tuning) -> Speed {
         let settings = [
             1.0 / tuning.tokens_per_ms.max(f64::MIN_POSITIVE),
-            tuning.pairs.as_secs_f64(),
-            tuning.step.as_secs_f64(),
-            tuning.first_step.as_secs_f64(),
+            tuning.per_million_pairs.as_secs_f64(),
+            tuning.per_prompt.as_secs_f64(),
+            tuning.first_token_overhead.as_secs_f64(),
         ];
         let mut covariance = [[0.0; COUNT]; COUNT];
         for (n, setting) in settings.iter().enumerate() {
@@ -184,14 +184,14 @@
 
 /// How much slower than its service one engine is.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Factor {
+pub struct SlowdownFactor {
     /// Seconds that work took, and was expected to take at the service's speed, lately.
     took: f64,
     expected: f64,
     at: Duration,
 }
 
-impl Factor {
+impl SlowdownFactor {
     /// The factor: one for an engine like the others.
     pub fn get(&self) -> f64 {
         (self.took + FACTOR_PRIOR) / (self.expected + FACTOR_PRIOR)
--- a/src/placement/tuning.rs
+++ b/src/placement/tuning.rs
@@ -10,18 +10,18 @@
     /// Prompt tokens read in a millisecond, until engines' first tokens have told.
     pub tokens_per_ms: f64,
     /// The same for a million pairs of a token that is read and one that stands before it.
-    pub pairs: Duration,
+    pub per_million_pairs: Duration,
     /// The same for a prompt, whatever its length.
-    pub step: Duration,
+    pub per_prompt: Duration,
     /// The same for the time from the end of reading to the first token, without any backlog.
-    pub first_step: Duration,
+    pub first_token_overhead: Duration,
     /// Part of its time that an engine may spend on reading prompts, over longer times. While it
     /// reads a piece, those that run get one token in the time of a dozen; without a pause in which
     /// they go on they would not end before their deadlines.
-    pub reading_share: f64,
+    pub prefill_share: f64,
     /// How much more than its time a token that must be read counts, since reading it keeps the
     /// engine from others, and shared parts that are read again are charged for.
-    pub read_weight: f64,
+    pub prefill_weight: f64,
     /// How much more than its time a copy between engines counts, since it is charged for.
     pub copy_weight: f64,
     /// Part of a route's aim that a request may wait for an engine; the rest is for reading the
@@ -39,11 +39,11 @@
     fn default() -> Tuning {
         Tuning {
             tokens_per_ms: 51.1,
-            pairs: Duration::from_micros(323),
-            step: Duration::from_millis(6),
-            first_step: Duration::from_millis(50),
-            reading_share: 0.7,
-            read_weight: 2.0,
+            per_million_pairs: Duration::from_micros(323),
+            per_prompt: Duration::from_millis(6),
+            first_token_overhead: Duration::from_millis(50),
+            prefill_share: 0.7,
+            prefill_weight: 2.0,
             copy_weight: 16.0,
             wait_share: 0.7,
             wait_share_over: 0.15,
--- a/src/placement/upstream.rs
+++ b/src/placement/upstream.rs
@@ -9,7 +9,7 @@
 use crate::names::UpstreamName;
 use crate::names::ZoneName;
 use crate::placement::choice::Choice;
-use crate::placement::choice::Source;
+use crate::placement::choice::CopySource;
 use crate::placement::cold::Role;
 use crate::placement::engine::Engine;
 use crate::placement::plain::Plain;
@@ -20,7 +20,7 @@
 use crate::proxy::dialect::Prompt;
 
 /// Fewest tokens that are worth a copy: twice those that are read in the time of its setup.
-pub const COPY_MIN: u32 = 400;
+pub const COPY_TOKENS_MIN: u32 = 400;
 
 /// Preference for an upstream in the own zone: bytes between zones are charged for.
 const ZONE_LEAD: Duration = Duration::from_millis(4);
@@ -46,11 +46,11 @@
     pub(super) wait: Duration,
     /// Until the engine has read what it was sent before.
     backlog: Duration,
-    unread: u32,
+    prefill_tokens: u32,
     /// Seconds to read these, and from then to the first token.
     reading: f64,
     first_step: f64,
-    copied: u32,
+    copied_tokens: u32,
     copy_time: Duration,
     copy_from: Option<SocketAddr>,
     /// Preference where the prompt's shared parts belong here by their hash.
@@ -109,7 +109,7 @@
 }
 
 /// The hash of an upstream's name, by which parts of prompts and owners are found for it.
-pub fn hash(name: &UpstreamName) -> u64 {
+pub fn name_hash(name: &UpstreamName) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
@@ -124,7 +124,7 @@
             failures: 0,
             rests_until: Duration::ZERO,
             doubt: None,
-            hash: hash(&listed.name),
+            hash: name_hash(&listed.name),
             listed,
         }
     }
@@ -135,7 +135,7 @@
     }
 
     /// Whether it may not be reachable.
-    pub(super) fn is_doubted(&self) -> bool {
+    pub(super) fn is_unverified(&self) -> bool {
         self.doubt.is_some()
     }
 
@@ -170,7 +170,7 @@
     }
 
     /// Whether no connection could be made when it was tried last.
-    pub(super) fn was_away(&self) -> bool {
+    pub(super) fn last_connect_failed(&self) -> bool {
         self.doubt.is_some_and(|doubt| doubt.failures != 0)
     }
 
@@ -181,7 +181,7 @@
 
     /// Notes that no connection could be made. True when the other boxes should hear of it: at the
     /// first failure, and only from who came upon it.
-    pub(super) fn not_reached(&mut self, now: Duration) -> bool {
+    pub(super) fn record_connect_failure(&mut self, now: Duration) -> bool {
         let Some(doubt) = &mut self.doubt else { return false };
         doubt.failures += 1;
         let pause = LOOK_FIRST * 2u32.saturating_pow(doubt.failures.min(8) - 1);
@@ -191,7 +191,7 @@
 
     /// Whether it is time to connect, to see whether it can be reached. True once until
     /// [`Upstream::not_reached`], or for the longest pause.
-    pub(super) fn take_look(&mut self, now: Duration) -> bool {
+    pub(super) fn take_due_probe(&mut self, now: Duration) -> bool {
         let Some(doubt) = self.doubt.as_mut().filter(|d| d.look_at <= now) else { return false };
         doubt.look_at = now + LOOK_MAX;
         true
@@ -219,24 +219,28 @@
         &self,
         prompt: &Prompt,
         kept: u32,
-        source: Option<Source>,
+        source: Option<CopySource>,
         home_lead: Duration,
         cx: Context<'_>,
     ) -> Option<Plan> {
         let Context { speed, tuning, now, .. } = cx;
         let engine = self.engine.as_ref()?;
         let gain = source.map_or(0, |s| s.kept.saturating_sub(kept));
-        let copied = if gain < COPY_MIN { 0 } else { gain };
-        let unread = prompt.tokens - kept - copied;
+        let copied_tokens = if gain < COPY_TOKENS_MIN { 0 } else { gain };
+        let prefill_tokens = prompt.tokens - kept - copied_tokens;
         Some(Plan {
             wait: engine.wait(speed, tuning, now),
             backlog: engine.backlog(speed, now),
-            unread,
-            reading: engine.reading(Work::reading(kept + copied, unread), speed),
+            prefill_tokens,
+            reading: engine.reading(Work::reading(kept + copied_tokens, prefill_tokens), speed),
             first_step: speed.fixed(),
-            copied,
-            copy_time: if copied == 0 { Duration::ZERO } else { engine.copy_time(copied) },
-            copy_from: source.filter(|_| copied != 0).map(|s| s.addr),
+            copied_tokens,
+            copy_time: if copied_tokens == 0 {
+                Duration::ZERO
+            } else {
+                engine.copy_time(copied_tokens)
+            },
+            copy_from: source.filter(|_| copied_tokens != 0).map(|s| s.addr),
             home_lead,
         })
     }
@@ -251,7 +255,8 @@
         lead += plan.home_lead.as_secs_f64();
         let reading = plan.reading;
         let copying = plan.copy_time.as_secs_f64();
-        plan.wait.as_secs_f64() + reading * tuning.read_weight + copying * tuning.copy_weight - lead
+        plan.wait.as_secs_f64() + reading * tuning.prefill_weight + copying * tuning.copy_weight
+            - lead
     }
 
     /// The choice of this upstream of a plain service.
@@ -271,8 +276,8 @@
             addr: self.listed.addr,
             first_token,
             wait: plan.as_ref().map_or(Duration::ZERO, |p| p.wait),
-            unread: plan.as_ref().map_or(0, |p| p.unread),
-            copied: plan.as_ref().map_or(0, |p| p.copied),
+            prefill_tokens: plan.as_ref().map_or(0, |p| p.prefill_tokens),
+            copied_tokens: plan.as_ref().map_or(0, |p| p.copied_tokens),
             is_counted: false,
             copy_from: plan.and_then(|p| p.copy_from),
             running: self.engine.as_ref().map_or(0, Engine::running),
--- a/src/proxy/asking.rs
+++ b/src/proxy/asking.rs
@@ -19,11 +19,11 @@
 use crate::names::ServiceName;
 use crate::names::UpstreamName;
 use crate::placement::admit::Denial;
+use crate::placement::admit::PlacementQuery;
 use crate::placement::admit::Purpose;
-use crate::placement::admit::Wish;
 use crate::placement::choice::Choice;
-use crate::placement::choice::NoChoice;
-use crate::placement::choice::Source;
+use crate::placement::choice::ChoiceError;
+use crate::placement::choice::CopySource;
 use crate::placement::cold::Role;
 use crate::placement::upstream;
 use crate::proxy::dialect::Prompt;
@@ -77,11 +77,11 @@
 impl Decided {
     /// Whether no upstream is known that may get the request.
     pub fn is_without_upstream(&self) -> bool {
-        self.decision.as_ref().is_err_and(|denied| denied.cause == NoChoice::NoUpstream)
+        self.decision.as_ref().is_err_and(|denied| denied.cause == ChoiceError::NoUpstream)
     }
 
     fn is_kept_elsewhere(&self) -> bool {
-        self.decision.as_ref().is_err_and(|denied| denied.cause == NoChoice::NotKept)
+        self.decision.as_ref().is_err_and(|denied| denied.cause == ChoiceError::NotCached)
     }
 }
 
@@ -131,92 +131,106 @@
 }
 
 /// Places a request, or says why it isn't placed.
-pub async fn place(hub: &Arc<Hub>, wish: Wish<'_>) -> Decided {
+pub async fn place(hub: &Arc<Hub>, query: PlacementQuery<'_>) -> Decided {
     let owners = hub.peers().owners();
     if owners.is_none() {
-        return place_for_all(hub, wish);
+        return place_for_all(hub, query);
     }
-    let mut wish = wish;
+    let mut query = query;
     let mut denied = None;
     for n in 1..=GROUPS_MAX {
-        let home = hub.read(|v| v.fleet().home(wish.service, wish.prompt, wish.side, wish.group));
+        let home =
+            hub.read(|v| v.fleet().home(query.service, query.prompt, query.side, query.group));
         let Some(group) = home.map(|hash| owners.group(hash)) else { break };
-        wish.group = Some(group);
-        wish.is_last = n == GROUPS_MAX;
+        query.group = Some(group);
+        query.is_last_group = n == GROUPS_MAX;
         let Some(owned) = owners.of(group) else { break };
-        let Some(decided) = place_or_copy(hub, wish, &owners, group, owned).await else { break };
-        wish.purpose = Purpose::Place;
+        let Some(decided) = place_or_copy(hub, query, &owners, group, owned).await else { break };
+        query.purpose = Purpose::Place;
         match &decided.decision {
-            Err(denial) if denial.may_go_on => wish.source = denial.source.or(wish.source),
+            Err(denial) if denial.may_try_other_groups => {
+                query.source = denial.source.or(query.source)
+            }
             _ => return decided,
         }
         denied = Some(decided);
     }
-    denied.unwrap_or_else(|| place_alone(hub, Wish { group: None, ..wish }))
+    denied.unwrap_or_else(|| place_alone(hub, PlacementQuery { group: None, ..query }))
 }
 
 /// Has a request placed in a group of engines. Where none of them keeps what others share, it is looked
 /// for in another group first.
 async fn place_or_copy(
     hub: &Arc<Hub>,
-    wish: Wish<'_>,
+    query: PlacementQuery<'_>,
     owners: &Owners,
     group: Group,
     owned: Owned,
 ) -> Option<Decided> {
-    let decided = place_in(hub, wish, group, owned).await?;
+    let decided = place_in(hub, query, group, owned).await?;
     if !decided.is_kept_elsewhere() {
         return Some(decided);
     }
-    let source = look(hub, wish, owners, group).await;
-    place_in(hub, Wish { source, purpose: Purpose::Place, ..wish }, group, owned).await
+    let source = look(hub, query, owners, group).await;
+    place_in(hub, PlacementQuery { source, purpose: Purpose::Place, ..query }, group, owned).await
 }
 
 /// Places a request by what this box believes, and tells all others.
-fn place_for_all(hub: &Hub, wish: Wish<'_>) -> Decided {
+fn place_for_all(hub: &Hub, query: PlacementQuery<'_>) -> Decided {
     let role = Role::Peer { boxes: hub.peers().known(), draw: hub.peers().own_draw("") };
-    let decision = hub.admit(Wish { is_last: true, purpose: Purpose::Place, role, ..wish });
+    let decision =
+        hub.admit(PlacementQuery { is_last_group: true, purpose: Purpose::Place, role, ..query });
     match &decision {
-        Ok(choice) => hub.peers().tell(&told(&wish, choice)),
+        Ok(choice) => hub.peers().tell(&told(&query, choice)),
         Err(_) => {
-            if let Some(workspace) = wish.workspace.cloned() {
-                let tokens = wish.prompt.charge();
+            if let Some(workspace) = query.workspace.cloned() {
+                let tokens = query.prompt.charge();
                 hub.peers().tell(&Message::Refused { workspace, tokens });
             }
         }
     }
-    Decided { decision, by: hub.peers().me(), role, request: wish.request }
+    Decided { decision, by: hub.peers().me(), role, request: query.request }
 }
 
 /// Places a request though nobody who keeps the models answers: by what little this box knows.
-fn place_alone(hub: &Hub, wish: Wish<'_>) -> Decided {
-    let role = Role::Stranger;
-    let decision = hub.admit(Wish { is_last: true, purpose: Purpose::Place, role, ..wish });
+fn place_alone(hub: &Hub, query: PlacementQuery<'_>) -> Decided {
+    let role = Role::Unassigned;
+    let decision =
+        hub.admit(PlacementQuery { is_last_group: true, purpose: Purpose::Place, role, ..query });
     if let Ok(choice) = &decision {
         // The count is told by the way of shares.
-        tell_keepers(hub, &choice.upstream, &told(&Wish { workspace: None, ..wish }, choice));
+        tell_keepers(
+            hub,
+            &choice.upstream,
+            &told(&PlacementQuery { workspace: None, ..query }, choice),
+        );
     }
-    Decided { decision, by: hub.peers().me(), role, request: wish.request }
+    Decided { decision, by: hub.peers().me(), role, request: query.request }
 }
 
 /// Has a request placed in a group of engines; nothing if nobody who keeps its models answers.
-async fn place_in(hub: &Arc<Hub>, wish: Wish<'_>, group: Group, owned: Owned) -> Option<Decided> {
+async fn place_in(
+    hub: &Arc<Hub>,
+    query: PlacementQuery<'_>,
+    group: Group,
+    owned: Owned,
+) -> Option<Decided> {
     for ip in owned.keepers() {
         let role = owned.role(ip);
         if ip == hub.peers().me() {
-            let decision = hub.admit(Wish { role, ..wish });
+            let decision = hub.admit(PlacementQuery { role, ..query });
             if let Ok(choice) = &decision {
-                tell_other_keeper(hub, &wish, choice, owned);
+                tell_other_keeper(hub, &query, choice, owned);
             }
-            return Some(Decided { decision, by: ip, role, request: wish.request });
+            return Some(Decided { decision, by: ip, role, request: query.request });
         }
         if hub.asking().is_suspect(ip, hub.now()) {
             continue;
         }
-        let request = asked_as(wish.request, ip);
-        let question = Message::Ask(question(hub, &Wish { request, ..wish }, group));
+        let request = asked_as(query.request, ip);
+        let question = Message::Ask(question(hub, &PlacementQuery { request, ..query }, group));
         match ask(hub, ip, request, &question).await {
-            Some(Ok(choice)) if is_behind(hub, ip, &choice, wish.side) => {
+            Some(Ok(choice)) if is_behind(hub, ip, &choice, query.side) => {
                 notices::resend(hub, &choice.upstream, ip);
             }
             // The backoff began while the owner was asked.
@@ -247,36 +261,42 @@
 
 /// Finds an engine outside of a group that keeps some of a prompt: the one to which it belonged before
 /// an engine of the group came, or one that leaves.
-async fn look(hub: &Arc<Hub>, wish: Wish<'_>, owners: &Owners, group: Group) -> Option<Source> {
-    let home =
-        hub.read(|v| v.fleet().home_elsewhere(wish.service, wish.prompt, wish.side, group))?;
+async fn look(
+    hub: &Arc<Hub>,
+    query: PlacementQuery<'_>,
+    owners: &Owners,
+    group: Group,
+) -> Option<CopySource> {
+    let home = hub.read(|v| {
+        v.fleet().home_including_leaving(query.service, query.prompt, query.side, group)
+    })?;
     let elsewhere = owners.group(home);
-    let wish = Wish { group: Some(elsewhere), purpose: Purpose::Look, ..wish };
-    let looked = place_in(hub, wish, elsewhere, owners.of(elsewhere)?).await?;
+    let query = PlacementQuery { group: Some(elsewhere), purpose: Purpose::Lookup, ..query };
+    let looked = place_in(hub, query, elsewhere, owners.of(elsewhere)?).await?;
     looked.decision.err()?.source
 }
 
-fn question(hub: &Hub, wish: &Wish<'_>, group: Group) -> Ask {
+fn question(hub: &Hub, query: &PlacementQuery<'_>, group: Group) -> Ask {
     Ask {
-        request: wish.request,
+        request: query.request,
         group,
-        service: ServiceName::from(wish.service),
-        prompt: wish.prompt.into(),
-        workspace: wish.workspace.cloned(),
+        service: ServiceName::from(query.service),
+        prompt: query.prompt.into(),
+        workspace: query.workspace.cloned(),
         zone: hub.peers().zone().clone(),
-        except: except_in(wish, group),
-        side: wish.side,
-        aim_ms: millis(wish.aim),
-        waited_ms: millis(wish.waited),
-        source: wish.source,
-        purpose: wish.purpose,
-        is_last: wish.is_last,
+        excluded: except_in(query, group),
+        side: query.side,
+        aim_ms: millis(query.target_latency),
+        waited_ms: millis(query.waited),
+        source: query.source,
+        purpose: query.purpose,
+        is_last_group: query.is_last_group,
     }
 }
 
 /// The upstreams of a group that are out of the question.
-fn except_in(wish: &Wish<'_>, group: Group) -> Vec<UpstreamName> {
-    let of_group = wish.except.iter().filter(|name| group.has(upstream::hash(name)));
+fn except_in(query: &PlacementQuery<'_>, group: Group) -> Vec<UpstreamName> {
+    let of_group = query.excluded.iter().filter(|name| group.has(upstream::name_hash(name)));
     of_group.take(EXCEPT_MAX).cloned().collect()
 }
 
@@ -288,7 +308,7 @@
 /// Whether an owner that was cut off or stood still has chosen an upstream that must get nothing.
 pub fn is_behind(hub: &Hub, ip: IpAddr, choice: &Choice, side: Side) -> bool {
     let is_behind = hub.read(|view| {
-        view.is_barred(&choice.upstream) || !view.fleet().may_get(&choice.upstream, side)
+        view.is_barred(&choice.upstream) || !view.fleet().allows_side(&choice.upstream, side)
     });
     if is_behind {
         let upstream = choice.upstream.as_str();
@@ -317,29 +337,29 @@
 pub fn answer(hub: &Hub, ask: &Ask, from: IpAddr) {
     let prompt = Prompt::from(&ask.prompt);
     let owned = hub.peers().owners().of(ask.group);
-    let wish = Wish {
+    let query = PlacementQuery {
         request: ask.request,
         service: &ask.service,
         prompt: &prompt,
         workspace: ask.workspace.as_ref(),
-        except: &ask.except,
+        excluded: &ask.excluded,
         side: ask.side,
-        aim: Duration::from_millis(ask.aim_ms.into()),
+        target_latency: Duration::from_millis(ask.aim_ms.into()),
         waited: Duration::from_millis(ask.waited_ms.into()),
         group: Some(ask.group),
         zone: Some(&ask.zone),
         sender: Some(from),
         source: ask.source,
         purpose: ask.purpose,
-        is_last: ask.is_last,
-        role: owned.map_or(Role::Stranger, |owned| owned.role(hub.peers().me())),
+        is_last_group: ask.is_last_group,
+        role: owned.map_or(Role::Unassigned, |owned| owned.role(hub.peers().me())),
     };
-    let result = hub.admit(wish);
+    let result = hub.admit(query);
     let request = ask.request;
     if let Ok(choice) = &result
         && let Some(owned) = owned
     {
-        tell_other_keeper(hub, &wish, choice, owned);
+        tell_other_keeper(hub, &query, choice, owned);
     }
     hub.peers().tell_now(from, &Message::Answer(Answer { request, result }));
 }
@@ -352,28 +372,28 @@
     if waiting.is_some_and(|tx| tx.send(result).is_ok()) {
         return;
     }
-    let owned = upstream.and_then(|u| hub.peers().owners().of_hash(upstream::hash(&u)));
+    let owned = upstream.and_then(|u| hub.peers().owners().of_hash(upstream::name_hash(&u)));
     let standby = owned.into_iter().flat_map(Owned::keepers).filter(|ip| *ip != from);
     withdraw(hub, request, standby.chain([from]));
 }
 
 /// The other one of a group's owner and standby hears of what is placed, without the workspace: sums
 /// of these are told by the way of shares.
-fn tell_other_keeper(hub: &Hub, wish: &Wish<'_>, choice: &Choice, owned: Owned) {
-    let message = told(&Wish { workspace: None, ..*wish }, choice);
+fn tell_other_keeper(hub: &Hub, query: &PlacementQuery<'_>, choice: &Choice, owned: Owned) {
+    let message = told(&PlacementQuery { workspace: None, ..*query }, choice);
     hub.peers().tell_some(owned.keepers(), &message);
 }
 
-fn told(wish: &Wish<'_>, choice: &Choice) -> Message {
-    let Choice { unread, copied, .. } = *choice;
+fn told(query: &PlacementQuery<'_>, choice: &Choice) -> Message {
+    let Choice { prefill_tokens, copied_tokens, .. } = *choice;
     Message::Placed {
         upstream: choice.upstream.clone(),
-        request: wish.request,
-        prompt: wish.prompt.into(),
-        unread,
-        copied,
-        workspace: wish.workspace.cloned(),
-        sender: wish.sender,
+        request: query.request,
+        prompt: query.prompt.into(),
+        prefill_tokens,
+        copied_tokens,
+        workspace: query.workspace.cloned(),
+        sender: query.sender,
     }
 }
 
@@ -382,7 +402,7 @@
 pub async fn tell_shares(hub: Arc<Hub>) {
     loop {
         pace::wait(USED_EVERY).await;
-        let own = hub.shares(|shares| shares.take_own());
+        let own = hub.shares(|shares| shares.take_local());
         let owners = hub.peers().owners();
         if owners.is_none() || own.is_empty() {
             continue;
@@ -397,7 +417,7 @@
 
 /// Whether this box keeps the model of an engine; each does in a small fleet.
 pub fn keeps(hub: &Hub, name: &UpstreamName) -> bool {
-    let owned = hub.peers().owners().of_hash(upstream::hash(name));
+    let owned = hub.peers().owners().of_hash(upstream::name_hash(name));
     owned.is_none_or(|owned| owned.keepers().any(|ip| ip == hub.peers().me()))
 }
 
@@ -408,7 +428,7 @@
         hub.peers().tell(message);
         return;
     }
-    if let Some(owned) = owners.of_hash(upstream::hash(name)) {
+    if let Some(owned) = owners.of_hash(upstream::name_hash(name)) {
         hub.peers().tell_some(owned.keepers(), message);
     }
 }
--- a/src/proxy/digests.rs
+++ b/src/proxy/digests.rs
@@ -30,7 +30,7 @@
 
 /// The bucket to which an upstream belongs.
 pub fn bucket(name: &UpstreamName) -> u8 {
-    (upstream::hash(name) % BUCKETS as u64) as u8
+    (upstream::name_hash(name) % BUCKETS as u64) as u8
 }
 
 impl Digests {
@@ -38,7 +38,7 @@
     pub fn of<'a>(all: impl Iterator<Item = &'a Listed>) -> Digests {
         let mut digests = [0u32; BUCKETS];
         for listed in all.filter(|l| !l.leaving) {
-            let name = upstream::hash(&listed.name).to_le_bytes();
+            let name = upstream::name_hash(&listed.name).to_le_bytes();
             let mut buf = [0; 9];
             buf[..8].copy_from_slice(&name);
             buf[8] = listed.cold_for.is_some_and(|left| !left.is_zero()).into();
--- a/src/proxy/figures.rs
+++ b/src/proxy/figures.rs
@@ -10,7 +10,7 @@
 
 use crate::metrics::Metrics;
 use crate::names::WorkspaceName;
-use crate::placement::share::Tokens;
+use crate::placement::share::TokenCounts;
 use crate::proxy::dialect::Notice;
 use crate::proxy::hub::Hub;
 use crate::proxy::placed::FirstToken;
@@ -115,19 +115,23 @@
         gauge("frostdyke_upstreams_leaving", |hub| {
             hub.read(|v| v.fleet().listed().filter(|l| l.leaving).count() as u64)
         });
-        gauge("frostdyke_upstreams_backing_off", |hub| hub.read(|v| v.fleet().backoffs() as u64));
+        gauge("frostdyke_upstreams_backing_off", |hub| {
+            hub.read(|v| v.fleet().backoff_count() as u64)
+        });
         gauge("frostdyke_upstreams_draining", |hub| {
             hub.read(|v| v.draining().all().count() as u64)
         });
         gauge("frostdyke_suspects", |hub| hub.suspects().read(|q| q.len() as u64));
         self.show_shares(hub);
-        gauge("frostdyke_upstreams_in_doubt", |hub| hub.read(|v| v.fleet().in_doubt() as u64));
+        gauge("frostdyke_upstreams_in_doubt", |hub| {
+            hub.read(|v| v.fleet().unverified_count() as u64)
+        });
     }
 
     /// Shows what the shares of workspaces are judged by: what they asked for and what was begun, over the whole
     /// fleet, as far as this box has counted or been told. There are as many lines as workspaces.
     fn show_shares(&self, hub: &Arc<Hub>) {
-        let gauge = |name: &'static str, read: fn(Tokens) -> i64| {
+        let gauge = |name: &'static str, read: fn(TokenCounts) -> i64| {
             let hub: Weak<Hub> = Arc::downgrade(hub);
             // The meter keeps what it is told to ask.
             let _ = (self.metrics.meter().i64_observable_gauge(name))
@@ -142,8 +146,8 @@
                 })
                 .build();
         };
-        gauge("frostdyke_share_asked_tokens", |tokens| tokens.asked);
-        gauge("frostdyke_share_begun_tokens", |tokens| tokens.begun);
+        gauge("frostdyke_share_asked_tokens", |tokens| tokens.requested);
+        gauge("frostdyke_share_begun_tokens", |tokens| tokens.admitted);
     }
 
     /// Counts what a workspace's request that gave its first token is charged.
--- a/src/proxy/gossip.rs
+++ b/src/proxy/gossip.rs
@@ -105,7 +105,7 @@
     let record = &beat.record;
     if has_restarted {
         info!(hub.log(), "box restarted"; "name" => record.name.as_str());
-        hub.fleet(|fleet| fleet.forget_sender(record.addr.ip()));
+        hub.fleet(|fleet| fleet.remove_sender(record.addr.ip()));
     }
     if is_new {
         info!(hub.log(), "box heard"; "name" => record.name.as_str(),
@@ -151,7 +151,7 @@
         let now = peers.now();
         for ip in peers.members(|members| members.take_silent(now)) {
             info!(hub.log(), "box silent"; "ip" => %ip);
-            hub.fleet(|fleet| fleet.forget_sender(ip));
+            hub.fleet(|fleet| fleet.remove_sender(ip));
         }
         peers.beat(state(&hub));
         // Whichever comes first.
--- a/src/proxy/hub.rs
+++ b/src/proxy/hub.rs
@@ -18,13 +18,13 @@
 use crate::names::UpstreamName;
 use crate::placement::admit;
 use crate::placement::admit::Denial;
-use crate::placement::admit::Wish;
+use crate::placement::admit::PlacementQuery;
 use crate::placement::choice::Choice;
-use crate::placement::choice::NoChoice;
-use crate::placement::choice::Wanted;
-use crate::placement::fleet::Fleet;
-use crate::placement::fleet::learned::Learned;
+use crate::placement::choice::ChoiceError;
+use crate::placement::choice::SelectionCriteria;
 use crate::placement::plain;
+use crate::placement::registry::UpstreamRegistry;
+use crate::placement::registry::learned::LearnedReport;
 use crate::placement::share::Shares;
 use crate::proxy::asking::Asking;
 use crate::proxy::budget::Budget;
@@ -92,7 +92,7 @@
         figures: Figures,
         log: Logger,
     ) -> Arc<Hub> {
-        let fleet = Fleet::new(cfg.identity.zone.clone(), cfg.tuning);
+        let fleet = UpstreamRegistry::new(cfg.identity.zone.clone(), cfg.tuning);
         let inner = Inner {
             view: View::new(fleet),
             budget: Budget::new(cfg.repeats),
@@ -274,15 +274,15 @@
     }
 
     /// Takes over what is said of the engines; the box is warm from then on.
-    pub fn warm_up(&self, learned: &Learned) {
-        self.fleet(|fleet| fleet.take_over(learned));
+    pub fn warm_up(&self, learned: &LearnedReport) {
+        self.fleet(|fleet| fleet.apply_learned(learned));
         self.change(|view, now| {
             learned.draining.iter().for_each(|draining| _ = view.drain(draining, now));
         });
         self.warm.store(true, Ordering::Relaxed);
-        let parts: usize = learned.kept.iter().map(|k| k.parts.len()).sum();
+        let parts: usize = learned.cached.iter().map(|k| k.parts.len()).sum();
         let samples: u64 = learned.speeds.iter().map(|(_, speed)| speed.samples()).sum();
-        info!(self.log, "warm"; "engines" => learned.kept.len(), "parts" => parts,
+        info!(self.log, "warm"; "engines" => learned.cached.len(), "parts" => parts,
             "first_tokens" => samples, "draining" => learned.draining.len());
     }
 
@@ -310,17 +310,17 @@
     }
 
     /// Chooses an upstream of a plain service.
-    pub fn choose(&self, wanted: Wanted<'_>) -> Result<Choice, NoChoice> {
+    pub fn choose(&self, criteria: SelectionCriteria<'_>) -> Result<Choice, ChoiceError> {
         let now = self.now();
-        self.read(|view| view.fleet().choose(wanted, now))
+        self.read(|view| view.fleet().choose(criteria, now))
     }
 
     /// Places a request by what this box believes.
-    pub fn admit(&self, wish: Wish<'_>) -> Result<Choice, Denial> {
+    pub fn admit(&self, query: PlacementQuery<'_>) -> Result<Choice, Denial> {
         let now = self.now();
         let mut inner = self.inner.lock().expect("no panic under lock");
         let Inner { view, shares, .. } = &mut *inner;
-        admit::admit(view.fleet_mut(), shares, wish, now)
+        admit::admit(view.fleet_mut(), shares, query, now)
     }
 
     /// Forgets a request that isn't sent, and takes back what was counted for it.
@@ -328,16 +328,16 @@
         let now = self.now();
         let mut inner = self.inner.lock().expect("no panic under lock");
         inner.view.fleet_mut().withdraw(request, now);
-        inner.shares.take_back(request, now);
-        inner.plain_shares.take_back(request, now);
+        inner.shares.revert(request, now);
+        inner.plain_shares.revert(request, now);
     }
 
     /// Places a request for a plain service by what this box counts.
-    pub fn admit_plain(&self, wish: plain::Wish<'_>) -> Result<Choice, Denial> {
+    pub fn admit_plain(&self, query: plain::PlainQuery<'_>) -> Result<Choice, Denial> {
         let now = self.now();
         let mut inner = self.inner.lock().expect("no panic under lock");
         let Inner { view, plain_shares, .. } = &mut *inner;
-        plain::admit(view.fleet_mut(), plain_shares, wish, now)
+        plain::admit(view.fleet_mut(), plain_shares, query, now)
     }
 
     /// Changes what is known of the shares of workspaces at plain services.
@@ -384,10 +384,10 @@
     /// How many connections to an upstream this box may have, where it takes so many from all;
     /// `is_placed` for a request that the upstream's owner has placed.
     pub fn allowed(&self, upstream: &UpstreamName, connections: u32, is_placed: bool) -> Allowed {
-        let placed_max = self.read(|view| view.fleet().placed_max(upstream));
+        let admission_limit = self.read(|view| view.fleet().admission_limit(upstream));
         let draw = self.peers.own_draw(upstream);
         let boxes = self.peers.known();
-        Allowed::new(Sharing { connections, placed_max, boxes, draw }, is_placed)
+        Allowed::new(Sharing { connections, admission_limit, boxes, draw }, is_placed)
     }
 
     /// Whether this box backs off from an upstream, or waits for answers of its slow start.
@@ -407,7 +407,7 @@
     }
 
     /// Changes what is known of the upstreams.
-    pub fn fleet<T>(&self, f: impl FnOnce(&mut Fleet) -> T) -> T {
+    pub fn fleet<T>(&self, f: impl FnOnce(&mut UpstreamRegistry) -> T) -> T {
         f(self.inner.lock().expect("no panic under lock").view.fleet_mut())
     }
 
--- a/src/proxy/intake.rs
+++ b/src/proxy/intake.rs
@@ -11,7 +11,7 @@
 use crate::placement::engine::Placement;
 use crate::placement::plain;
 use crate::placement::share::Shares;
-use crate::placement::share::Tokens;
+use crate::placement::share::TokenCounts;
 use crate::placement::upstream;
 use crate::proxy::asking;
 use crate::proxy::dialect::News;
@@ -78,17 +78,35 @@
 pub fn message(hub: &Hub, message: Message, sender: IpAddr) {
     let now = hub.now();
     match message {
-        Message::Placed { upstream, request, prompt, unread, copied, workspace, sender: by } => {
+        Message::Placed {
+            upstream,
+            request,
+            prompt,
+            prefill_tokens,
+            copied_tokens,
+            workspace,
+            sender: by,
+        } => {
             let prompt = Prompt::from(&prompt);
             let sender = Some(by.unwrap_or(sender));
-            let placement =
-                Placement { request, prompt: &prompt, unread, copied, sender, decided: None };
+            let placement = Placement {
+                request,
+                prompt: &prompt,
+                prefill_tokens,
+                copied_tokens,
+                sender,
+                decided_by: None,
+            };
             hub.fleet(|fleet| fleet.place(&upstream, placement, now));
             let is_engine = hub.read(|view| view.fleet().is_engine(&upstream));
             if !is_engine && let Some(workspace) = workspace {
                 hub.plain_shares(|shares| {
-                    let counted = shares.add(&workspace, Tokens::begun(plain::CHARGE), now);
-                    shares.keep(request, counted);
+                    let counted = shares.add_remote(
+                        &workspace,
+                        TokenCounts::admitted(plain::REQUEST_CHARGE),
+                        now,
+                    );
+                    shares.remember(request, counted);
                 });
             } else if let Some(workspace) = workspace {
                 let is_owner = owns(hub, &upstream);
@@ -98,18 +116,20 @@
             }
         }
         Message::Refused { workspace, tokens } => {
-            hub.shares(|shares| _ = shares.add(&workspace, Tokens::refused(tokens), now));
+            hub.shares(|shares| {
+                _ = shares.add_remote(&workspace, TokenCounts::refused(tokens), now)
+            });
         }
         Message::First { upstream, request, took_ms } => {
             let took = Duration::from_millis(took_ms.into());
-            hub.fleet(|fleet| fleet.first(&upstream, request, Some(took), now));
+            hub.fleet(|fleet| fleet.record_first_token(&upstream, request, Some(took), now));
         }
         Message::Ended { upstream, request } => {
-            hub.fleet(|fleet| fleet.end(&upstream, request));
+            hub.fleet(|fleet| fleet.remove_request(&upstream, request));
         }
         Message::Withdrawn { request } => hub.withdraw(request),
         Message::Unreachable { upstream } => {
-            if hub.fleet(|fleet| fleet.doubt(&upstream, false, now)) {
+            if hub.fleet(|fleet| fleet.mark_unverified(&upstream, false, now)) {
                 info!(hub.log(), "upstream said to be unreachable"; "name" => upstream.as_str());
                 hub.look();
             }
@@ -123,7 +143,7 @@
         Message::Answer(answer) => asking::answered(hub, answer, sender),
         Message::Used(all) => hub.shares(|shares| {
             for used in &all {
-                shares.add(&used.workspace, used.tokens, now);
+                shares.add_remote(&used.workspace, used.tokens, now);
             }
         }),
         Message::Observed { service, target, all } => {
@@ -138,7 +158,7 @@
 
 /// Whether this box owns the model of an engine; nothing where nobody owns anything.
 fn owns(hub: &Hub, upstream: &UpstreamName) -> Option<bool> {
-    let owned = hub.peers().owners().of_hash(upstream::hash(upstream));
+    let owned = hub.peers().owners().of_hash(upstream::name_hash(upstream));
     owned.map(|owned| owned.owner == hub.peers().me())
 }
 
@@ -156,7 +176,7 @@
         Some(true) => shares.begin(workspace, tokens, now),
         // The owner tells of it.
         Some(false) => return,
-        None => shares.add(workspace, Tokens::begun(tokens), now),
+        None => shares.add_remote(workspace, TokenCounts::admitted(tokens), now),
     };
-    shares.keep(request, counted);
+    shares.remember(request, counted);
 }
--- a/src/proxy/link.rs
+++ b/src/proxy/link.rs
@@ -131,7 +131,7 @@
     /// Connections that it takes from all boxes.
     pub connections: u32,
     /// Requests that its owner lets be there at once.
-    pub placed_max: u32,
+    pub admission_limit: u32,
     /// The boxes that there are, or were lately.
     pub boxes: usize,
     /// A number of this box's own for the upstream, by which it has one of too few connections or none.
@@ -146,7 +146,7 @@
     pub fn new(sharing: Sharing, is_placed: bool) -> Allowed {
         let connections = f64::from(sharing.connections);
         let placed = (connections * PLACED_SHARE / 2.0) as u32;
-        let placed = placed.min(sharing.placed_max);
+        let placed = placed.min(sharing.admission_limit);
         let shared = (connections * CONNECTIONS_SHARE - 2.0 * f64::from(placed)).max(0.0);
         let boxes = sharing.boxes.max(BOXES_MIN) as f64;
         let kept = if boxes <= shared {
--- a/src/proxy/look.rs
+++ b/src/proxy/look.rs
@@ -25,7 +25,7 @@
 /// connect to it.
 pub fn unreachable(hub: &Hub, upstream: &UpstreamName) {
     let now = hub.now();
-    if hub.fleet(|fleet| fleet.doubt(upstream, true, now)) {
+    if hub.fleet(|fleet| fleet.mark_unverified(upstream, true, now)) {
         info!(hub.log(), "upstream in doubt"; "name" => upstream.as_str());
         hub.look();
     }
@@ -39,7 +39,7 @@
             () = pace::wait(LOOK_INTERVAL) => {}
         }
         let now = hub.now();
-        for listed in hub.fleet(|fleet| fleet.take_doubted(now)) {
+        for listed in hub.fleet(|fleet| fleet.take_due_probes(now)) {
             tokio::spawn(look_for(hub.clone(), listed));
         }
     }
@@ -52,7 +52,7 @@
         if e.is_refused() {
             suspects::refuses(&hub, &name);
         }
-        if hub.fleet(|fleet| fleet.not_reached(&name, now)) {
+        if hub.fleet(|fleet| fleet.record_connect_failure(&name, now)) {
             info!(hub.log(), "upstream unreachable"; "name" => name.as_str(),
                 "error" => util::with_causes(&e));
             let message = Message::Unreachable { upstream: name.clone() };
@@ -64,11 +64,11 @@
         return;
     }
     suspects::answers(&hub, &name);
-    let was_away = hub.read(|view| view.fleet().was_away(&name));
-    if was_away {
+    let last_connect_failed = hub.read(|view| view.fleet().last_connect_failed(&name));
+    if last_connect_failed {
         note_start(&hub, &name, addr).await;
     }
-    if hub.fleet(|fleet| fleet.reached(&name)) {
+    if hub.fleet(|fleet| fleet.mark_reachable(&name)) {
         info!(hub.log(), "upstream reachable"; "name" => name.as_str());
     }
 }
@@ -76,7 +76,7 @@
 /// An engine that was away may have started anew. Those who keep its model ask it how long it is cold; if it
 /// doesn't say, it is taken for one that has just started.
 async fn note_start(hub: &Hub, name: &UpstreamName, addr: SocketAddr) {
-    if !hub.read(|view| view.fleet().may_be_cold(name)) || !asking::keeps(hub, name) {
+    if !hub.read(|view| view.fleet().has_cold_limits(name)) || !asking::keeps(hub, name) {
         return;
     }
     let Some(path) = hub.read(|view| view.probe_path(name)) else { return };
@@ -88,7 +88,7 @@
         }
     };
     let now = hub.now();
-    hub.fleet(|fleet| fleet.chill(name, cold_for, now));
+    hub.fleet(|fleet| fleet.mark_cold(name, cold_for, now));
     info!(hub.log(), "upstream back"; "name" => name.as_str(),
         "cold_ms" => cold_for.map(|d| d.as_millis() as u64));
 }
--- a/src/proxy/message.rs
+++ b/src/proxy/message.rs
@@ -20,8 +20,8 @@
 use crate::placement::admit::Denial;
 use crate::placement::admit::Purpose;
 use crate::placement::choice::Choice;
-use crate::placement::choice::Source;
-use crate::placement::share::Tokens;
+use crate::placement::choice::CopySource;
+use crate::placement::share::TokenCounts;
 use crate::proxy::dialect::Listed;
 use crate::proxy::dialect::Part;
 use crate::proxy::dialect::Prompt;
@@ -41,9 +41,9 @@
         /// What is to be read.
         prompt: ToldPrompt,
         /// Tokens of it that the sender believes must be read.
-        unread: u32,
+        prefill_tokens: u32,
         /// Tokens of it that are copied from another engine.
-        copied: u32,
+        copied_tokens: u32,
         /// Whom it is charged to.
         workspace: Option<WorkspaceName>,
         /// The box that sends it, if that isn't who tells.
@@ -153,7 +153,7 @@
     /// The availability zone of the box that asks.
     pub zone: ZoneName,
     /// Engines that are out of the question.
-    pub except: Vec<UpstreamName>,
+    pub excluded: Vec<UpstreamName>,
     /// The versions that it may go to.
     pub side: Side,
     /// The route's aim, in milliseconds.
@@ -161,11 +161,11 @@
     /// Time that the request has waited already, in milliseconds.
     pub waited_ms: u32,
     /// An engine of another group that keeps some of the prompt.
-    pub source: Option<Source>,
+    pub source: Option<CopySource>,
     /// What is wanted.
     pub purpose: Purpose,
     /// Whether no other group will be asked.
-    pub is_last: bool,
+    pub is_last_group: bool,
 }
 
 /// What the owner of a group of engines says.
@@ -183,7 +183,7 @@
     /// The workspace.
     pub workspace: WorkspaceName,
     /// What it asked for and got.
-    pub tokens: Tokens,
+    pub tokens: TokenCounts,
 }
 
 /// A prompt, as boxes tell it.
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -270,8 +270,10 @@
 
 /// What others have just sent to the engines of groups that are new to this box isn't known here.
 fn hold_cold(hub: &Hub, kept: &BTreeSet<Group>, before: &BTreeSet<Group>) {
-    let until = hub.now() + cold::LOOKS_BACK;
-    hub.fleet(|fleet| kept.difference(before).for_each(|group| fleet.hold_cold(*group, until)));
+    let until = hub.now() + cold::RATE_WINDOW;
+    hub.fleet(|fleet| {
+        kept.difference(before).for_each(|group| fleet.hold_cold_engines(*group, until))
+    });
 }
 
 /// Waits until all requests have ended and no new ones are to be expected, or time is up.
--- a/src/proxy/notices.rs
+++ b/src/proxy/notices.rs
@@ -63,7 +63,7 @@
         if view.is_barred(upstream) {
             return Some(Withheld::Closed);
         }
-        let may_send = view.fleet().may_send(upstream, placed.trial(), now);
+        let may_send = view.fleet().may_send(upstream, placed.slow_start_slot(), now);
         (!may_send).then_some(Withheld::Backoff)
     })
 }
@@ -85,7 +85,7 @@
 fn back_off(hub: &Hub, said: Said<'_>, length: Duration) {
     let now = hub.now();
     let (is_new, was_on) = hub.fleet(|fleet| {
-        let was_on = fleet.was_backing_off(said.upstream, said.sent);
+        let was_on = fleet.was_sent_during_backoff(said.upstream, said.sent);
         (fleet.back_off(said.upstream, length, now), was_on)
     });
     if was_on {
@@ -171,6 +171,6 @@
     });
     match service {
         Some(service) => plain::owned(hub, &service),
-        None => hub.peers().owners().of_hash(upstream::hash(name)),
+        None => hub.peers().owners().of_hash(upstream::name_hash(name)),
     }
 }
--- a/src/proxy/placed.rs
+++ b/src/proxy/placed.rs
@@ -14,7 +14,7 @@
 use crate::names::UpstreamName;
 use crate::names::VersionName;
 use crate::names::WorkspaceName;
-use crate::placement::backoff::Trial;
+use crate::placement::backoff::SlowStartSlot;
 use crate::placement::choice::Choice;
 use crate::placement::upstream::Health;
 use crate::proxy::asking;
@@ -74,7 +74,7 @@
     begun: AtomicBool,
     health: Option<Health>,
     /// Set if it is one of the upstream's slow start.
-    trial: Option<Trial>,
+    slow_start_slot: Option<SlowStartSlot>,
     /// Whether the upstream runs it, or may.
     may_run: bool,
 }
@@ -84,11 +84,11 @@
     pub fn new(run: &Run, choice: &Choice, request: u64) -> Placed {
         let Run { hub, service, workspace, .. } = run;
         let now = hub.now();
-        let (trial, born, version) = hub.fleet(|fleet| {
-            fleet.sent(&choice.upstream);
+        let (slow_start_slot, born, version) = hub.fleet(|fleet| {
+            fleet.request_sent(&choice.upstream);
             let listed = fleet.get(&choice.upstream).map(|l| (l.born, l.version.clone()));
             let (born, version) = listed.unzip();
-            (fleet.enter_trial(&choice.upstream, now), born, version)
+            (fleet.acquire_slow_start_slot(&choice.upstream, now), born, version)
         });
         let mark = version
             .as_ref()
@@ -109,7 +109,7 @@
             charged: workspace.clone().zip(charge),
             begun: AtomicBool::new(false),
             health: None,
-            trial,
+            slow_start_slot,
             may_run: true,
         }
     }
@@ -120,8 +120,8 @@
     }
 
     /// Whether it is one of the upstream's slow start.
-    pub fn trial(&self) -> Option<Trial> {
-        self.trial
+    pub fn slow_start_slot(&self) -> Option<SlowStartSlot> {
+        self.slow_start_slot
     }
 
     /// When it was sent.
@@ -166,7 +166,8 @@
         let took = now.saturating_sub(self.sent);
         *self.first_at.lock().expect("no panic under lock") = Some(now);
         self.found(Some(Mark::first(took)));
-        self.hub.fleet(|fleet| fleet.first(&self.upstream, self.request, Some(took), now));
+        self.hub
+            .fleet(|fleet| fleet.record_first_token(&self.upstream, self.request, Some(took), now));
         let (upstream, request) = (self.upstream.clone(), self.request);
         let took_ms = u32::try_from(took.as_millis()).unwrap_or(u32::MAX);
         let message = Message::First { upstream, request, took_ms };
@@ -194,8 +195,9 @@
     pub fn note(&self, health: Health) {
         let now = self.hub.now();
         let is_over = self.hub.fleet(|fleet| {
-            fleet.note(&self.upstream, health, now);
-            matches!(health, Health::Good(_)) && fleet.trial_accepted(&self.upstream, self.trial)
+            fleet.record_health(&self.upstream, health, now);
+            matches!(health, Health::Good(_))
+                && fleet.slow_start_accepted(&self.upstream, self.slow_start_slot)
         });
         if is_over {
             info!(self.hub.log(), "slow start over"; "name" => self.upstream.as_str());
@@ -218,8 +220,8 @@
     fn drop(&mut self) {
         let now = self.hub.now();
         self.hub.fleet(|fleet| {
-            fleet.ended(&self.upstream, self.health, now);
-            fleet.leave_trial(&self.upstream, self.trial);
+            fleet.request_ended(&self.upstream, self.health, now);
+            fleet.release_slow_start_slot(&self.upstream, self.slow_start_slot);
         });
         if !self.may_run {
             self.hub.withdraw(self.request);
@@ -229,7 +231,7 @@
         if self.health.is_none() && !self.begun.load(Ordering::Relaxed) {
             self.found(Mark::awaited(now.saturating_sub(self.sent)));
         }
-        self.hub.fleet(|fleet| fleet.end(&self.upstream, self.request));
+        self.hub.fleet(|fleet| fleet.remove_request(&self.upstream, self.request));
         let (upstream, request) = (self.upstream.clone(), self.request);
         self.tell(&Message::Ended { upstream, request });
     }
--- a/src/proxy/placing.rs
+++ b/src/proxy/placing.rs
@@ -9,13 +9,13 @@
 use crate::names::UpstreamName;
 use crate::names::WorkspaceName;
 use crate::placement::admit::Denial;
+use crate::placement::admit::PlacementQuery;
 use crate::placement::admit::Purpose;
-use crate::placement::admit::Wish;
 use crate::placement::choice::Choice;
-use crate::placement::choice::NoChoice;
-use crate::placement::choice::Wanted;
+use crate::placement::choice::ChoiceError;
+use crate::placement::choice::SelectionCriteria;
 use crate::placement::cold::Role;
-use crate::placement::plain::Wish as PlainWish;
+use crate::placement::plain::PlainQuery;
 use crate::proxy::answer::Refusal;
 use crate::proxy::asking;
 use crate::proxy::asking::Decided;
@@ -74,43 +74,43 @@
     }
 
     async fn place_prompt(&self, prompt: &Prompt, request: u64, side: Side) -> Decided {
-        let except = self.except();
-        let wish = Wish {
+        let excluded = self.excluded();
+        let query = PlacementQuery {
             request,
             service: &self.service,
             prompt,
             workspace: self.workspace.as_ref(),
-            except: &except,
-            aim: self.route.aim,
+            excluded: &excluded,
+            target_latency: self.route.aim,
             waited: self.hub.now().saturating_sub(self.arrived),
             group: None,
             side,
             zone: None,
             sender: None,
             source: None,
-            purpose: Purpose::PlaceIfKept,
-            is_last: false,
-            role: Role::Stranger,
+            purpose: Purpose::PlaceIfCached,
+            is_last_group: false,
+            role: Role::Unassigned,
         };
-        asking::place(&self.hub, wish).await
+        asking::place(&self.hub, query).await
     }
 
     async fn place_plain(&self, request: u64, side: Side) -> Decided {
         let now = self.hub.now();
-        let resting = self.hub.read(|view| view.fleet().resting(&self.service, now));
-        let except: Vec<UpstreamName> = self.except().into_iter().chain(resting).collect();
-        let wish = PlainWish {
+        let resting = self.hub.read(|view| view.fleet().unavailable(&self.service, now));
+        let excluded: Vec<UpstreamName> = self.excluded().into_iter().chain(resting).collect();
+        let query = PlainQuery {
             request,
             service: &self.service,
             workspace: self.workspace.as_ref(),
-            except: &except,
+            excluded: &excluded,
             side,
-            aim: self.route.aim,
+            target_latency: self.route.aim,
             waited: self.hub.now().saturating_sub(self.arrived),
             zone: self.hub.peers().zone(),
             sender: None,
         };
-        match plain::place(&self.hub, wish).await {
+        match plain::place(&self.hub, query).await {
             Some(decided) if !decided.is_without_upstream() => decided,
             // Nobody who counts answers, or all that are left rest.
             _ => self.choose_plain(request, side),
@@ -119,45 +119,45 @@
 
     /// Chooses any upstream of a plain service; nobody counts that.
     fn choose_plain(&self, request: u64, side: Side) -> Decided {
-        let except = self.except();
-        let any = Wanted::any(&self.service, None, &except, Duration::MAX);
-        let wanted = Wanted { side, ..any };
+        let excluded = self.excluded();
+        let any = SelectionCriteria::any(&self.service, None, &excluded, Duration::MAX);
+        let criteria = SelectionCriteria { side, ..any };
         let denial = |cause| Denial {
             cause,
             share_used: 0.0,
             wait_max: Duration::ZERO,
             source: None,
-            may_go_on: false,
+            may_try_other_groups: false,
         };
-        let decision = self.hub.choose(wanted).map_err(denial);
-        Decided { decision, by: self.hub.peers().me(), role: Role::Stranger, request }
+        let decision = self.hub.choose(criteria).map_err(denial);
+        Decided { decision, by: self.hub.peers().me(), role: Role::Unassigned, request }
     }
 
     /// Upstreams that are out of the question: tried, or this box backs off from them.
-    fn except(&self) -> Vec<UpstreamName> {
+    fn excluded(&self) -> Vec<UpstreamName> {
         let now = self.hub.now();
         let backing_off = self.hub.read(|view| view.fleet().backing_off(&self.service, now));
         self.tried.iter().cloned().chain(backing_off).collect()
     }
 
     /// When to come back, where this box backs off from all upstreams.
-    pub(super) fn resumes_in(&self) -> Option<Duration> {
+    pub(super) fn min_backoff_remaining(&self) -> Option<Duration> {
         let now = self.hub.now();
-        let left = self.hub.read(|view| view.fleet().resumes_in(&self.service, now))?;
+        let left = self.hub.read(|view| view.fleet().min_backoff_remaining(&self.service, now))?;
         Some(left.max(OVERLOAD_RETRY_MIN))
     }
 
     /// The refusal of a request that isn't placed, though it could have waited for so long.
-    fn refusal(&self, cause: NoChoice, wait_max: Duration) -> Refusal {
+    fn refusal(&self, cause: ChoiceError, wait_max: Duration) -> Refusal {
         match cause {
-            NoChoice::NoUpstream => {
-                let retry_after = self.resumes_in().unwrap_or(NO_UPSTREAM_RETRY);
+            ChoiceError::NoUpstream => {
+                let retry_after = self.min_backoff_remaining().unwrap_or(NO_UPSTREAM_RETRY);
                 Refusal::NoUpstream { retry_after }
             }
-            NoChoice::Full | NoChoice::NotKept | NoChoice::OnlyLooked => {
+            ChoiceError::Full | ChoiceError::NotCached | ChoiceError::LookupOnly => {
                 Refusal::Overloaded { retry_after: NO_UPSTREAM_RETRY }
             }
-            NoChoice::Busy { wait } => {
+            ChoiceError::Busy { wait } => {
                 let excess = wait.saturating_sub(wait_max);
                 Refusal::Overloaded { retry_after: excess.max(OVERLOAD_RETRY_MIN) }
             }
@@ -166,7 +166,7 @@
 
     fn log_denial(&self, denial: &Denial, decided: &Decided) {
         let wait = match denial.cause {
-            NoChoice::Busy { wait } => Some(wait.as_millis() as u64),
+            ChoiceError::Busy { wait } => Some(wait.as_millis() as u64),
             _ => None,
         };
         info!(self.hub.log(), "not placed"; "id" => &self.head.id, "route" => &self.route.name,
@@ -183,8 +183,8 @@
             "workspace" => self.workspace.as_ref().map(WorkspaceName::as_str),
             "upstream" => choice.upstream.as_str(), "prompt" => self.head.prompt.as_ref().map_or(0, |p| p.tokens),
             "own" => self.head.prompt.as_ref().and_then(|p| p.parts.last()).map_or(0, |p| p.tokens),
-            "unread" => choice.unread,
-            "copied" => choice.copied, "running" => choice.running,
+            "unread" => choice.prefill_tokens,
+            "copied" => choice.copied_tokens, "running" => choice.running,
             "running_tokens" => choice.running_tokens, "wait_ms" => choice.wait.as_millis() as u64,
             "expected_ms" => choice.first_token.as_millis() as u64,
             "by" => %decided.by, "as" => decided.role.code(),
--- a/src/proxy/plain.rs
+++ b/src/proxy/plain.rs
@@ -18,7 +18,7 @@
 use crate::names::ZoneName;
 use crate::placement::choice::Choice;
 use crate::placement::cold::Role;
-use crate::placement::plain::Wish;
+use crate::placement::plain::PlainQuery;
 use crate::proxy::asking;
 use crate::proxy::asking::Decided;
 use crate::proxy::asking::Decision;
@@ -40,7 +40,7 @@
     /// The availability zone of the box that asks.
     pub zone: ZoneName,
     /// Upstreams that are out of the question.
-    pub except: Vec<UpstreamName>,
+    pub excluded: Vec<UpstreamName>,
     /// The versions that it may go to.
     pub side: Side,
     /// The route's aim, in milliseconds.
@@ -55,25 +55,30 @@
 }
 
 /// Places a request, or says why it isn't placed; nothing if nobody who counts answers.
-pub async fn place(hub: &Arc<Hub>, wish: Wish<'_>) -> Option<Decided> {
-    let (me, request) = (hub.peers().me(), wish.request);
+pub async fn place(hub: &Arc<Hub>, query: PlainQuery<'_>) -> Option<Decided> {
+    let (me, request) = (hub.peers().me(), query.request);
     if hub.peers().owners().is_none() {
         let role = Role::Peer { boxes: hub.peers().known(), draw: hub.peers().own_draw("") };
-        return Some(Decided { decision: place_for_all(hub, wish), by: me, role, request });
+        return Some(Decided { decision: place_for_all(hub, query), by: me, role, request });
     }
-    let owned = owned(hub, wish.service)?;
+    let owned = owned(hub, query.service)?;
     for ip in owned.keepers() {
         let role = owned.role(ip);
         if ip == me {
-            return Some(Decided { decision: place_here(hub, wish, owned), by: me, role, request });
+            return Some(Decided {
+                decision: place_here(hub, query, owned),
+                by: me,
+                role,
+                request,
+            });
         }
         if hub.asking().is_suspect(ip, hub.now()) {
             continue;
         }
-        let request = asking::asked_as(wish.request, ip);
-        let question = Message::AskPlain(question(&Wish { request, ..wish }));
+        let request = asking::asked_as(query.request, ip);
+        let question = Message::AskPlain(question(&PlainQuery { request, ..query }));
         match asking::ask(hub, ip, request, &question).await {
-            Some(Ok(choice)) if asking::is_behind(hub, ip, &choice, wish.side) => {
+            Some(Ok(choice)) if asking::is_behind(hub, ip, &choice, query.side) => {
                 notices::resend(hub, &choice.upstream, ip);
             }
             // The backoff began while the owner was asked.
@@ -83,7 +88,7 @@
             }
             Some(decision) => return Some(Decided { decision, by: ip, role, request }),
             None => {
-                info!(hub.log(), "no answer of an owner"; "ip" => %ip, "service" => wish.service)
+                info!(hub.log(), "no answer of an owner"; "ip" => %ip, "service" => query.service)
             }
         }
         asking::withdraw(hub, request, owned.keepers());
@@ -94,20 +99,20 @@
 
 /// Places a request that another box asks for.
 pub fn answer(hub: &Hub, ask: &AskPlain, from: IpAddr) {
-    let wish = Wish {
+    let query = PlainQuery {
         request: ask.request,
         service: &ask.service,
         workspace: ask.workspace.as_ref(),
-        except: &ask.except,
+        excluded: &ask.excluded,
         side: ask.side,
-        aim: Duration::from_millis(ask.aim_ms.into()),
+        target_latency: Duration::from_millis(ask.aim_ms.into()),
         waited: Duration::from_millis(ask.waited_ms.into()),
         zone: &ask.zone,
         sender: Some(from),
     };
     let result = match owned(hub, &ask.service) {
-        Some(owned) => place_here(hub, wish, owned),
-        None => hub.admit_plain(wish),
+        Some(owned) => place_here(hub, query, owned),
+        None => hub.admit_plain(query),
     };
     hub.peers().tell_now(from, &Message::Answer(Answer { request: ask.request, result }));
 }
@@ -121,44 +126,44 @@
 }
 
 /// Places a request by what this box counts, which tells the other one of owner and standby.
-fn place_here(hub: &Hub, wish: Wish<'_>, owned: Owned) -> Decision {
-    let placed = hub.admit_plain(wish);
+fn place_here(hub: &Hub, query: PlainQuery<'_>, owned: Owned) -> Decision {
+    let placed = hub.admit_plain(query);
     if let Ok(choice) = &placed {
-        let message = told(&Wish { workspace: None, ..wish }, choice);
+        let message = told(&PlainQuery { workspace: None, ..query }, choice);
         hub.peers().tell_some(owned.keepers(), &message);
     }
     placed
 }
 
-fn place_for_all(hub: &Hub, wish: Wish<'_>) -> Decision {
-    let placed = hub.admit_plain(wish);
+fn place_for_all(hub: &Hub, query: PlainQuery<'_>) -> Decision {
+    let placed = hub.admit_plain(query);
     if let Ok(choice) = &placed {
-        hub.peers().tell(&told(&wish, choice));
+        hub.peers().tell(&told(&query, choice));
     }
     placed
 }
 
-fn question(wish: &Wish<'_>) -> AskPlain {
+fn question(query: &PlainQuery<'_>) -> AskPlain {
     AskPlain {
-        request: wish.request,
-        service: ServiceName::from(wish.service),
-        workspace: wish.workspace.cloned(),
-        zone: wish.zone.clone(),
-        except: wish.except.iter().take(asking::EXCEPT_MAX).cloned().collect(),
-        side: wish.side,
-        aim_ms: asking::millis(wish.aim),
-        waited_ms: asking::millis(wish.waited),
+        request: query.request,
+        service: ServiceName::from(query.service),
+        workspace: query.workspace.cloned(),
+        zone: query.zone.clone(),
+        excluded: query.excluded.iter().take(asking::EXCEPT_MAX).cloned().collect(),
+        side: query.side,
+        aim_ms: asking::millis(query.target_latency),
+        waited_ms: asking::millis(query.waited),
     }
 }
 
-fn told(wish: &Wish<'_>, choice: &Choice) -> Message {
+fn told(query: &PlainQuery<'_>, choice: &Choice) -> Message {
     Message::Placed {
         upstream: choice.upstream.clone(),
-        request: wish.request,
+        request: query.request,
         prompt: (&Prompt::default()).into(),
-        unread: 0,
-        copied: 0,
-        workspace: wish.workspace.cloned(),
-        sender: wish.sender,
+        prefill_tokens: 0,
+        copied_tokens: 0,
+        workspace: query.workspace.cloned(),
+        sender: query.sender,
     }
 }
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -236,13 +236,14 @@
                         "upstream" => choice.upstream.as_str(), "error" => util::with_causes(&e));
                     unsent += 1;
                     if UNSENT_MAX <= unsent {
-                        let retry_after = self.resumes_in().unwrap_or(NO_UPSTREAM_RETRY);
+                        let retry_after = self.min_backoff_remaining().unwrap_or(NO_UPSTREAM_RETRY);
                         return earlier.give_up(Refusal::NoUpstream { retry_after });
                     }
                 }
                 Sent::NotRun => {
                     if !self.may_repeat() {
-                        let retry_after = self.resumes_in().unwrap_or(OVERLOAD_RETRY_MIN);
+                        let retry_after =
+                            self.min_backoff_remaining().unwrap_or(OVERLOAD_RETRY_MIN);
                         return earlier.give_up(Refusal::Overloaded { retry_after });
                     }
                 }
--- a/src/proxy/rollouts.rs
+++ b/src/proxy/rollouts.rs
@@ -207,8 +207,9 @@
     }
     let now = hub.now();
     hub.read(|view| {
-        let running =
-            |service: &str, version: &str| view.fleet().outstanding_beside(service, version);
+        let running = |service: &str, version: &str| {
+            view.fleet().outstanding_on_other_versions(service, version)
+        };
         state.with(|inner| inner.rollouts.told(now, running))
     })
 }
@@ -222,7 +223,7 @@
         state.is_any.store(!inner.rollouts.is_empty(), Ordering::Relaxed);
         (has_changed, inner.rollouts.targets(now))
     });
-    hub.fleet(|fleet| fleet.roll_out(targets));
+    hub.fleet(|fleet| fleet.set_rollout_targets(targets));
     if !has_changed {
         return;
     }
@@ -305,7 +306,7 @@
     if !is_bad && !is_judge(hub, service) {
         return;
     }
-    let slots = hub.read(|view| view.fleet().slots_by(service, &target));
+    let slots = hub.read(|view| view.fleet().slots_by_version(service, &target));
     let (situation, now) = (Situation { answers, is_bad, slots }, hub.now());
     change(hub, |rollouts| match rollouts.judge(service, situation, now) {
         Some(stage) => {
--- a/src/proxy/settings.rs
+++ b/src/proxy/settings.rs
@@ -106,11 +106,11 @@
     let time = |ms: f64| Duration::from_secs_f64(ms.max(0.0) / 1e3);
     Tuning {
         tokens_per_ms: number("tokens-per-ms", usual.tokens_per_ms),
-        pairs: time(number("pairs-ms", millis(usual.pairs))),
-        step: time(number("step-ms", millis(usual.step))),
-        first_step: time(number("first-step-ms", millis(usual.first_step))),
-        reading_share: number("reading-share", usual.reading_share),
-        read_weight: number("read-weight", usual.read_weight),
+        per_million_pairs: time(number("pairs-ms", millis(usual.per_million_pairs))),
+        per_prompt: time(number("step-ms", millis(usual.per_prompt))),
+        first_token_overhead: time(number("first-step-ms", millis(usual.first_token_overhead))),
+        prefill_share: number("reading-share", usual.prefill_share),
+        prefill_weight: number("read-weight", usual.prefill_weight),
         copy_weight: number("copy-weight", usual.copy_weight),
         wait_share: number("wait-share", usual.wait_share),
         wait_share_over: number("wait-share-over", usual.wait_share_over),
--- a/src/proxy/side.rs
+++ b/src/proxy/side.rs
@@ -18,7 +18,7 @@
 
 use crate::fleet::owners::Group;
 use crate::fleet::quarantine::Suspect;
-use crate::placement::fleet::learned::Learned;
+use crate::placement::registry::learned::LearnedReport;
 use crate::proxy::Stop;
 use crate::proxy::ask;
 use crate::proxy::ask::Asker;
@@ -95,7 +95,10 @@
 }
 
 /// Asks another box what it has learned of engines, or of those of one group.
-pub async fn ask_learned(addr: SocketAddr, group: Option<Group>) -> Result<Learned, AskError> {
+pub async fn ask_learned(
+    addr: SocketAddr,
+    group: Option<Group>,
+) -> Result<LearnedReport, AskError> {
     let path = match group {
         Some(group) => format!("{LEARNED_PATH}/{group}"),
         None => LEARNED_PATH.to_owned(),
--- a/src/proxy/view.rs
+++ b/src/proxy/view.rs
@@ -17,8 +17,8 @@
 use crate::fleet::revision::Revision;
 use crate::names::UpstreamName;
 use crate::names::ZoneName;
-use crate::placement::fleet::Fleet;
-use crate::placement::fleet::learned::Learned;
+use crate::placement::registry::UpstreamRegistry;
+use crate::placement::registry::learned::LearnedReport;
 use crate::proxy::dialect::Listed;
 use crate::proxy::digests;
 use crate::proxy::digests::Digests;
@@ -98,7 +98,7 @@
 #[derive(Debug)]
 pub struct View {
     table: Option<Arc<Table>>,
-    fleet: Fleet,
+    fleet: UpstreamRegistry,
     history: History,
     /// Upstreams whose entries may have lapsed while the store was away.
     missing: BTreeSet<UpstreamName>,
@@ -129,7 +129,7 @@
 
 impl View {
     /// Nothing is known yet.
-    pub fn new(fleet: Fleet) -> View {
+    pub fn new(fleet: UpstreamRegistry) -> View {
         View {
             table: None,
             fleet,
@@ -162,12 +162,12 @@
     }
 
     /// The upstreams.
-    pub fn fleet(&self) -> &Fleet {
+    pub fn fleet(&self) -> &UpstreamRegistry {
         &self.fleet
     }
 
     /// The upstreams, to note what is sent there.
-    pub fn fleet_mut(&mut self) -> &mut Fleet {
+    pub fn fleet_mut(&mut self) -> &mut UpstreamRegistry {
         &mut self.fleet
     }
 
@@ -189,10 +189,10 @@
             if is_restored {
                 self.held_zones.insert(zone.clone(), now + LAPSE_GRACE);
             } else {
-                self.fleet.chill_zone(zone, now);
+                self.fleet.mark_zone_cold(zone, now);
             }
         }
-        self.fleet.close(self.closed());
+        self.fleet.set_closed_zones(self.closed());
         self.changes.push(Change::Evacuated(self.evacuated.clone()));
     }
 
@@ -251,7 +251,7 @@
     pub fn snapshot(&self, now: Duration) -> Snapshot {
         Snapshot {
             table: self.table.clone(),
-            upstreams: self.fleet.told(now),
+            upstreams: self.fleet.listings(now),
             buckets: None,
             gone: Vec::new(),
             revision: self.revision(),
@@ -284,7 +284,7 @@
             changed.partition(|name| self.fleet.get(name).is_some());
         Some(Snapshot {
             table: self.newer_table(version),
-            upstreams: kept.iter().filter_map(|name| self.fleet.told_of(name, now)).collect(),
+            upstreams: kept.iter().filter_map(|name| self.fleet.listing(name, now)).collect(),
             buckets: Some(BTreeSet::new()),
             gone: gone.into_iter().cloned().collect(),
             revision: self.revision(),
@@ -307,7 +307,7 @@
 
     /// By what another box finds out what this one misses.
     pub fn digests(&self, now: Duration) -> Digests {
-        Digests::of(self.fleet.told(now).iter())
+        Digests::of(self.fleet.listings(now).iter())
     }
 
     /// Takes over a configuration, unless it is no newer than the one in force.
@@ -322,9 +322,9 @@
             let limits = self.engine_limits(&listed);
             let is_new = limits.is_some() && !self.fleet.is_engine(&listed.name);
             let (name, cold_for) = (listed.name.clone(), listed.cold_for);
-            self.fleet.set(listed, limits);
+            self.fleet.upsert(listed, limits);
             if is_new {
-                self.fleet.chill(&name, cold_for, now);
+                self.fleet.mark_cold(&name, cold_for, now);
             }
         }
     }
@@ -392,7 +392,7 @@
             }
         }
         let is_known = self.fleet.get(&listed.name).is_some_and(|known| known.is_same(&listed));
-        let is_colder = self.fleet.chill(&listed.name, listed.cold_for, now);
+        let is_colder = self.fleet.mark_cold(&listed.name, listed.cold_for, now);
         if is_known && !is_colder {
             return;
         }
@@ -405,8 +405,8 @@
         self.history.note(&listed.name, now);
         let limits = self.engine_limits(&listed);
         let (name, cold_for) = (listed.name.clone(), listed.cold_for);
-        self.fleet.set(listed, limits);
-        self.fleet.chill(&name, cold_for, now);
+        self.fleet.upsert(listed, limits);
+        self.fleet.mark_cold(&name, cold_for, now);
     }
 
     /// The start of an upstream that this box knows or knew.
@@ -432,7 +432,7 @@
         let (addr, born) = (known.addr, listed.born.unwrap_or_default());
         self.changes.push(Change::Restarted(listed.name.clone(), addr, born));
         self.fleet.remove(&listed.name);
-        self.fleet.end_backoff(&listed.name);
+        self.fleet.remove_backoff(&listed.name);
     }
 
     /// An entry is gone. Near trouble with the store it may only have lapsed.
@@ -479,7 +479,7 @@
                 return false;
             }
             self.reopen_later(&listed);
-            self.fleet.leave(name);
+            self.fleet.mark_leaving(name);
             // The store's listing will be no change then.
             self.history.note(name, now);
         }
@@ -499,16 +499,16 @@
     }
 
     /// What this box has learned of the engines, or of those of one group, for one that has just started.
-    pub fn learned(&self, group: Option<Group>) -> Learned {
+    pub fn learned(&self, group: Option<Group>) -> LearnedReport {
         let draining = self.draining.all().cloned().collect();
-        Learned { draining, ..self.fleet.learned(group) }
+        LearnedReport { draining, ..self.fleet.learned(group) }
     }
 
     /// Another box, which sees the store, says that an upstream leaves. None ever comes back from
     /// that, so it is believed at once.
     pub fn told_leaving(&mut self, name: &UpstreamName, now: Duration) {
         if self.fleet.is_open(name) {
-            self.fleet.leave(name);
+            self.fleet.mark_leaving(name);
             // The store's own word will be no news then.
             self.history.note(name, now);
             self.changes.push(Change::Told(name.clone()));
@@ -648,8 +648,8 @@
         if over.is_empty() {
             return;
         }
-        over.iter().for_each(|zone| self.fleet.chill_zone(zone, now));
-        self.fleet.close(self.closed());
+        over.iter().for_each(|zone| self.fleet.mark_zone_cold(zone, now));
+        self.fleet.set_closed_zones(self.closed());
     }
 
     fn drop_upstream(&mut self, name: &UpstreamName, now: Duration) {
--- a/src/proxy/warm.rs
+++ b/src/proxy/warm.rs
@@ -12,8 +12,8 @@
 use crate::fleet::owners::Group;
 use crate::fleet::owners::Owned;
 use crate::names::UpstreamName;
-use crate::placement::fleet::learned::Kept;
-use crate::placement::fleet::learned::Learned;
+use crate::placement::registry::learned::CachedParts;
+use crate::placement::registry::learned::LearnedReport;
 use crate::proxy::dialect::Engines;
 use crate::proxy::dialect::Listed;
 use crate::proxy::hub::Hub;
@@ -48,14 +48,14 @@
         }
         if OTHERS_HEARD < began.elapsed() && hub.peers().is_first() {
             let kept = from_engines(&hub, &*engines, None).await;
-            hub.warm_up(&Learned { kept, ..Learned::default() });
+            hub.warm_up(&LearnedReport { cached: kept, ..LearnedReport::default() });
             return;
         }
     }
-    hub.warm_up(&Learned::default());
+    hub.warm_up(&LearnedReport::default());
 }
 
-async fn from_others(hub: &Hub) -> Option<Learned> {
+async fn from_others(hub: &Hub) -> Option<LearnedReport> {
     let addr = hub.peers().warm()?;
     side::ask_learned(addr, None)
         .await
@@ -86,7 +86,7 @@
     let other = owned.keepers().find(|ip| *ip != me).and_then(|ip| hub.peers().addr_of(ip));
     if let Some(addr) = other {
         match side::ask_learned(addr, Some(group)).await {
-            Ok(learned) if learned.kept.iter().any(|k| !k.parts.is_empty()) => {
+            Ok(learned) if learned.cached.iter().any(|k| !k.parts.is_empty()) => {
                 hub.warm_up(&learned);
                 return;
             }
@@ -96,15 +96,15 @@
     }
     if owned.owner == me {
         let kept = from_engines(&hub, &*engines, Some(group)).await;
-        hub.warm_up(&Learned { kept, ..Learned::default() });
+        hub.warm_up(&LearnedReport { cached: kept, ..LearnedReport::default() });
     }
 }
 
-async fn from_engines(hub: &Hub, engines: &dyn Engines, group: Option<Group>) -> Vec<Kept> {
+async fn from_engines(hub: &Hub, engines: &dyn Engines, group: Option<Group>) -> Vec<CachedParts> {
     let known: Vec<(UpstreamName, _)> = hub.read(|view| {
         let asked = |l: &Listed| (l.name.clone(), l.addr);
         match group {
-            Some(group) => view.fleet().engines_of(group).map(asked).collect(),
+            Some(group) => view.fleet().engines_in_group(group).map(asked).collect(),
             None => view.fleet().engines().map(asked).collect(),
         }
     });
@@ -112,7 +112,7 @@
         let answer = engines.kept(addr);
         async move {
             match notices::query(hub, &upstream, answer).await {
-                Ok(parts) => Some(Kept { upstream, parts }),
+                Ok(parts) => Some(CachedParts { upstream, parts }),
                 Err(e) => {
                     debug!(hub.log(), "engine not asked"; "upstream" => upstream.as_str(),
                         "error" => %e);
--- a/tests/fleet_cold.rs
+++ b/tests/fleet_cold.rs
@@ -10,12 +10,12 @@
 use frostdyke::names::UpstreamName;
 use frostdyke::names::VersionName;
 use frostdyke::names::ZoneName;
-use frostdyke::placement::choice::Wanted;
+use frostdyke::placement::choice::SelectionCriteria;
 use frostdyke::placement::cold::ColdBound;
 use frostdyke::placement::cold::ColdLimits;
 use frostdyke::placement::cold::Role;
 use frostdyke::placement::engine::Placement;
-use frostdyke::placement::fleet::Fleet;
+use frostdyke::placement::registry::UpstreamRegistry;
 use frostdyke::placement::tuning::Tuning;
 use frostdyke::proxy::dialect::Listed;
 use frostdyke::proxy::dialect::Part;
@@ -38,7 +38,7 @@
 const ON_THE_WAY: f64 = 0.4;
 
 fn limits() -> EngineLimits {
-    let cold = ColdLimits { lasts: LASTS, pace: Duration::from_secs_f64(1.0 / 6.1) };
+    let cold = ColdLimits { duration: LASTS, min_interval: Duration::from_secs_f64(1.0 / 6.1) };
     EngineLimits { slots: 32, memory_tokens: 490_000, copied_per_s: 400_000, cold: Some(cold) }
 }
 
@@ -66,7 +66,7 @@
 
 /// A box that decides by a role of its own.
 struct Decider {
-    fleet: Fleet,
+    fleet: UpstreamRegistry,
     role: Role,
     hears: bool,
 }
@@ -75,17 +75,17 @@
     fn new(role: Role, hears: bool) -> Decider {
         let bound = ColdBound { overage: 1.5, slack: 5.0 };
         let tuning = Tuning { cold: bound, ..Tuning::default() };
-        let mut fleet = Fleet::new(ZoneName::from("a"), tuning);
-        fleet.set(listed(None), Some(limits()));
-        fleet.chill(&engine(), None, Duration::ZERO);
+        let mut fleet = UpstreamRegistry::new(ZoneName::from("a"), tuning);
+        fleet.upsert(listed(None), Some(limits()));
+        fleet.mark_cold(&engine(), None, Duration::ZERO);
         Decider { fleet, role, hears }
     }
 
     /// Whether it sends a request to the engine.
     fn sends(&mut self, n: u64, now: Duration) -> bool {
         let prompt = prompt(n);
-        let any = Wanted::any("llm", Some(&prompt), &[], Duration::MAX);
-        let chosen = self.fleet.choose(Wanted { role: self.role, ..any }, now);
+        let any = SelectionCriteria::any("llm", Some(&prompt), &[], Duration::MAX);
+        let chosen = self.fleet.choose(SelectionCriteria { role: self.role, ..any }, now);
         if chosen.is_ok() {
             self.note(n, Some(self.role), now);
         }
@@ -94,10 +94,17 @@
 
     fn note(&mut self, n: u64, decided: Option<Role>, now: Duration) {
         let prompt = prompt(n);
-        let (unread, copied, sender) = (100, 0, None);
-        let placement = Placement { request: n, prompt: &prompt, unread, copied, sender, decided };
+        let (prefill_tokens, copied_tokens, sender) = (100, 0, None);
+        let placement = Placement {
+            request: n,
+            prompt: &prompt,
+            prefill_tokens,
+            copied_tokens,
+            sender,
+            decided_by: decided,
+        };
         self.fleet.place(&engine(), placement, now);
-        self.fleet.end(&engine(), n);
+        self.fleet.remove_request(&engine(), n);
     }
 }
 
@@ -187,7 +194,7 @@
 
 #[test]
 fn who_decides_without_those_who_keep_the_model_sends_a_cold_engine_nothing() {
-    assert!(arrivals(vec![Decider::new(Role::Stranger, true)], 1).is_empty());
+    assert!(arrivals(vec![Decider::new(Role::Unassigned, true)], 1).is_empty());
 }
 
 /// Whoever comes to keep the model doesn't know what others have just sent.
@@ -195,7 +202,7 @@
 fn a_new_owner_waits_for_as_long_as_the_bound_looks_back() {
     let mut owner = Decider::new(Role::Owner, true);
     let all = frostdyke::fleet::owners::Group::default();
-    owner.fleet.hold_cold(all, Duration::from_secs(1));
+    owner.fleet.hold_cold_engines(all, Duration::from_secs(1));
     assert!(!owner.sends(1, Duration::from_millis(700)));
     assert!(owner.sends(2, Duration::from_millis(1_000)));
 }
@@ -205,9 +212,12 @@
 fn an_engine_stays_cold_for_the_longest_that_is_said() {
     let mut owner = Decider::new(Role::Owner, true);
     let now = Duration::from_secs(1);
-    assert!(!owner.fleet.chill(&engine(), Some(Duration::ZERO), now));
-    let told = |fleet: &Fleet| fleet.told(now)[0].cold_for;
+    assert!(!owner.fleet.mark_cold(&engine(), Some(Duration::ZERO), now));
+    let told = |fleet: &UpstreamRegistry| fleet.listings(now)[0].cold_for;
     assert_eq!(told(&owner.fleet), Some(Duration::from_secs(2)));
-    assert!(owner.fleet.chill(&engine(), Some(Duration::from_secs(5)), now), "it is cold again");
+    assert!(
+        owner.fleet.mark_cold(&engine(), Some(Duration::from_secs(5)), now),
+        "it is cold again"
+    );
     assert_eq!(told(&owner.fleet), Some(Duration::from_secs(5)));
 }
--- a/tests/fleet_evacuated.rs
+++ b/tests/fleet_evacuated.rs
@@ -11,11 +11,11 @@
 use frostdyke::names::UpstreamName;
 use frostdyke::names::VersionName;
 use frostdyke::names::ZoneName;
-use frostdyke::placement::choice::NoChoice;
-use frostdyke::placement::choice::Wanted;
+use frostdyke::placement::choice::ChoiceError;
+use frostdyke::placement::choice::SelectionCriteria;
 use frostdyke::placement::cold::ColdLimits;
 use frostdyke::placement::cold::Role;
-use frostdyke::placement::fleet::Fleet;
+use frostdyke::placement::registry::UpstreamRegistry;
 use frostdyke::placement::tuning::Tuning;
 use frostdyke::proxy::dialect::Listed;
 use frostdyke::proxy::dialect::Part;
@@ -112,8 +112,9 @@
 
 /// A view of two engines, in two zones, that bear less after a start.
 fn view() -> View {
-    let mut view = View::new(Fleet::new(zone("a"), Tuning::default()));
-    let cold = ColdLimits { lasts: Duration::from_secs(3), pace: Duration::from_millis(160) };
+    let mut view = View::new(UpstreamRegistry::new(zone("a"), Tuning::default()));
+    let cold =
+        ColdLimits { duration: Duration::from_secs(3), min_interval: Duration::from_millis(160) };
     let limits =
         EngineLimits { slots: 8, memory_tokens: 100_000, copied_per_s: 400_000, cold: Some(cold) };
     let service = Service { max_connections: 100, probe_path: String::new(), engine: Some(limits) };
@@ -135,9 +136,12 @@
     view
 }
 
-fn choose(view: &View, role: Role, now: Duration) -> Result<String, NoChoice> {
+fn choose(view: &View, role: Role, now: Duration) -> Result<String, ChoiceError> {
     let prompt = Prompt { tokens: 100, written_max: 10, parts: vec![Part { id: 1, tokens: 100 }] };
-    let wanted = Wanted { role, ..Wanted::any("llm", Some(&prompt), &[], Duration::MAX) };
+    let wanted = SelectionCriteria {
+        role,
+        ..SelectionCriteria::any("llm", Some(&prompt), &[], Duration::MAX)
+    };
     view.fleet().choose(wanted, now).map(|choice| choice.upstream.as_str().to_owned())
 }
 
@@ -150,7 +154,7 @@
     assert!(view.is_barred(&UpstreamName::from("e1")), "not at another box's word either");
     assert!(!view.is_barred(&UpstreamName::from("e2")));
     view.evacuate(&evacuated(6, &["a", "b"]), now);
-    assert_eq!(choose(&view, Role::Owner, now), Err(NoChoice::NoUpstream), "refused at once");
+    assert_eq!(choose(&view, Role::Owner, now), Err(ChoiceError::NoUpstream), "refused at once");
 }
 
 #[test]
@@ -158,9 +162,9 @@
     let (mut view, now) = (view(), Duration::from_secs(1));
     view.evacuate(&evacuated(5, &["a", "b"]), now);
     view.evacuate(&evacuated(6, &["b"]), now);
-    assert_eq!(choose(&view, Role::Stranger, now), Err(NoChoice::Full));
+    assert_eq!(choose(&view, Role::Unassigned, now), Err(ChoiceError::Full));
     assert_eq!(choose(&view, Role::Owner, now), Ok("e1".to_owned()));
     let later = now + Duration::from_millis(3_100);
-    assert_eq!(choose(&view, Role::Stranger, later), Ok("e1".to_owned()));
+    assert_eq!(choose(&view, Role::Unassigned, later), Ok("e1".to_owned()));
     assert_eq!(view.evacuated().zones, BTreeSet::from([zone("b")]));
 }
--- a/tests/fleet_placement.rs
+++ b/tests/fleet_placement.rs
@@ -14,12 +14,12 @@
 use frostdyke::names::VersionName;
 use frostdyke::names::ZoneName;
 use frostdyke::placement::admit;
+use frostdyke::placement::admit::PlacementQuery;
 use frostdyke::placement::admit::Purpose;
-use frostdyke::placement::admit::Wish;
 use frostdyke::placement::cache::PrefixCache;
 use frostdyke::placement::choice::Choice;
 use frostdyke::placement::cold::Role;
-use frostdyke::placement::fleet::Fleet;
+use frostdyke::placement::registry::UpstreamRegistry;
 use frostdyke::placement::share::Shares;
 use frostdyke::placement::tuning::Tuning;
 use frostdyke::proxy::dialect::Listed;
@@ -86,8 +86,8 @@
     UpstreamName::from(&*format!("engine-{n}"))
 }
 
-fn fleet() -> Fleet {
-    let mut fleet = Fleet::new(ZoneName::from("zone-0"), Tuning::default());
+fn fleet() -> UpstreamRegistry {
+    let mut fleet = UpstreamRegistry::new(ZoneName::from("zone-0"), Tuning::default());
     for n in 0..ENGINES {
         let listed = Listed {
             name: name(n),
@@ -100,7 +100,7 @@
             leaving: false,
             cold_for: None,
         };
-        fleet.set(listed, Some(LIMITS));
+        fleet.upsert(listed, Some(LIMITS));
     }
     fleet
 }
@@ -143,17 +143,17 @@
             let (asker, engine, message) = match event {
                 Event::First { engine, request, took, asker } => {
                     let took = Duration::from_secs_f64(took);
-                    fleet.first(&name(engine), request, Some(took), now);
+                    fleet.record_first_token(&name(engine), request, Some(took), now);
                     let took_ms = took.as_millis() as u32;
                     (asker, engine, Message::First { upstream: name(engine), request, took_ms })
                 }
                 Event::End { engine, request, asker } => {
-                    fleet.end(&name(engine), request);
+                    fleet.remove_request(&name(engine), request);
                     (asker, engine, Message::Ended { upstream: name(engine), request })
                 }
             };
             if has_owners {
-                let hash = frostdyke::placement::upstream::hash(&name(engine));
+                let hash = frostdyke::placement::upstream::name_hash(&name(engine));
                 let keepers = owners.of_hash(hash).expect("an owner").keepers().count();
                 outcome.tell(asker, keepers, &message);
             } else {
@@ -178,28 +178,28 @@
         let mut source = None;
         let mut placed = None;
         // Its own group of engines, and another one where that is busy.
-        for is_last in [false, true] {
+        for is_last_group in [false, true] {
             let home = fleet.home("llm", &prompt, Side::Any, group).expect("there are engines");
             group = has_owners.then(|| owners.group(home));
-            let wish = Wish {
+            let query = PlacementQuery {
                 request,
                 service: "llm",
                 prompt: &prompt,
                 workspace: None,
-                except: &[],
+                excluded: &[],
                 side: Side::Any,
-                aim: Duration::from_secs_f64(AIM),
+                target_latency: Duration::from_secs_f64(AIM),
                 waited: Duration::ZERO,
                 group,
                 zone: None,
                 sender: None,
                 source,
                 purpose: Purpose::Place,
-                is_last: is_last || !has_owners,
+                is_last_group: is_last_group || !has_owners,
                 role: Role::Owner,
             };
-            let result = admit::admit(&mut fleet, &mut shares, wish, now);
-            let ask = ask(&wish, &boxes[asker]);
+            let result = admit::admit(&mut fleet, &mut shares, query, now);
+            let ask = ask(&query, &boxes[asker]);
             if let Some(owned) = group.and_then(|group| owners.of(group)) {
                 let owner = number[&owned.owner];
                 outcome.tell(asker, 1, &ask);
@@ -213,10 +213,11 @@
             } else {
                 outcome.tell(asker, BOXES - 1, &ask);
             }
-            let may_go_on = result.as_ref().is_err_and(|denied| denied.may_go_on);
+            let may_try_other_groups =
+                result.as_ref().is_err_and(|denied| denied.may_try_other_groups);
             source = result.as_ref().err().and_then(|denied| denied.source);
             placed = Some(result);
-            if !may_go_on {
+            if !may_try_other_groups {
                 break;
             }
         }
@@ -266,21 +267,21 @@
     engine.free_at + 0.05
 }
 
-fn ask(wish: &Wish<'_>, asker: &Candidate) -> Message {
+fn ask(query: &PlacementQuery<'_>, asker: &Candidate) -> Message {
     Message::Ask(Ask {
-        request: wish.request,
-        group: wish.group.unwrap_or_default(),
-        service: ServiceName::from(wish.service),
-        prompt: wish.prompt.into(),
+        request: query.request,
+        group: query.group.unwrap_or_default(),
+        service: ServiceName::from(query.service),
+        prompt: query.prompt.into(),
         workspace: None,
         zone: asker.zone.clone(),
-        except: Vec::new(),
+        excluded: Vec::new(),
         side: Side::Any,
         aim_ms: 900,
         waited_ms: 1,
         source: None,
-        purpose: wish.purpose,
-        is_last: wish.is_last,
+        purpose: query.purpose,
+        is_last_group: query.is_last_group,
     })
 }
 
--- a/tests/fleet_size.rs
+++ b/tests/fleet_size.rs
@@ -16,8 +16,8 @@
 use frostdyke::names::UpstreamName;
 use frostdyke::names::VersionName;
 use frostdyke::names::ZoneName;
-use frostdyke::placement::choice::Wanted;
-use frostdyke::placement::fleet::Fleet;
+use frostdyke::placement::choice::SelectionCriteria;
+use frostdyke::placement::registry::UpstreamRegistry;
 use frostdyke::placement::tuning::Tuning;
 use frostdyke::proxy::dialect::Listed;
 use frostdyke::proxy::dialect::Part;
@@ -44,9 +44,9 @@
     }
 }
 
-fn fleet(engines: usize) -> Fleet {
-    let mut fleet = Fleet::new(ZoneName::from("zone-0"), Tuning::default());
-    (0..engines).for_each(|n| fleet.set(listed(n), Some(LIMITS)));
+fn fleet(engines: usize) -> UpstreamRegistry {
+    let mut fleet = UpstreamRegistry::new(ZoneName::from("zone-0"), Tuning::default());
+    (0..engines).for_each(|n| fleet.upsert(listed(n), Some(LIMITS)));
     fleet
 }
 
@@ -69,16 +69,16 @@
     const REQUESTS: u64 = 200;
     let fleet = fleet(engines);
     let owners = Owners::new(&boxes(engines / 10), engines);
-    let before = fleet.looked_at();
+    let before = fleet.examined();
     for n in 0..REQUESTS {
         let prompt = prompt(n);
         let home = fleet.home("llm", &prompt, Side::Any, None).expect("there are engines");
         let group = Some(owners.group(home));
-        let any = Wanted::any("llm", Some(&prompt), &[], Duration::from_secs(1));
-        let choice = fleet.choose(Wanted { group, ..any }, Duration::ZERO);
+        let any = SelectionCriteria::any("llm", Some(&prompt), &[], Duration::from_secs(1));
+        let choice = fleet.choose(SelectionCriteria { group, ..any }, Duration::ZERO);
         assert!(choice.is_ok());
     }
-    (fleet.looked_at() - before) as f64 / REQUESTS as f64
+    (fleet.examined() - before) as f64 / REQUESTS as f64
 }
 
 #[test]
@@ -95,8 +95,8 @@
         let fleet = fleet(engines);
         let owners = Owners::new(&boxes(engines / 10), engines);
         let group =
-            |listed: &Listed| owners.group(frostdyke::placement::upstream::hash(&listed.name));
-        let most = fleet.listed().map(|l| fleet.engines_of(group(l)).count()).max();
+            |listed: &Listed| owners.group(frostdyke::placement::upstream::name_hash(&listed.name));
+        let most = fleet.listed().map(|l| fleet.engines_in_group(group(l)).count()).max();
         assert!(most.is_some_and(|most| most <= 40), "{most:?} of {engines} in a group");
     }
 }
@@ -107,8 +107,9 @@
 fn prompts_are_spread_evenly_and_stay_where_they_are() {
     const PROMPTS: u64 = 20_000;
     let mut fleet = fleet(500);
-    let home =
-        |fleet: &Fleet, n| fleet.home("llm", &prompt(n), Side::Any, None).expect("there are");
+    let home = |fleet: &UpstreamRegistry, n| {
+        fleet.home("llm", &prompt(n), Side::Any, None).expect("there are")
+    };
     let before: Vec<u64> = (0..PROMPTS).map(|n| home(&fleet, n)).collect();
     let mut counts = std::collections::BTreeMap::<u64, usize>::new();
     before.iter().for_each(|hash| *counts.entry(*hash).or_default() += 1);
@@ -127,7 +128,7 @@
         let all: usize = (0..1u64 << bits)
             .map(|n| {
                 let group = Group::of(n.checked_shl(u64::BITS - bits).unwrap_or(0), bits);
-                fleet.engines_of(group).count()
+                fleet.engines_in_group(group).count()
             })
             .sum();
         assert_eq!(all, 300);
@@ -141,9 +142,9 @@
     assert_ne!(one.digest(), other.digest());
     other.remove(&listed(100).name);
     assert_eq!(one.digest(), other.digest());
-    one.leave(&listed(3).name);
+    one.mark_leaving(&listed(3).name);
     assert_ne!(one.digest(), other.digest());
-    other.set(Listed { leaving: true, ..listed(3) }, Some(LIMITS));
+    other.upsert(Listed { leaving: true, ..listed(3) }, Some(LIMITS));
     assert_eq!(one.digest(), other.digest());
     assert_eq!((one.engine_count(), other.engine_count()), (100, 100));
     assert!(one.has_addr(&listed(3).addr));
--- a/tests/proxy_admit.rs
+++ b/tests/proxy_admit.rs
@@ -12,16 +12,16 @@
 use frostdyke::names::ZoneName;
 use frostdyke::placement::admit;
 use frostdyke::placement::admit::Denial;
+use frostdyke::placement::admit::PlacementQuery;
 use frostdyke::placement::admit::Purpose;
-use frostdyke::placement::admit::Wish;
 use frostdyke::placement::choice::Choice;
 use frostdyke::placement::cold::Role;
 use frostdyke::placement::engine::Placement;
-use frostdyke::placement::fleet::Fleet;
-use frostdyke::placement::fleet::learned::Kept;
-use frostdyke::placement::fleet::learned::Learned;
+use frostdyke::placement::registry::UpstreamRegistry;
+use frostdyke::placement::registry::learned::CachedParts;
+use frostdyke::placement::registry::learned::LearnedReport;
 use frostdyke::placement::share::Shares;
-use frostdyke::placement::share::Tokens;
+use frostdyke::placement::share::TokenCounts;
 use frostdyke::placement::tuning::Tuning;
 use frostdyke::proxy::dialect::Listed;
 use frostdyke::proxy::dialect::Part;
@@ -42,7 +42,7 @@
 }
 
 struct Desk {
-    fleet: Fleet,
+    fleet: UpstreamRegistry,
     shares: Shares,
     requests: u64,
     /// What all prompts share from now on.
@@ -51,7 +51,7 @@
 
 impl Desk {
     fn new(engines: u8) -> Desk {
-        let mut fleet = Fleet::new(ZoneName::from("a"), Tuning::default());
+        let mut fleet = UpstreamRegistry::new(ZoneName::from("a"), Tuning::default());
         for n in 1..=engines {
             let listed = Listed {
                 name: UpstreamName::from(&*format!("e{n}")),
@@ -64,7 +64,7 @@
                 leaving: false,
                 cold_for: None,
             };
-            fleet.set(listed, Some(LIMITS));
+            fleet.upsert(listed, Some(LIMITS));
         }
         Desk { fleet, shares: Shares::new(Duration::from_secs(4)), requests: 0, shared: None }
     }
@@ -73,37 +73,41 @@
         &mut self,
         workspace: u64,
         group: Option<Group>,
-        is_last: bool,
+        is_last_group: bool,
     ) -> Result<Choice, Denial> {
         self.requests += 1;
         let own = Part { id: 1000 + self.requests, tokens: 3_000 };
         let parts: Vec<Part> = self.shared.into_iter().chain([own]).collect();
         let tokens = parts.iter().map(|p| p.tokens).sum();
         let prompt = Prompt { tokens, written_max: 10, parts };
-        let wish = Wish {
+        let query = PlacementQuery {
             request: self.requests,
             service: "llm",
             prompt: &prompt,
             workspace: Some(&name(workspace)),
-            except: &[],
+            excluded: &[],
             side: Side::Any,
-            aim: AIM,
+            target_latency: AIM,
             waited: Duration::ZERO,
             group,
             zone: None,
             sender: None,
             source: None,
             purpose: Purpose::Place,
-            is_last,
+            is_last_group,
             role: Role::Owner,
         };
-        admit::admit(&mut self.fleet, &mut self.shares, wish, NOW)
+        admit::admit(&mut self.fleet, &mut self.shares, query, NOW)
     }
 
     /// Notes what a workspace had before, by which it is at `used` of its share.
     fn had(&mut self, workspace: u64, used: f64) {
         let begun = (used * 1e6) as u64;
-        self.shares.add(&name(workspace), Tokens { asked: 5_000_000, begun: begun as i64 }, NOW);
+        self.shares.add_remote(
+            &name(workspace),
+            TokenCounts { requested: 5_000_000, admitted: begun as i64 },
+            NOW,
+        );
     }
 }
 
@@ -141,20 +145,20 @@
             let placement = Placement {
                 request,
                 prompt: &prompt,
-                unread: 3_000,
-                copied: 0,
+                prefill_tokens: 3_000,
+                copied_tokens: 0,
                 sender: None,
-                decided: None,
+                decided_by: None,
             };
             desk.fleet.place(&first.upstream, placement, NOW);
         }
         desk.shared = Some(Part { id: 7, tokens: 20_000 });
-        desk.fleet.take_over(&Learned {
-            kept: vec![Kept {
+        desk.fleet.apply_learned(&LearnedReport {
+            cached: vec![CachedParts {
                 upstream: first.upstream.clone(),
                 parts: vec![Part { id: 7, tokens: 20_000 }],
             }],
-            ..Learned::default()
+            ..LearnedReport::default()
         });
         let placed = desk.ask(0, None, true);
         assert!(placed.is_ok(), "at {used}: {placed:?}");
@@ -166,13 +170,13 @@
 fn a_request_that_goes_on_to_other_engines_is_not_counted_as_refused() {
     let mut desk = Desk::new(1);
     while desk.ask(0, None, true).is_ok() {}
-    desk.shares.take_own();
+    desk.shares.take_local();
     let denied = desk.ask(1, None, false).expect_err("the engine is busy");
-    assert!(denied.may_go_on);
-    assert!(desk.shares.take_own().is_empty());
+    assert!(denied.may_try_other_groups);
+    assert!(desk.shares.take_local().is_empty());
     let denied = desk.ask(1, None, true).expect_err("the engine is busy");
-    assert!(!denied.may_go_on);
-    assert_eq!(desk.shares.take_own().len(), 1);
+    assert!(!denied.may_try_other_groups);
+    assert_eq!(desk.shares.take_local().len(), 1);
 }
 
 #[test]
@@ -182,7 +186,7 @@
         let group = Group::of(prefix << 62, 2);
         for _ in 0..40 {
             let choice = desk.ask(prefix, Some(group), true).expect("there is room");
-            let hash = frostdyke::placement::upstream::hash(&choice.upstream);
+            let hash = frostdyke::placement::upstream::name_hash(&choice.upstream);
             assert!(group.has(hash));
         }
     }
--- a/tests/proxy_backoff.rs
+++ b/tests/proxy_backoff.rs
@@ -6,8 +6,8 @@
 use frostdyke::names::UpstreamName;
 use frostdyke::names::VersionName;
 use frostdyke::names::ZoneName;
-use frostdyke::placement::backoff::Trial;
-use frostdyke::placement::fleet::Fleet;
+use frostdyke::placement::backoff::SlowStartSlot;
+use frostdyke::placement::registry::UpstreamRegistry;
 use frostdyke::placement::tuning::Tuning;
 use frostdyke::proxy::dialect::Listed;
 
@@ -35,15 +35,15 @@
     }
 }
 
-fn fleet() -> Fleet {
-    let mut fleet = Fleet::new(ZoneName::from("z"), Tuning::default());
-    ["a", "b"].into_iter().for_each(|name| fleet.set(upstream(name), None));
+fn fleet() -> UpstreamRegistry {
+    let mut fleet = UpstreamRegistry::new(ZoneName::from("z"), Tuning::default());
+    ["a", "b"].into_iter().for_each(|name| fleet.upsert(upstream(name), None));
     fleet
 }
 
 /// Enters as many requests as may be sent.
-fn enter_all(fleet: &mut Fleet, now: Duration) -> Vec<Trial> {
-    let enter = || fleet.enter_trial(&name("a"), now);
+fn enter_all(fleet: &mut UpstreamRegistry, now: Duration) -> Vec<SlowStartSlot> {
+    let enter = || fleet.acquire_slow_start_slot(&name("a"), now);
     std::iter::from_fn(enter).take(100).collect()
 }
 
@@ -53,8 +53,8 @@
     assert!(fleet.back_off(&name("a"), BACKOFF, Duration::ZERO));
     for now in [Duration::ZERO, BACKOFF / 2, BACKOFF - MOMENT] {
         assert_eq!(fleet.backing_off("s", now), [name("a")]);
-        let trial = fleet.enter_trial(&name("a"), now);
-        assert!(!fleet.may_send(&name("a"), trial, now));
+        let slow_start_slot = fleet.acquire_slow_start_slot(&name("a"), now);
+        assert!(!fleet.may_send(&name("a"), slow_start_slot, now));
         assert!(fleet.may_send(&name("b"), None, now));
     }
     assert!(fleet.backing_off("s", BACKOFF).is_empty());
@@ -79,17 +79,23 @@
     for limit in [1, 2, 4] {
         let trials = enter_all(&mut fleet, BACKOFF);
         assert_eq!(trials.len(), limit);
-        assert!(trials.iter().all(|trial| fleet.may_send(&name("a"), Some(*trial), BACKOFF)));
+        assert!(trials.iter().all(|slow_start_slot| fleet.may_send(
+            &name("a"),
+            Some(*slow_start_slot),
+            BACKOFF
+        )));
         assert!(!fleet.may_send(&name("a"), None, BACKOFF), "one that is not counted");
         assert!(fleet.is_backing_off(&name("a"), BACKOFF));
         let (first, others) = trials.split_first().expect("one may try");
-        let is_over = fleet.trial_accepted(&name("a"), Some(*first));
+        let is_over = fleet.slow_start_accepted(&name("a"), Some(*first));
         assert_eq!(is_over, limit == 4);
-        fleet.leave_trial(&name("a"), Some(*first));
-        others.iter().for_each(|trial| fleet.leave_trial(&name("a"), Some(*trial)));
+        fleet.release_slow_start_slot(&name("a"), Some(*first));
+        others.iter().for_each(|slow_start_slot| {
+            fleet.release_slow_start_slot(&name("a"), Some(*slow_start_slot))
+        });
     }
     assert!(fleet.may_send(&name("a"), None, BACKOFF));
-    assert_eq!(fleet.backoffs(), 0);
+    assert_eq!(fleet.backoff_count(), 0);
 }
 
 /// Streams of before the backoff go on for long after it, and end at any time.
@@ -101,9 +107,9 @@
     assert_eq!(before.len(), 1);
     fleet.back_off(&name("a"), BACKOFF, BACKOFF);
     assert!(!fleet.may_send(&name("a"), Some(before[0]), 2 * BACKOFF));
-    assert!(!fleet.trial_accepted(&name("a"), Some(before[0])));
+    assert!(!fleet.slow_start_accepted(&name("a"), Some(before[0])));
     assert_eq!(enter_all(&mut fleet, 2 * BACKOFF).len(), 1);
-    fleet.leave_trial(&name("a"), Some(before[0]));
+    fleet.release_slow_start_slot(&name("a"), Some(before[0]));
     assert!(enter_all(&mut fleet, 2 * BACKOFF).is_empty());
 }
 
@@ -113,13 +119,13 @@
     let mut fleet = fleet();
     fleet.back_off(&name("a"), BACKOFF, MOMENT);
     let first = enter_all(&mut fleet, MOMENT + BACKOFF);
-    fleet.set(Listed { slots: 1, ..upstream("a") }, None);
-    assert!(fleet.trial_accepted(&name("a"), Some(first[0])));
+    fleet.upsert(Listed { slots: 1, ..upstream("a") }, None);
+    assert!(fleet.slow_start_accepted(&name("a"), Some(first[0])));
     fleet.back_off(&name("a"), BACKOFF, 2 * BACKOFF);
-    assert!(!fleet.trial_accepted(&name("a"), Some(first[0])));
+    assert!(!fleet.slow_start_accepted(&name("a"), Some(first[0])));
     assert!(!fleet.may_send(&name("a"), Some(first[0]), 3 * BACKOFF));
     assert_eq!(enter_all(&mut fleet, 3 * BACKOFF).len(), 1);
-    fleet.leave_trial(&name("a"), Some(first[0]));
+    fleet.release_slow_start_slot(&name("a"), Some(first[0]));
     assert!(enter_all(&mut fleet, 3 * BACKOFF).is_empty());
 }
 
@@ -128,12 +134,12 @@
 fn a_service_resumes_when_its_first_upstream_does() {
     let mut fleet = fleet();
     fleet.back_off(&name("a"), BACKOFF, Duration::ZERO);
-    assert_eq!(fleet.resumes_in("s", MOMENT), None);
+    assert_eq!(fleet.min_backoff_remaining("s", MOMENT), None);
     fleet.back_off(&name("b"), 2 * BACKOFF, Duration::ZERO);
-    assert_eq!(fleet.resumes_in("s", MOMENT), Some(BACKOFF - MOMENT));
-    fleet.set(Listed { leaving: true, ..upstream("a") }, None);
-    assert_eq!(fleet.resumes_in("s", MOMENT), Some(2 * BACKOFF - MOMENT));
-    assert_eq!(fleet.resumes_in("another", MOMENT), None);
+    assert_eq!(fleet.min_backoff_remaining("s", MOMENT), Some(BACKOFF - MOMENT));
+    fleet.upsert(Listed { leaving: true, ..upstream("a") }, None);
+    assert_eq!(fleet.min_backoff_remaining("s", MOMENT), Some(2 * BACKOFF - MOMENT));
+    assert_eq!(fleet.min_backoff_remaining("another", MOMENT), None);
 }
 
 /// The store's list is of no weight here: an entry lapses and is back within a backoff.
@@ -143,7 +149,7 @@
     fleet.back_off(&name("a"), BACKOFF, Duration::ZERO);
     fleet.remove(&name("a"));
     fleet.tick(MOMENT);
-    fleet.set(upstream("a"), None);
+    fleet.upsert(upstream("a"), None);
     assert!(fleet.is_backing_off(&name("a"), BACKOFF - MOMENT));
 }
 
@@ -153,5 +159,5 @@
     fleet.back_off(&name("a"), BACKOFF, Duration::ZERO);
     fleet.remove(&name("a"));
     fleet.tick(BACKOFF);
-    assert_eq!(fleet.backoffs(), 0);
+    assert_eq!(fleet.backoff_count(), 0);
 }
--- a/tests/proxy_behind.rs
+++ b/tests/proxy_behind.rs
@@ -14,7 +14,7 @@
 use frostdyke::names::UpstreamName;
 use frostdyke::names::VersionName;
 use frostdyke::names::ZoneName;
-use frostdyke::placement::fleet::Fleet;
+use frostdyke::placement::registry::UpstreamRegistry;
 use frostdyke::placement::tuning::Tuning;
 use frostdyke::proxy::dialect::Listed;
 use frostdyke::proxy::view::Change;
@@ -84,7 +84,7 @@
 }
 
 fn view() -> View {
-    let mut view = View::new(Fleet::new(ZoneName::from("a"), Tuning::default()));
+    let mut view = View::new(UpstreamRegistry::new(ZoneName::from("a"), Tuning::default()));
     view.store_regained(Duration::ZERO);
     view.list((0..UPSTREAMS).map(listed).collect(), Duration::ZERO);
     view.up_to(Revision::new(1, UPSTREAMS));
--- a/tests/proxy_capacity.rs
+++ b/tests/proxy_capacity.rs
@@ -131,8 +131,8 @@
     assert_eq!(capacity::hold_until(300, 300, Duration::ZERO, Duration::from_secs(1)), None);
 }
 
-fn sharing(connections: u32, placed_max: u32, boxes: usize) -> Sharing {
-    Sharing { connections, placed_max, boxes, draw: 0 }
+fn sharing(connections: u32, admission_limit: u32, boxes: usize) -> Sharing {
+    Sharing { connections, admission_limit, boxes, draw: 0 }
 }
 
 /// A box whose callers share one engine's parts needs as many connections there as the engine has slots;
@@ -151,25 +151,25 @@
 #[test]
 fn all_boxes_together_stay_below_what_an_upstream_takes() {
     for connections in [50, 110, 370, 440, 580, 1_800, 1_900] {
-        for placed_max in [2, 6, 12, 18, 32, 64] {
+        for admission_limit in [2, 6, 12, 18, 32, 64] {
             for boxes in [1, 9, 16, 30, 64, 100, 295, 342, 1_000] {
-                check_sum(connections, placed_max, boxes);
+                check_sum(connections, admission_limit, boxes);
             }
         }
     }
 }
 
-fn check_sum(connections: u32, placed_max: u32, boxes: usize) {
+fn check_sum(connections: u32, admission_limit: u32, boxes: usize) {
     let mut rng = SmallRng::seed_from_u64(boxes as u64);
     // The others haven't heard of them yet.
     let all = boxes + boxes * 17 / 100;
     let allowed = |is_placed, draw| {
-        let sharing = Sharing { connections, placed_max, boxes, draw };
+        let sharing = Sharing { connections, admission_limit, boxes, draw };
         Allowed::new(sharing, is_placed)
     };
     let kept: u32 = (0..all).map(|_| allowed(false, rng.random()).busy).sum();
-    let placed = allowed(true, 0).busy.min(placed_max);
-    let what = format!("{connections} connections, {placed_max} placed, {boxes} boxes");
+    let placed = allowed(true, 0).busy.min(admission_limit);
+    let what = format!("{connections} connections, {admission_limit} placed, {boxes} boxes");
     assert!(kept + 2 * placed <= connections, "{what}: {kept} kept, {placed} placed twice");
     assert_ne!(placed, 0, "{what}: nobody starves whose requests the owner places");
     // Who may have none at one upstream may at another.
--- a/tests/proxy_draining.rs
+++ b/tests/proxy_draining.rs
@@ -8,7 +8,7 @@
 use frostdyke::names::UpstreamName;
 use frostdyke::names::VersionName;
 use frostdyke::names::ZoneName;
-use frostdyke::placement::fleet::Fleet;
+use frostdyke::placement::registry::UpstreamRegistry;
 use frostdyke::placement::tuning::Tuning;
 use frostdyke::proxy::dialect::Listed;
 use frostdyke::proxy::view::Snapshot;
@@ -46,7 +46,7 @@
 
 /// A view that sees the store, and to which `a` has said that it drains.
 fn view() -> View {
-    let mut view = View::new(Fleet::new(ZoneName::from("z"), Tuning::default()));
+    let mut view = View::new(UpstreamRegistry::new(ZoneName::from("z"), Tuning::default()));
     view.store_regained(Duration::ZERO);
     view.list(all(), Duration::ZERO);
     assert!(view.drain(&notice(Some(BORN)), NOW));
@@ -126,7 +126,7 @@
 
 #[test]
 fn a_listed_incarnation_stays_open_when_the_notice_of_an_earlier_one_comes() {
-    let mut view = View::new(Fleet::new(ZoneName::from("z"), Tuning::default()));
+    let mut view = View::new(UpstreamRegistry::new(ZoneName::from("z"), Tuning::default()));
     view.store_regained(Duration::ZERO);
     view.list(vec![upstream("a", SAID_AT + 1)], Duration::ZERO);
     assert!(!view.drain(&notice(Some(BORN)), NOW));
@@ -144,7 +144,7 @@
 /// All boxes have it from the store.
 #[test]
 fn a_notice_that_the_store_lists_is_not_new() {
-    let mut view = View::new(Fleet::new(ZoneName::from("z"), Tuning::default()));
+    let mut view = View::new(UpstreamRegistry::new(ZoneName::from("z"), Tuning::default()));
     view.store_regained(Duration::ZERO);
     view.list(vec![Listed { leaving: true, ..upstream("a", BORN) }], Duration::ZERO);
     assert!(!view.drain(&notice(Some(BORN)), NOW));
@@ -155,7 +155,7 @@
 /// An owner may choose an upstream of which this box has no more than the notice.
 #[test]
 fn an_upstream_that_isnt_listed_is_barred_by_its_notice() {
-    let mut view = View::new(Fleet::new(ZoneName::from("z"), Tuning::default()));
+    let mut view = View::new(UpstreamRegistry::new(ZoneName::from("z"), Tuning::default()));
     assert!(view.drain(&notice(None), NOW));
     assert!(view.is_barred(&UpstreamName::from("a")));
     view.store_regained(NOW);
@@ -167,7 +167,7 @@
 #[test]
 fn a_box_that_starts_gets_the_notices() {
     let learned = view().learned(None);
-    let mut started = View::new(Fleet::new(ZoneName::from("z"), Tuning::default()));
+    let mut started = View::new(UpstreamRegistry::new(ZoneName::from("z"), Tuning::default()));
     started.store_regained(NOW);
     started.list(all(), NOW);
     learned.draining.iter().for_each(|draining| _ = started.drain(draining, NOW));
--- a/tests/proxy_placement.rs
+++ b/tests/proxy_placement.rs
@@ -7,10 +7,10 @@
 use frostdyke::names::VersionName;
 use frostdyke::names::ZoneName;
 use frostdyke::placement::choice::Choice;
-use frostdyke::placement::choice::NoChoice;
-use frostdyke::placement::choice::Wanted;
+use frostdyke::placement::choice::ChoiceError;
+use frostdyke::placement::choice::SelectionCriteria;
 use frostdyke::placement::engine::Placement;
-use frostdyke::placement::fleet::Fleet;
+use frostdyke::placement::registry::UpstreamRegistry;
 use frostdyke::placement::tuning::Tuning;
 use frostdyke::placement::upstream::Health;
 use frostdyke::proxy::dialect::Listed;
@@ -39,9 +39,9 @@
     }
 }
 
-fn fleet(engines: u8) -> Fleet {
-    let mut fleet = Fleet::new(ZoneName::from("a"), Tuning::default());
-    (1..=engines).for_each(|n| fleet.set(listed(n), Some(LIMITS)));
+fn fleet(engines: u8) -> UpstreamRegistry {
+    let mut fleet = UpstreamRegistry::new(ZoneName::from("a"), Tuning::default());
+    (1..=engines).for_each(|n| fleet.upsert(listed(n), Some(LIMITS)));
     fleet
 }
 
@@ -51,43 +51,50 @@
     Prompt { tokens: 16_000, written_max: 100, parts }
 }
 
-fn choose(fleet: &Fleet, prompt: &Prompt, ms: u64) -> Result<Choice, NoChoice> {
+fn choose(fleet: &UpstreamRegistry, prompt: &Prompt, ms: u64) -> Result<Choice, ChoiceError> {
     choose_within(fleet, prompt, ms, Duration::MAX)
 }
 
 fn choose_within(
-    fleet: &Fleet,
+    fleet: &UpstreamRegistry,
     prompt: &Prompt,
     ms: u64,
     wait_max: Duration,
-) -> Result<Choice, NoChoice> {
-    let (prompt, except) = (Some(prompt), &[][..]);
-    let wanted = Wanted::any("llm", prompt, except, wait_max);
+) -> Result<Choice, ChoiceError> {
+    let (prompt, excluded) = (Some(prompt), &[][..]);
+    let wanted = SelectionCriteria::any("llm", prompt, excluded, wait_max);
     fleet.choose(wanted, millis(ms))
 }
 
-fn send(fleet: &mut Fleet, prompt: &Prompt, request: u64, ms: u64) -> Choice {
+fn send(fleet: &mut UpstreamRegistry, prompt: &Prompt, request: u64, ms: u64) -> Choice {
     let choice = choose(fleet, prompt, ms).expect("there is an engine");
-    let Choice { unread, copied, .. } = choice;
-    let placement = Placement { request, prompt, unread, copied, sender: None, decided: None };
+    let Choice { prefill_tokens, copied_tokens, .. } = choice;
+    let placement = Placement {
+        request,
+        prompt,
+        prefill_tokens,
+        copied_tokens,
+        sender: None,
+        decided_by: None,
+    };
     fleet.place(&choice.upstream, placement, millis(ms));
     choice
 }
 
-fn finish(fleet: &mut Fleet, choice: &Choice, request: u64, ms: u64) {
-    fleet.first(&choice.upstream, request, None, millis(ms));
-    fleet.end(&choice.upstream, request);
+fn finish(fleet: &mut UpstreamRegistry, choice: &Choice, request: u64, ms: u64) {
+    fleet.record_first_token(&choice.upstream, request, None, millis(ms));
+    fleet.remove_request(&choice.upstream, request);
 }
 
 #[test]
 fn a_prompt_goes_where_its_parts_are_kept() {
     let mut fleet = fleet(4);
     let first = send(&mut fleet, &prompt(1, 100), 1, 0);
-    assert_eq!(first.unread, 16_000);
+    assert_eq!(first.prefill_tokens, 16_000);
     finish(&mut fleet, &first, 1, 400);
     let second = send(&mut fleet, &prompt(1, 101), 2, 5_000);
     assert_eq!(second.upstream, first.upstream);
-    assert_eq!((second.unread, second.copied), (3_000, 0));
+    assert_eq!((second.prefill_tokens, second.copied_tokens), (3_000, 0));
 }
 
 #[test]
@@ -104,8 +111,8 @@
         }
     }
     let copied = copied.expect("the load moves on");
-    assert_eq!(copied.copied, 13_000);
-    assert_eq!(copied.unread, 3_000);
+    assert_eq!(copied.copied_tokens, 13_000);
+    assert_eq!(copied.prefill_tokens, 3_000);
     assert_eq!(copied.copy_from.map(|a| a.ip()), Some(first.addr.ip()));
 }
 
@@ -118,12 +125,18 @@
     for request in 0..64 {
         let sender = if request < 40 { gone } else { alive };
         let small = Prompt { tokens: 10, written_max: 1, parts: Vec::new() };
-        let placement =
-            Placement { request, prompt: &small, unread: 10, copied: 0, sender, decided: None };
+        let placement = Placement {
+            request,
+            prompt: &small,
+            prefill_tokens: 10,
+            copied_tokens: 0,
+            sender,
+            decided_by: None,
+        };
         fleet.place(&UpstreamName::from("e1"), placement, millis(0));
     }
-    assert_eq!(choose(&fleet, &prompt(1, 100), 0), Err(NoChoice::Full));
-    fleet.forget_sender([10, 0, 0, 1].into());
+    assert_eq!(choose(&fleet, &prompt(1, 100), 0), Err(ChoiceError::Full));
+    fleet.remove_sender([10, 0, 0, 1].into());
     let choice = choose(&fleet, &prompt(1, 100), 0).expect("there is room");
     assert_eq!(choice.running, 24);
 }
@@ -134,13 +147,13 @@
     let mut fleet = fleet(2);
     let first = send(&mut fleet, &prompt(1, 100), 1, 0);
     finish(&mut fleet, &first, 1, 400);
-    fleet.leave(&first.upstream);
+    fleet.mark_leaving(&first.upstream);
     let next = choose(&fleet, &prompt(1, 101), 5_000).expect("the other stays");
     assert_ne!(next.upstream, first.upstream);
-    assert_eq!((next.copied, next.copy_from), (13_000, Some(first.addr)));
-    fleet.doubt(&first.upstream, true, millis(5_000));
+    assert_eq!((next.copied_tokens, next.copy_from), (13_000, Some(first.addr)));
+    fleet.mark_unverified(&first.upstream, true, millis(5_000));
     let next = choose(&fleet, &prompt(1, 101), 5_000).expect("the other stays");
-    assert_eq!((next.copied, next.copy_from), (0, None), "it may be gone");
+    assert_eq!((next.copied_tokens, next.copy_from), (0, None), "it may be gone");
 }
 
 /// Found on a played day (journal 7db18c42): requests stayed with the busy engine that kept their
@@ -163,7 +176,7 @@
     let mut fleet = fleet(1);
     send(&mut fleet, &prompt(1, 100), 1, 0);
     let busy = choose_within(&fleet, &prompt(2, 101), 0, millis(50));
-    assert!(matches!(busy, Err(NoChoice::Busy { wait }) if millis(300) < wait), "{busy:?}");
+    assert!(matches!(busy, Err(ChoiceError::Busy { wait }) if millis(300) < wait), "{busy:?}");
 }
 
 #[test]
@@ -205,7 +218,7 @@
     }
     // None of these is heard of again; the engine has dropped them and reads the next.
     let next = send(&mut fleet, &prompt(50, 2_000), 50, 1_100);
-    fleet.first(&next.upstream, 50, None, millis(1_500));
+    fleet.record_first_token(&next.upstream, 50, None, millis(1_500));
     let load = choose(&fleet, &prompt(51, 2_001), 8_000).expect("there is an engine").wait;
     assert_eq!(load, millis(0));
 }
@@ -228,29 +241,29 @@
     let mut fleet = fleet(1);
     for request in 0..31 {
         let choice = send(&mut fleet, &prompt(1, 100 + request), request, 0);
-        fleet.first(&choice.upstream, request, None, millis(1));
+        fleet.record_first_token(&choice.upstream, request, None, millis(1));
     }
-    assert_eq!(choose(&fleet, &prompt(1, 900), 1), Err(NoChoice::Full));
+    assert_eq!(choose(&fleet, &prompt(1, 900), 1), Err(ChoiceError::Full));
 }
 
 #[test]
 fn an_upstream_that_leaves_or_is_gone_gets_nothing() {
     let mut fleet = fleet(2);
-    fleet.leave(&UpstreamName::from("e1"));
+    fleet.mark_leaving(&UpstreamName::from("e1"));
     assert_eq!(choose(&fleet, &prompt(1, 1), 0).expect("e2 is left").upstream.as_str(), "e2");
     fleet.remove(&UpstreamName::from("e2"));
-    assert_eq!(choose(&fleet, &prompt(1, 1), 0), Err(NoChoice::NoUpstream));
+    assert_eq!(choose(&fleet, &prompt(1, 1), 0), Err(ChoiceError::NoUpstream));
 }
 
 #[test]
 fn an_upstream_that_cant_be_reached_gets_nothing_while_others_can() {
     let mut fleet = fleet(2);
     let name = choose(&fleet, &prompt(1, 1), 0).expect("there is an engine").upstream;
-    assert!(fleet.doubt(&name, true, millis(0)));
-    assert!(!fleet.doubt(&name, true, millis(0)));
+    assert!(fleet.mark_unverified(&name, true, millis(0)));
+    assert!(!fleet.mark_unverified(&name, true, millis(0)));
     assert_ne!(choose(&fleet, &prompt(1, 1), 0).expect("one is left").upstream, name);
-    assert!(fleet.reached(&name));
-    assert!(!fleet.reached(&name));
+    assert!(fleet.mark_reachable(&name));
+    assert!(!fleet.mark_reachable(&name));
     assert_eq!(choose(&fleet, &prompt(1, 1), 0).expect("there is an engine").upstream, name);
 }
 
@@ -260,34 +273,35 @@
 fn others_hear_of_an_upstream_only_once_and_only_when_it_cant_be_reached() {
     let mut fleet = fleet(2);
     let name = choose(&fleet, &prompt(1, 1), 0).expect("there is an engine").upstream;
-    let due = |fleet: &mut Fleet, ms| fleet.take_doubted(millis(ms)).len();
-    assert!(!fleet.not_reached(&name, millis(0)), "nobody doubts it");
-    fleet.doubt(&name, true, millis(0));
+    let due = |fleet: &mut UpstreamRegistry, ms| fleet.take_due_probes(millis(ms)).len();
+    assert!(!fleet.record_connect_failure(&name, millis(0)), "nobody doubts it");
+    fleet.mark_unverified(&name, true, millis(0));
     assert_eq!((due(&mut fleet, 0), due(&mut fleet, 1)), (1, 0), "one look at a time");
-    assert!(fleet.not_reached(&name, millis(10)), "the others should know");
+    assert!(fleet.record_connect_failure(&name, millis(10)), "the others should know");
     assert_eq!((due(&mut fleet, 309), due(&mut fleet, 310)), (0, 1));
-    assert!(!fleet.not_reached(&name, millis(310)), "they know");
+    assert!(!fleet.record_connect_failure(&name, millis(310)), "they know");
     assert_eq!((due(&mut fleet, 909), due(&mut fleet, 910)), (0, 1), "less and less often");
-    fleet.reached(&name);
-    fleet.doubt(&name, false, millis(1_000));
+    fleet.mark_reachable(&name);
+    fleet.mark_unverified(&name, false, millis(1_000));
     assert_eq!(due(&mut fleet, 1_000), 1);
-    assert!(!fleet.not_reached(&name, millis(1_000)), "who told it knows");
+    assert!(!fleet.record_connect_failure(&name, millis(1_000)), "who told it knows");
 }
 
 #[test]
 fn an_upstream_that_breaks_off_rests_longer_each_time() {
     let mut fleet = fleet(2);
     let name = choose(&fleet, &prompt(1, 1), 0).expect("there is an engine").upstream;
-    let rests =
-        |fleet: &Fleet, ms| choose(fleet, &prompt(1, 1), ms).expect("one is left").upstream != name;
-    fleet.note(&name, Health::Broken, millis(0));
+    let rests = |fleet: &UpstreamRegistry, ms| {
+        choose(fleet, &prompt(1, 1), ms).expect("one is left").upstream != name
+    };
+    fleet.record_health(&name, Health::Broken, millis(0));
     assert!(rests(&fleet, 399));
     assert!(!rests(&fleet, 400));
-    fleet.note(&name, Health::Broken, millis(400));
+    fleet.record_health(&name, Health::Broken, millis(400));
     assert!(rests(&fleet, 1_199));
     assert!(!rests(&fleet, 1_200));
-    fleet.note(&name, Health::Good(millis(1)), millis(1_200));
-    fleet.note(&name, Health::Broken, millis(2_000));
+    fleet.record_health(&name, Health::Good(millis(1)), millis(1_200));
+    fleet.record_health(&name, Health::Broken, millis(2_000));
     assert!(!rests(&fleet, 2_400));
 }
 
@@ -297,9 +311,9 @@
     let choice = send(&mut old, &prompt(7, 100), 1, 0);
     finish(&mut old, &choice, 1, 400);
     let mut new = fleet(4);
-    new.take_over(&old.learned(None));
+    new.apply_learned(&old.learned(None));
     let found = choose(&new, &prompt(7, 101), 0).expect("there is an engine");
-    assert_eq!((found.upstream, found.unread), (choice.upstream, 3_000));
+    assert_eq!((found.upstream, found.prefill_tokens), (choice.upstream, 3_000));
 }
 
 #[test]
@@ -308,7 +322,7 @@
     for request in 0..31 {
         send(&mut fleet, &prompt(1, 100 + request), request, 0);
     }
-    assert_eq!(choose(&fleet, &prompt(1, 900), 1_000), Err(NoChoice::Full));
+    assert_eq!(choose(&fleet, &prompt(1, 900), 1_000), Err(ChoiceError::Full));
     fleet.tick(millis(20_001));
     assert!(choose(&fleet, &prompt(1, 900), 20_001).is_ok());
 }
--- a/tests/proxy_plain.rs
+++ b/tests/proxy_plain.rs
@@ -17,10 +17,10 @@
 use frostdyke::names::WorkspaceName;
 use frostdyke::names::ZoneName;
 use frostdyke::placement::choice::Choice;
-use frostdyke::placement::choice::Wanted;
-use frostdyke::placement::fleet::Fleet;
+use frostdyke::placement::choice::SelectionCriteria;
 use frostdyke::placement::plain;
-use frostdyke::placement::plain::Wish;
+use frostdyke::placement::plain::PlainQuery;
+use frostdyke::placement::registry::UpstreamRegistry;
 use frostdyke::placement::share::Shares;
 use frostdyke::placement::tuning::Tuning;
 use frostdyke::placement::upstream::Health;
@@ -93,7 +93,7 @@
     way: Way,
     rng: SmallRng,
     /// One for each box, or one for all.
-    fleets: Vec<Fleet>,
+    fleets: Vec<UpstreamRegistry>,
     shares: Shares,
     upstreams: Vec<Real>,
     requests: BTreeMap<u64, Request>,
@@ -107,8 +107,8 @@
     UpstreamName::from(&*format!("u{n}"))
 }
 
-fn fleet(upstreams: usize) -> Fleet {
-    let mut fleet = Fleet::new(ZoneName::from("a"), Tuning::default());
+fn fleet(upstreams: usize) -> UpstreamRegistry {
+    let mut fleet = UpstreamRegistry::new(ZoneName::from("a"), Tuning::default());
     for n in 0..upstreams {
         let listed = Listed {
             name: name(n),
@@ -121,20 +121,20 @@
             leaving: false,
             cold_for: None,
         };
-        fleet.set(listed, None);
+        fleet.upsert(listed, None);
     }
     fleet
 }
 
 /// A request of this box, for whoever counts.
-fn wish(request: u64, zone: &ZoneName) -> Wish<'_> {
-    Wish {
+fn query(request: u64, zone: &ZoneName) -> PlainQuery<'_> {
+    PlainQuery {
         request,
         service: "ledger",
         workspace: None,
-        except: &[],
+        excluded: &[],
         side: Side::Any,
-        aim: AIM,
+        target_latency: AIM,
         waited: Duration::ZERO,
         zone,
         sender: None,
@@ -194,8 +194,8 @@
             Event::Done { upstream, request } => self.done(now, upstream, request),
             Event::Told { upstream, request, took } => {
                 let fleet = &mut self.fleets[0];
-                fleet.first(&name(upstream), request, Some(at(took)), at(now));
-                fleet.end(&name(upstream), request);
+                fleet.record_first_token(&name(upstream), request, Some(at(took)), at(now));
+                fleet.remove_request(&name(upstream), request);
             }
         }
     }
@@ -221,14 +221,14 @@
 
     fn choose(&mut self, now: f64, request: u64, sender: usize) -> Option<Choice> {
         if self.way == Way::Alone {
-            let wanted = Wanted::any("ledger", None, &[], Duration::MAX);
+            let wanted = SelectionCriteria::any("ledger", None, &[], Duration::MAX);
             let choice = self.fleets[sender].choose(wanted, at(now)).ok()?;
-            self.fleets[sender].sent(&choice.upstream);
+            self.fleets[sender].request_sent(&choice.upstream);
             return Some(choice);
         }
         let zone = ZoneName::from("a");
-        let wish = wish(request, &zone);
-        plain::admit(&mut self.fleets[0], &mut self.shares, wish, at(now)).ok()
+        let query = query(request, &zone);
+        plain::admit(&mut self.fleets[0], &mut self.shares, query, at(now)).ok()
     }
 
     fn reach(&mut self, now: f64, upstream: usize, request: u64) {
@@ -272,7 +272,7 @@
     fn ended(&mut self, now: f64, upstream: usize, request: u64, health: Option<Health>) {
         let Some(Request { sender, sent, .. }) = self.requests.remove(&request) else { return };
         if self.way == Way::Alone {
-            self.fleets[sender].ended(&name(upstream), health, at(now));
+            self.fleets[sender].request_ended(&name(upstream), health, at(now));
             return;
         }
         let took = now - sent;
@@ -319,8 +319,8 @@
     let zone = ZoneName::from("a");
     let mut admitted = 0;
     for request in 0..100 {
-        let wish = Wish { aim: Duration::from_secs(5), ..wish(request, &zone) };
-        admitted += u32::from(plain::admit(&mut fleet, &mut shares, wish, at(1.0)).is_ok());
+        let query = PlainQuery { target_latency: Duration::from_secs(5), ..query(request, &zone) };
+        admitted += u32::from(plain::admit(&mut fleet, &mut shares, query, at(1.0)).is_ok());
     }
     assert_eq!(admitted, 3 * SLOTS);
 }
@@ -339,11 +339,11 @@
         if request % 2 == 0
             && let Some(ended) = running.pop_front()
         {
-            fleet.end(&name(0), ended);
+            fleet.remove_request(&name(0), ended);
         }
         let who = usize::from(request % 5 == 0);
-        let wish = Wish { workspace: Some(&names[who]), ..wish(request, &zone) };
-        if plain::admit(&mut fleet, &mut shares, wish, at(now)).is_ok() {
+        let query = PlainQuery { workspace: Some(&names[who]), ..query(request, &zone) };
+        if plain::admit(&mut fleet, &mut shares, query, at(now)).is_ok() {
             served[who] += 1;
             running.push_back(request);
         }
@@ -358,10 +358,10 @@
 #[test]
 fn what_is_counted_in_vain_keeps_nobody_out() {
     let zone = ZoneName::from("a");
-    let admit = |fleet: &mut Fleet, request, now| {
+    let admit = |fleet: &mut UpstreamRegistry, request, now| {
         let mut shares = Shares::new(Duration::from_secs(4));
-        let wish = wish(request, &zone);
-        plain::admit(fleet, &mut shares, wish, at(now)).is_ok()
+        let query = query(request, &zone);
+        plain::admit(fleet, &mut shares, query, at(now)).is_ok()
     };
     let mut fleet = fleet(1);
     (0..18).for_each(|request| fleet.begin_plain(&name(0), request, None, at(1.0)));
--- a/tests/proxy_shares.rs
+++ b/tests/proxy_shares.rs
@@ -5,7 +5,7 @@
 use frostdyke::names::WorkspaceName;
 use frostdyke::placement::admit;
 use frostdyke::placement::share::Shares;
-use frostdyke::placement::share::Tokens;
+use frostdyke::placement::share::TokenCounts;
 use frostdyke::placement::tuning::Tuning;
 use proptest::collection;
 use proptest::prelude::*;
@@ -28,7 +28,7 @@
         shares.refuse(&name(0), 900, millis(ms));
     }
     shares.begin(&name(1), 100, millis(1_000));
-    assert!(shares.used(&name(1), 100, millis(1_000)) <= 1.0);
+    assert!(shares.share_used(&name(1), 100, millis(1_000)) <= 1.0);
 }
 
 #[test]
@@ -39,8 +39,8 @@
         shares.begin(&name(1), 100, millis(ms));
         shares.refuse(&name(1), 400, millis(ms));
     }
-    assert!(1.0 < shares.used(&name(0), 300, millis(100)));
-    assert!(shares.used(&name(1), 300, millis(100)) < 1.0);
+    assert!(1.0 < shares.share_used(&name(0), 300, millis(100)));
+    assert!(shares.share_used(&name(1), 300, millis(100)) < 1.0);
 }
 
 #[test]
@@ -49,8 +49,8 @@
     shares.begin(&name(0), 1_000_000, millis(0));
     shares.begin(&name(1), 10, millis(0));
     shares.refuse(&name(1), 1_000_000, millis(0));
-    assert!(1.0 < shares.used(&name(0), 10, millis(100)));
-    assert!(shares.used(&name(0), 10, millis(4_600)) <= 1.0);
+    assert!(1.0 < shares.share_used(&name(0), 10, millis(100)));
+    assert!(shares.share_used(&name(0), 10, millis(4_600)) <= 1.0);
 }
 
 proptest! {
@@ -66,7 +66,7 @@
             shares.refuse(&name(n), *refused, millis(1));
         }
         let least = (0..served.len()).min_by_key(|n| served[*n].0).expect("not empty");
-        let used = shares.used(&name(least), 1, millis(2));
+        let used = shares.share_used(&name(least), 1, millis(2));
         prop_assert!(used <= 1.0 + 1e-3, "used {used}");
     }
 }
@@ -76,14 +76,14 @@
     let mut shares = Shares::new(WINDOW);
     shares.begin(&name(0), 300, millis(0));
     shares.refuse(&name(0), 100, millis(0));
-    shares.add(&name(1), Tokens { asked: 900, begun: 200 }, millis(0));
-    let own = shares.take_own();
-    assert_eq!(own.get(&name(0)), Some(&Tokens { asked: 400, begun: 300 }));
+    shares.add_remote(&name(1), TokenCounts { requested: 900, admitted: 200 }, millis(0));
+    let own = shares.take_local();
+    assert_eq!(own.get(&name(0)), Some(&TokenCounts { requested: 400, admitted: 300 }));
     assert_eq!(own.len(), 1);
-    assert!(shares.take_own().is_empty());
+    assert!(shares.take_local().is_empty());
     // 500 are shared evenly: 250 for each.
-    assert!(1.0 < shares.used(&name(0), 1, millis(1)));
-    assert!(shares.used(&name(1), 1, millis(1)) < 1.0);
+    assert!(1.0 < shares.share_used(&name(0), 1, millis(1)));
+    assert!(shares.share_used(&name(1), 1, millis(1)) < 1.0);
 }
 
 /// Engines that do so many tokens a second, with what waits before them.
@@ -99,8 +99,8 @@
 impl Engines {
     /// A request of a workspace comes; it is begun if it needn't wait for longer than it may.
     fn ask(&mut self, workspace: usize, tokens: u64, now: Duration) {
-        let used = self.shares.used(&name(workspace), tokens, now);
-        let (wait_max, _) = admit::waits_max(Tuning::default(), millis(300), used);
+        let used = self.shares.share_used(&name(workspace), tokens, now);
+        let (wait_max, _) = admit::wait_limits(Tuning::default(), millis(300), used);
         if wait_max < self.done_at.saturating_sub(now) {
             self.shares.refuse(&name(workspace), tokens, now);
             return;
@@ -161,23 +161,23 @@
 fn a_request_that_runs_nowhere_is_taken_back_here_and_elsewhere() {
     let (mut here, mut there) = (Shares::new(WINDOW), Shares::new(WINDOW));
     let counted = here.begin(&name(0), 300, millis(0));
-    here.keep(1, counted);
+    here.remember(1, counted);
     let tell = |here: &mut Shares, there: &mut Shares, now| {
-        for (workspace, tokens) in here.take_own() {
-            there.add(&workspace, tokens, now);
+        for (workspace, tokens) in here.take_local() {
+            there.add_remote(&workspace, tokens, now);
         }
     };
     tell(&mut here, &mut there, millis(100));
-    assert_eq!(there.totals().collect::<Vec<_>>(), [(name(0), Tokens::begun(300))]);
-    here.take_back(1, millis(600));
+    assert_eq!(there.totals().collect::<Vec<_>>(), [(name(0), TokenCounts::admitted(300))]);
+    here.revert(1, millis(600));
     // It is told as less than nothing.
     tell(&mut here, &mut there, millis(700));
     for shares in [&mut here, &mut there] {
         assert_eq!(shares.totals().count(), 0);
         shares.begin(&name(1), 100, millis(800));
-        assert_eq!(shares.used(&name(1), 100, millis(800)), 1.0);
+        assert_eq!(shares.share_used(&name(1), 100, millis(800)), 1.0);
     }
-    here.take_back(1, millis(900));
+    here.revert(1, millis(900));
     assert_eq!(here.totals().count(), 1);
 }
 
@@ -186,22 +186,22 @@
     let mut shares = Shares::new(WINDOW);
     for ms in [0, 50, 90] {
         let counted = shares.begin(&name(0), 300, millis(ms));
-        shares.keep(1, counted);
+        shares.remember(1, counted);
     }
-    assert_eq!(shares.totals().collect::<Vec<_>>(), [(name(0), Tokens::begun(300))]);
-    assert_eq!(shares.take_own().get(&name(0)), Some(&Tokens::begun(300)));
+    assert_eq!(shares.totals().collect::<Vec<_>>(), [(name(0), TokenCounts::admitted(300))]);
+    assert_eq!(shares.take_local().get(&name(0)), Some(&TokenCounts::admitted(300)));
 }
 
 #[test]
 fn what_has_fallen_out_of_the_window_isnt_taken_back_from_it() {
     let mut shares = Shares::new(WINDOW);
     let counted = shares.begin(&name(0), 300, millis(0));
-    shares.keep(1, counted);
+    shares.remember(1, counted);
     shares.begin(&name(0), 100, millis(4_600));
     shares.begin(&name(1), 300, millis(4_600));
-    shares.take_back(1, millis(4_600));
+    shares.revert(1, millis(4_600));
     // 200 of 300, which is the most that anybody wants.
-    assert!(0.6 < shares.used(&name(0), 100, millis(4_600)));
+    assert!(0.6 < shares.share_used(&name(0), 100, millis(4_600)));
 }
 
 proptest! {
@@ -218,27 +218,27 @@
             now += pause;
             if is_begun {
                 let counted = here.begin(&name(workspace), tokens, millis(now));
-                here.keep(request, counted);
+                here.remember(request, counted);
                 expected.insert(request, (workspace, tokens, now));
             } else {
-                here.take_back(request, millis(now));
+                here.revert(request, millis(now));
                 // What was counted longer ago than the window may be remembered or not: nobody asks for it.
                 if expected.get(&request).is_some_and(|(_, _, at)| now <= at + 4_000) {
                     expected.remove(&request);
                 }
             }
-            for (workspace, tokens) in here.take_own() {
-                there.add(&workspace, tokens, millis(now));
+            for (workspace, tokens) in here.take_local() {
+                there.add_remote(&workspace, tokens, millis(now));
             }
             prop_assert_eq!(sorted(&here), sorted(&there));
         }
         let lately: u64 = expected.values().filter(|(_, _, at)| now <= at + 4_000).map(|(_, t, _)| t).sum();
-        let counted: i64 = there.totals().map(|(_, t)| t.begun).sum();
+        let counted: i64 = there.totals().map(|(_, t)| t.admitted).sum();
         prop_assert!(lately as i64 <= counted);
     }
 }
 
-fn sorted(shares: &Shares) -> Vec<(WorkspaceName, Tokens)> {
+fn sorted(shares: &Shares) -> Vec<(WorkspaceName, TokenCounts)> {
     let mut all: Vec<_> = shares.totals().collect();
     all.sort_by(|a, b| a.0.cmp(&b.0));
     all
--- a/tests/proxy_speed.rs
+++ b/tests/proxy_speed.rs
@@ -7,9 +7,9 @@
 use frostdyke::names::VersionName;
 use frostdyke::names::ZoneName;
 use frostdyke::placement::choice::Choice;
-use frostdyke::placement::choice::Wanted;
+use frostdyke::placement::choice::SelectionCriteria;
 use frostdyke::placement::engine::Placement;
-use frostdyke::placement::fleet::Fleet;
+use frostdyke::placement::registry::UpstreamRegistry;
 use frostdyke::placement::speed::Speed;
 use frostdyke::placement::tuning::Tuning;
 use frostdyke::proxy::dialect::Listed;
@@ -41,7 +41,7 @@
 
 /// A fleet of one engine and what is under way there.
 struct Scene {
-    fleet: Fleet,
+    fleet: UpstreamRegistry,
     rng: StdRng,
     now: f64,
     free_at: f64,
@@ -58,7 +58,7 @@
 
 impl Scene {
     fn new(seed: u64, tokens_per_ms: f64) -> Scene {
-        let mut fleet = Fleet::new(ZoneName::from("a"), tuning(tokens_per_ms));
+        let mut fleet = UpstreamRegistry::new(ZoneName::from("a"), tuning(tokens_per_ms));
         let listed = Listed {
             name: UpstreamName::from("e1"),
             service: ServiceName::from("llm"),
@@ -70,7 +70,7 @@
             leaving: false,
             cold_for: None,
         };
-        fleet.set(listed, Some(LIMITS));
+        fleet.upsert(listed, Some(LIMITS));
         let rng = StdRng::seed_from_u64(seed);
         let (under_way, ratios) = (Vec::new(), Vec::new());
         Scene { fleet, rng, now: 0.0, free_at: 0.0, under_way, next: 1, ratios }
@@ -94,8 +94,8 @@
         for (at, request, took) in self.under_way.drain(..due) {
             let name = UpstreamName::from("e1");
             let (took, at) = (Duration::from_secs_f64(took), Duration::from_secs_f64(at));
-            self.fleet.first(&name, request, Some(took), at);
-            self.fleet.end(&name, request);
+            self.fleet.record_first_token(&name, request, Some(took), at);
+            self.fleet.remove_request(&name, request);
         }
     }
 
@@ -108,10 +108,10 @@
         let placement = Placement {
             request,
             prompt: &prompt,
-            unread: choice.unread,
-            copied: choice.copied,
+            prefill_tokens: choice.prefill_tokens,
+            copied_tokens: choice.copied_tokens,
             sender: None,
-            decided: None,
+            decided_by: None,
         };
         self.fleet.place(&choice.upstream, placement, now);
         self.free_at = self.free_at.max(self.now) + truth.reading(tokens);
@@ -125,9 +125,9 @@
     }
 
     fn choose(&self, prompt: &Prompt, now: Duration) -> Choice {
-        let (prompt, except) = (Some(prompt), &[][..]);
+        let (prompt, excluded) = (Some(prompt), &[][..]);
         let wait_max = Duration::MAX;
-        let wanted = Wanted::any("llm", prompt, except, wait_max);
+        let wanted = SelectionCriteria::any("llm", prompt, excluded, wait_max);
         self.fleet.choose(wanted, now).expect("there is an engine")
     }
 
--- a/tests/proxy_view.rs
+++ b/tests/proxy_view.rs
@@ -9,7 +9,7 @@
 use frostdyke::names::UpstreamName;
 use frostdyke::names::VersionName;
 use frostdyke::names::ZoneName;
-use frostdyke::placement::fleet::Fleet;
+use frostdyke::placement::registry::UpstreamRegistry;
 use frostdyke::placement::tuning::Tuning;
 use frostdyke::proxy::dialect::Listed;
 use frostdyke::proxy::digests;
@@ -40,7 +40,7 @@
 
 /// A view that sees the store, which lists `a` and `b`.
 fn view() -> View {
-    let mut view = View::new(Fleet::new(ZoneName::from("a"), Tuning::default()));
+    let mut view = View::new(UpstreamRegistry::new(ZoneName::from("a"), Tuning::default()));
     view.store_regained(millis(0));
     view.list(vec![upstream("a"), upstream("b")], millis(0));
     view.take_changes();
@@ -55,7 +55,7 @@
 /// and tells the hundred of its zone what it hears: 24 MB a restart, while all of it was news to it.
 #[test]
 fn a_box_that_starts_tells_nobody_what_all_know() {
-    let mut view = View::new(Fleet::new(ZoneName::from("a"), Tuning::default()));
+    let mut view = View::new(UpstreamRegistry::new(ZoneName::from("a"), Tuning::default()));
     view.store_regained(millis(0));
     let leaving = Listed { leaving: true, ..upstream("c") };
     view.list(vec![upstream("a"), upstream("b"), leaving], millis(0));
@@ -138,7 +138,7 @@
 #[test]
 fn a_box_without_a_list_takes_no_upstreams_away() {
     let now = millis(1_000);
-    let mut watcher = View::new(Fleet::new(ZoneName::from("a"), Tuning::default()));
+    let mut watcher = View::new(UpstreamRegistry::new(ZoneName::from("a"), Tuning::default()));
     watcher.store_regained(millis(0));
     let mut box_ = view();
     box_.store_left_to_others();
@@ -311,7 +311,7 @@
 fn a_box_that_was_told_all_there_is_is_as_good_as_one_that_has_asked() {
     let now = millis(1_000);
     let watcher = view();
-    let mut box_ = View::new(Fleet::new(ZoneName::from("a"), Tuning::default()));
+    let mut box_ = View::new(UpstreamRegistry::new(ZoneName::from("a"), Tuning::default()));
     ["a", "b"].iter().for_each(|name| box_.told_listed(upstream(name), now));
     let told = watcher.difference(0, &box_.digests(now), now);
     assert_eq!(told.upstreams, []);
@@ -398,7 +398,7 @@
     let mut watcher = view();
     watcher.up_to(Revision::new(1, 90));
     let stale = watcher.snapshot(millis(100));
-    let mut other = View::new(Fleet::new(ZoneName::from("a"), Tuning::default()));
+    let mut other = View::new(UpstreamRegistry::new(ZoneName::from("a"), Tuning::default()));
     other.take_over(stale.clone(), millis(200));
     assert_eq!(other.revision(), Revision::new(1, 90));
     watcher.in_era(2, millis(300));
@@ -423,7 +423,7 @@
     view.in_era(7, millis(30));
     view.in_era(6, millis(40));
     assert_eq!(view.take_changes(), [4, 5, 7].map(Change::Restored));
-    let mut fresh = View::new(Fleet::new(ZoneName::from("a"), Tuning::default()));
+    let mut fresh = View::new(UpstreamRegistry::new(ZoneName::from("a"), Tuning::default()));
     fresh.in_era(7, millis(0));
     fresh.list(vec![upstream("a")], millis(0));
     assert_eq!(fresh.take_changes(), [Change::Listed(1)]);
