--- a/src/placement/admit.rs
+++ b/src/placement/admit.rs
@@ -24,79 +24,78 @@
 use crate::placement::upstream::COPY_TOKENS_MIN;
 use crate::proxy::dialect::Prompt;
 
-/// A workspace that is over its share by this part of it gets only what needs no wait at all.
-const SHARE_EXCESS: f64 = 0.5;
+/// A workspace that exceeds its share by this fraction is admitted only where it need not wait at
+/// all.
+const SHARE_EXCESS_MAX: f64 = 0.5;
 
-/// A workspace that has had less than this part of its share goes to any engine that is free. The
-/// others stay with the engines that keep their parts: to copy these or read them again takes from
-/// what all can be served.
-const SHARE_ANYWHERE: f64 = 0.85;
+/// A workspace that has used less than this fraction of its share may go to any free engine. Other
+/// workspaces stay with the engines that have their prompt parts cached, because copying or
+/// recomputing those parts reduces the capacity of all.
+const ANY_ENGINE_SHARE_MAX: f64 = 0.85;
 
-/// What is wanted of whoever keeps the models.
+/// What a box is asked to do that owns the engines or is their standby.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Purpose {
-    /// To place a request, unless much that others share would have to be read for it. Then an engine
-    /// elsewhere may keep that, and can be copied from.
+    /// Place the request, unless a large shared part of the prompt would have to be prefilled. An
+    /// engine elsewhere may then have that part cached and serve as the copy source.
     PlaceIfCached,
-    /// To place a request.
+    /// Place the request.
     Place,
-    /// To say which engine keeps the most of a prompt.
+    /// Report which engine has the most of the prompt cached.
     Lookup,
 }
 
-/// A request for an engine, as whoever decides sees it.
+/// A request for an engine, as the deciding box sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementQuery<'a> {
-    /// Names the send.
+    /// Identifies this attempt to send the request.
     pub request: u64,
-    /// The service.
     pub service: &'a str,
-    /// What is to be read.
+    /// The prompt to prefill.
     pub prompt: &'a Prompt,
-    /// Whom it is charged to.
+    /// The workspace that is charged; `None` for requests without one.
     pub workspace: Option<&'a WorkspaceName>,
-    /// Engines that are out of the question.
+    /// Engines that may not be chosen.
     pub excluded: &'a [UpstreamName],
-    /// The route's aim for the first token.
+    /// The route's target for the time to the first token.
     pub target_latency: Duration,
-    /// How much of that has passed.
+    /// How much of that time has passed.
     pub waited: Duration,
-    /// The engines that it may go to; all of the service if nothing is given.
+    /// The engines that may be chosen; `None` allows all of the service.
     pub group: Option<Group>,
-    /// The versions that it may go to.
+    /// The versions that may be chosen.
     pub side: Side,
-    /// The availability zone of the box that sends it; this box's if nothing is given.
+    /// The availability zone of the sending box; `None` for this box's.
     pub zone: Option<&'a ZoneName>,
-    /// The box that sends it; nothing for this one.
+    /// The sending box; `None` for this one.
     pub sender: Option<IpAddr>,
-    /// An engine that may not be chosen and keeps some of the prompt.
+    /// An engine that may not be chosen but has part of the prompt cached.
     pub source: Option<CopySource>,
-    /// What is wanted.
     pub purpose: Purpose,
-    /// Whether no other group of engines will be asked.
+    /// Whether no further group of engines will be asked.
     pub is_last_group: bool,
-    /// By what right whoever decides does so.
+    /// The role in which this box decides.
     pub role: Role,
 }
 
-/// Why a request isn't placed.
+/// Why a request is not placed.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Denial {
-    /// The cause.
     pub cause: ChoiceError,
-    /// How much of its share the workspace would have used with it.
+    /// The fraction of its share that the workspace would have used, with this request included.
     pub share_used: f64,
-    /// How long it could have waited.
+    /// The longest wait that would have been accepted.
     pub wait_max: Duration,
-    /// An engine that keeps some of the prompt.
+    /// An engine that has part of the prompt cached.
     pub source: Option<CopySource>,
-    /// Whether other groups of engines may be asked. Then it isn't counted as refused yet.
+    /// Whether other groups of engines may be asked. If so, the request is not yet counted as
+    /// refused.
     pub may_try_other_groups: bool,
 }
 
-/// Places a request and counts it, or counts it as refused.
+/// Places a request and charges the workspace's share, or counts the request as refused.
 pub fn admit(
-    fleet: &mut UpstreamRegistry,
+    registry: &mut UpstreamRegistry,
     shares: &mut Shares,
     query: PlacementQuery<'_>,
     now: Duration,
@@ -104,15 +103,15 @@
     let PlacementQuery { request, prompt, sender, .. } = query;
     let charge = prompt.charge();
     let share_used = query.workspace.map_or(0.0, |w| shares.share_used(w, charge, now));
-    let (busy, idle) = wait_limits(fleet.tuning(), query.target_latency, share_used);
-    let left = busy.saturating_sub(query.waited);
+    let (busy, idle) = wait_limits(registry.tuning(), query.target_latency, share_used);
+    let remaining = busy.saturating_sub(query.waited);
     let criteria = SelectionCriteria {
         service: query.service,
         prompt: Some(prompt),
         excluded: query.excluded,
-        wait_max: left,
+        wait_max: remaining,
         wait_max_idle: idle.saturating_sub(query.waited),
-        any_engine: share_used <= SHARE_ANYWHERE,
+        any_engine: share_used <= ANY_ENGINE_SHARE_MAX,
         group: query.group,
         side: query.side,
         zone: query.zone,
@@ -120,24 +119,24 @@
         role: query.role,
     };
     if query.purpose == Purpose::Lookup {
-        let (cause, source) = (ChoiceError::LookupOnly, fleet.best_cached_source(criteria, now));
+        let (cause, source) = (ChoiceError::LookupOnly, registry.best_cached_source(criteria, now));
         return Err(Denial {
             cause,
             share_used,
-            wait_max: left,
+            wait_max: remaining,
             source,
             may_try_other_groups: true,
         });
     }
-    let cause = match fleet.choose(criteria, now) {
+    let cause = match registry.choose(criteria, now) {
         Ok(choice)
-            if query.purpose == Purpose::PlaceIfCached && is_worth_a_look(prompt, &choice) =>
+            if query.purpose == Purpose::PlaceIfCached && is_copy_worthwhile(prompt, &choice) =>
         {
             let (cause, source) = (ChoiceError::NotCached, None);
             return Err(Denial {
                 cause,
                 share_used,
-                wait_max: left,
+                wait_max: remaining,
                 source,
                 may_try_other_groups: true,
             });
@@ -153,7 +152,7 @@
                 sender,
                 decided_by: Some(query.role),
             };
-            fleet.place(&choice.upstream, placement, now);
+            registry.place(&choice.upstream, placement, now);
             if let Some(workspace) = query.workspace {
                 let counted = shares.begin(workspace, charge, now);
                 shares.remember(request, counted);
@@ -169,20 +168,22 @@
         let counted = shares.refuse(workspace, charge, now);
         shares.remember(request, counted);
     }
-    let source = if may_try_other_groups { fleet.best_cached_source(criteria, now) } else { None };
-    Err(Denial { cause, share_used, wait_max: left, source, may_try_other_groups })
+    let source =
+        if may_try_other_groups { registry.best_cached_source(criteria, now) } else { None };
+    Err(Denial { cause, share_used, wait_max: remaining, source, may_try_other_groups })
 }
 
-/// Whether enough would be read that others share, so that a copy would be worth it.
-fn is_worth_a_look(prompt: &Prompt, choice: &Choice) -> bool {
+/// Whether the choice would prefill enough shared tokens to make a copy worthwhile.
+fn is_copy_worthwhile(prompt: &Prompt, choice: &Choice) -> bool {
     let own = prompt.parts.last().map_or(prompt.tokens, |own| own.tokens);
     COPY_TOKENS_MIN <= choice.prefill_tokens.saturating_sub(own)
 }
 
-/// How long a request may wait for an engine where the engines are busy, and where they are idle. The
-/// wait is judged, not the time to the first token, so that long prompts are refused no more often than
-/// short ones. A workspace beyond its share gives way to the others as the engines get busy, the further
-/// beyond the sooner; while they have room it waits like any other.
+/// Returns the longest acceptable wait for an engine where the engines are saturated, and where
+/// they are idle. The wait is limited, not the time to the first token, so that long prompts are
+/// refused no more often than short ones. A workspace beyond its share yields to the others as the
+/// engines saturate, the earlier the further it is beyond; while engines are idle it waits like any
+/// other.
 pub fn wait_limits(
     tuning: Tuning,
     target_latency: Duration,
@@ -192,8 +193,8 @@
     if share_used <= 1.0 {
         return (within, within);
     }
-    let left = 1.0 - (share_used - 1.0) / SHARE_EXCESS;
-    let busy = target_latency.mul_f64(tuning.wait_share_over * left.max(0.0));
-    let idle = within.mul_f64(((1.0 + SHARE_EXCESS) / share_used).min(1.0));
+    let remaining = 1.0 - (share_used - 1.0) / SHARE_EXCESS_MAX;
+    let busy = target_latency.mul_f64(tuning.wait_share_over * remaining.max(0.0));
+    let idle = within.mul_f64(((1.0 + SHARE_EXCESS_MAX) / share_used).min(1.0));
     (busy, idle)
 }
--- a/src/placement/backoff.rs
+++ b/src/placement/backoff.rs
@@ -1,36 +1,37 @@
-//! The backoff that an upstream has asked this box for, and the slow start after it.
+//! The backoff that an upstream has requested from this box, and the slow start after it.
 //!
-//! At its end one request is sent; each one that the upstream accepts doubles how many may be in flight, up to the
-//! upstream's slots.
+//! When the backoff ends, one request is sent. Each request that the upstream accepts doubles the
+//! number that may be in flight, up to the upstream's slots.
 
 use std::time::Duration;
 
 /// Requests that may be in flight right after a backoff.
 const FIRST_LIMIT: u32 = 1;
 
-/// A request of a slow start.
+/// Marks a request that is counted in a slow start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlowStartSlot {
-    /// When the backoff began that it follows.
-    began: Duration,
+    /// Start of the backoff that the slow start follows.
+    started: Duration,
 }
 
-/// The backoff that an upstream has asked this box for.
+/// The backoff that an upstream has requested from this box.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Backoff {
-    began: Duration,
+    started: Duration,
     until: Duration,
-    /// Requests that may be in flight; nothing where there is no slow start.
+    /// Requests that may be in flight; `None` outside a slow start.
     limit: Option<u32>,
     in_flight: u32,
 }
 
 impl Backoff {
-    /// The upstream asks for a backoff. A shorter one doesn't end a longer one. True if none was on.
+    /// Starts or extends a backoff; a shorter one does not cut a longer one. Returns whether none
+    /// was active.
     pub fn begin(&mut self, length: Duration, now: Duration) -> bool {
         let is_new = self.until <= now;
         if is_new {
-            self.began = now;
+            self.started = now;
             self.in_flight = 0;
         }
         self.until = self.until.max(now + length);
@@ -38,60 +39,61 @@
         is_new
     }
 
-    /// Time until a request may be sent; nothing if one may be now. Zero while a slow start waits for answers.
-    pub fn left(&self, now: Duration) -> Option<Duration> {
+    /// Time until a request may be sent; `None` if one may be sent now. Zero while a slow start is
+    /// full and waits for responses.
+    pub fn remaining(&self, now: Duration) -> Option<Duration> {
         let is_full = self.limit.is_some_and(|limit| limit <= self.in_flight);
         (now < self.until || is_full).then(|| self.until.saturating_sub(now))
     }
 
-    /// Whether a request may be sent that is one of the slow start or not.
+    /// Whether a request may be sent now, given its slow-start slot if it has one.
     pub fn may_send(&self, slow_start_slot: Option<SlowStartSlot>, now: Duration) -> bool {
-        self.until <= now && (self.limit.is_none() || self.is_counted(slow_start_slot))
+        self.until <= now && (self.limit.is_none() || self.is_of_current_backoff(slow_start_slot))
     }
 
-    /// Counts a request in, if there is a slow start and it has room.
-    pub fn enter(&mut self, now: Duration) -> Option<SlowStartSlot> {
-        let has_room = self.limit.is_some_and(|limit| self.in_flight < limit);
-        if now < self.until || !has_room {
+    /// Reserves a place in the slow start, if there is one with capacity.
+    pub fn acquire(&mut self, now: Duration) -> Option<SlowStartSlot> {
+        let has_capacity = self.limit.is_some_and(|limit| self.in_flight < limit);
+        if now < self.until || !has_capacity {
             return None;
         }
         self.in_flight += 1;
-        Some(SlowStartSlot { began: self.began })
+        Some(SlowStartSlot { started: self.started })
     }
 
-    /// Counts a request out.
-    pub fn leave(&mut self, slow_start_slot: Option<SlowStartSlot>) {
-        if self.is_counted(slow_start_slot) {
+    pub fn release(&mut self, slow_start_slot: Option<SlowStartSlot>) {
+        if self.is_of_current_backoff(slow_start_slot) {
             self.in_flight = self.in_flight.saturating_sub(1);
         }
     }
 
-    /// The upstream has accepted a request of the slow start. True when that is over, at `slots` requests.
+    /// Records that the upstream accepted a request of the slow start. Returns whether the slow
+    /// start is over, which it is once `slots` requests may be in flight.
     pub fn accepted(&mut self, slow_start_slot: Option<SlowStartSlot>, slots: u32) -> bool {
-        if !self.is_counted(slow_start_slot) {
+        if !self.is_of_current_backoff(slow_start_slot) {
             return false;
         }
         self.limit = self.limit.map(|limit| limit * 2).filter(|limit| *limit < slots);
         self.limit.is_none()
     }
 
-    /// Whether something that was sent at this time was sent in the last backoff.
+    /// Whether something sent at this time was sent during the last backoff.
     pub fn covers(&self, sent: Duration) -> bool {
-        self.began < sent && sent < self.until
+        self.started < sent && sent < self.until
     }
 
-    /// Whether the upstream wants nothing now.
-    pub fn is_on(&self, now: Duration) -> bool {
+    /// Whether the backoff has not ended yet.
+    pub fn is_active(&self, now: Duration) -> bool {
         now < self.until
     }
 
-    /// Whether the slow start is over, too.
-    pub fn is_over(&self, now: Duration) -> bool {
+    /// Whether both the backoff and its slow start are over.
+    pub fn is_finished(&self, now: Duration) -> bool {
         self.until <= now && self.limit.is_none()
     }
 
-    /// Requests of before the last backoff aren't counted in its slow start.
-    fn is_counted(&self, slow_start_slot: Option<SlowStartSlot>) -> bool {
-        slow_start_slot.is_some_and(|slow_start_slot| slow_start_slot.began == self.began)
+    /// Requests sent before the last backoff are not counted in its slow start.
+    fn is_of_current_backoff(&self, slow_start_slot: Option<SlowStartSlot>) -> bool {
+        slow_start_slot.is_some_and(|slow_start_slot| slow_start_slot.started == self.started)
     }
 }
--- a/src/placement/cache.rs
+++ b/src/placement/cache.rs
@@ -1,70 +1,73 @@
-//! What an engine is believed to keep of the prompts that it has read.
+//! Predicts which prompt parts an engine has in its prefix cache.
 
 use rustc_hash::FxHashMap;
 
 use crate::proxy::dialect::Part;
 
-/// Parts of prompts, those unused longest giving way first.
+/// Prompt parts, evicted in least-recently-used order.
 #[derive(Clone, Debug)]
 pub struct PrefixCache {
     capacity: u64,
-    held: u64,
+    total_tokens: u64,
     parts: FxHashMap<u64, Entry>,
-    uses: u64,
+    use_counter: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Entry {
     tokens: u32,
-    used: u64,
+    last_used: u64,
 }
 
 impl PrefixCache {
-    /// An empty cache for `capacity` tokens.
+    /// Creates an empty cache for `capacity` tokens.
     pub fn new(capacity: u64) -> PrefixCache {
-        PrefixCache { capacity, held: 0, parts: FxHashMap::default(), uses: 0 }
+        PrefixCache { capacity, total_tokens: 0, parts: FxHashMap::default(), use_counter: 0 }
     }
 
-    /// Tokens at the head of a prompt that need not be read again. A part counts only if all
-    /// before it are kept, too.
-    pub fn kept(&self, parts: &[Part]) -> u32 {
+    /// Tokens at the head of a prompt that need no prefill. A part counts only if all parts before
+    /// it are cached too.
+    pub fn cached_tokens(&self, parts: &[Part]) -> u32 {
         let tokens = |p: &Part| self.parts.get(&p.id).map(|e| e.tokens.min(p.tokens));
         parts.iter().map_while(tokens).sum()
     }
 
-    /// Notes that a prompt is read.
-    pub fn read(&mut self, parts: &[Part]) {
-        // From the last to the first: a part without those before it is of no use, so it gives way
-        // before them.
+    /// Records that a prompt is prefilled.
+    pub fn insert(&mut self, parts: &[Part]) {
+        // Last part first: a part is useless without those before it, so it must be evicted before
+        // them.
         for part in parts.iter().rev() {
-            self.uses += 1;
-            let entry = Entry { tokens: part.tokens, used: self.uses };
-            let before = self.parts.insert(part.id, entry).map_or(0, |e| e.tokens);
-            self.held = self.held + u64::from(part.tokens) - u64::from(before);
+            self.use_counter += 1;
+            let entry = Entry { tokens: part.tokens, last_used: self.use_counter };
+            let previous = self.parts.insert(part.id, entry).map_or(0, |e| e.tokens);
+            self.total_tokens = self.total_tokens + u64::from(part.tokens) - u64::from(previous);
         }
         self.evict();
     }
 
-    /// All parts, those unused longest first.
+    /// All parts, least recently used first.
     pub fn parts(&self) -> Vec<Part> {
-        let mut by_age: Vec<(u64, Part)> =
-            self.parts.iter().map(|(id, e)| (e.used, Part { id: *id, tokens: e.tokens })).collect();
-        by_age.sort_unstable_by_key(|(used, _)| *used);
+        let mut by_age: Vec<(u64, Part)> = self
+            .parts
+            .iter()
+            .map(|(id, e)| (e.last_used, Part { id: *id, tokens: e.tokens }))
+            .collect();
+        by_age.sort_unstable_by_key(|(last_used, _)| *last_used);
         by_age.into_iter().map(|(_, part)| part).collect()
     }
 
     fn evict(&mut self) {
-        if self.held <= self.capacity {
+        if self.total_tokens <= self.capacity {
             return;
         }
-        // In bulk, since finding the oldest costs a sort: down to nine tenths.
+        // Evicts in bulk, down to nine tenths, since finding the oldest parts costs a sort.
         let target = self.capacity / 10 * 9;
         for part in self.parts() {
-            if self.held <= target {
+            if self.total_tokens <= target {
                 return;
             }
             self.parts.remove(&part.id);
-            self.held -= u64::from(part.tokens);
+            self.total_tokens -= u64::from(part.tokens);
         }
     }
 }
--- a/src/placement/choice.rs
+++ b/src/placement/choice.rs
@@ -1,4 +1,4 @@
-//! What a choice of an upstream needs to know, and what it gives.
+//! Input and result of selecting an upstream.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,44 +13,42 @@
 use crate::placement::cold::Role;
 use crate::proxy::dialect::Prompt;
 
-/// An engine that keeps some of a prompt, from which another may copy it.
+/// An engine that has part of a prompt cached, from which another engine may copy it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CopySource {
-    /// Where it listens.
     pub addr: SocketAddr,
-    /// Tokens at the head of the prompt that it keeps.
-    pub kept: u32,
+    /// Tokens at the head of the prompt that it has cached.
+    pub cached: u32,
 }
 
-/// What a choice needs to know of a request.
+/// Constraints on the selection for one request.
 #[derive(Clone, Copy, Debug)]
 pub struct SelectionCriteria<'a> {
-    /// The service.
     pub service: &'a str,
-    /// What is to be read, where it is a model.
+    /// The prompt to prefill; `None` for plain services.
     pub prompt: Option<&'a Prompt>,
-    /// Upstreams that are out of the question.
+    /// Upstreams that may not be chosen.
     pub excluded: &'a [UpstreamName],
-    /// How long it may wait for an engine where the engines are busy.
+    /// The longest acceptable wait where the engines are saturated.
     pub wait_max: Duration,
-    /// The same where they are idle: no less.
+    /// The longest acceptable wait where they are idle; never less than `wait_max`.
     pub wait_max_idle: Duration,
-    /// Whether it may go to any engine for that, or only to the one that it costs least.
+    /// Whether any engine within that wait is acceptable, or only the one with the lowest cost.
     pub any_engine: bool,
-    /// The engines that it may go to; all of the service if nothing is given.
+    /// The engines that may be chosen; `None` allows all of the service.
     pub group: Option<Group>,
-    /// The versions that it may go to, while another one is rolled out.
+    /// The versions that may be chosen while a version is rolled out.
     pub side: Side,
-    /// The availability zone of the box that sends it; this box's if nothing is given.
+    /// The availability zone of the sending box; `None` for this box's.
     pub zone: Option<&'a ZoneName>,
-    /// An engine that may not be chosen and keeps some of the prompt.
+    /// An engine that may not be chosen but has part of the prompt cached.
     pub source: Option<CopySource>,
-    /// By what right this box chooses, where an engine is cold.
+    /// The role in which this box decides, which matters for cold engines.
     pub role: Role,
 }
 
 impl<'a> SelectionCriteria<'a> {
-    /// Any upstream of a service, those in `except` apart, that has no longer wait than this.
+    /// Any upstream of a service that is not in `excluded` and whose wait is at most `wait_max`.
     pub fn any(
         service: &'a str,
         prompt: Option<&'a Prompt>,
@@ -73,47 +71,45 @@
     }
 }
 
-/// The choice for a request.
+/// The upstream selected for a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Choice {
-    /// The upstream.
     pub upstream: UpstreamName,
-    /// Where it listens.
     pub addr: SocketAddr,
-    /// Expected time to the first token; zero for plain services.
+    /// Expected time to the first token. For plain services the expected time to the response if
+    /// `choose_plain` made the choice, else zero.
     pub first_token: Duration,
-    /// Expected wait until it begins to read the prompt.
+    /// Expected wait until the engine starts to prefill the prompt.
     pub wait: Duration,
-    /// Tokens of the prompt that it has to read.
+    /// Tokens of the prompt that the engine has to prefill.
     pub prefill_tokens: u32,
     /// Tokens of the prompt that it copies from another engine.
     pub copied_tokens: u32,
-    /// That engine.
+    /// The engine to copy from.
     pub copy_from: Option<SocketAddr>,
-    /// Whether whoever chose it knows what all boxes send there, and has counted it.
+    /// Whether the deciding box knows what all boxes send to the upstream, and has counted this
+    /// request.
     pub is_counted: bool,
-    /// Requests that run or wait at the engine already.
+    /// Requests that already run or wait at the upstream.
     pub running: usize,
-    /// Tokens of memory that these take.
+    /// Tokens of memory that these occupy.
     pub running_tokens: u64,
 }
 
-/// Why there is no choice.
+/// Why no upstream was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChoiceError {
     /// No upstream of the service is known and in use.
     NoUpstream,
-    /// All that are in use have no room.
+    /// All upstreams in use lack a slot or memory.
     Full,
-    /// Much that others share would have to be read, which may be kept elsewhere.
+    /// A large shared part of the prompt would have to be prefilled, and another engine may have it
+    /// cached.
     NotCached,
-    /// None was wanted.
+    /// Only a lookup was requested.
     LookupOnly,
-    /// It would have to wait for too long at each engine that has room.
-    Busy {
-        /// The shortest wait.
-        wait: Duration,
-    },
+    /// At every engine with room the wait would be too long.
+    Busy { wait: Duration },
 }
 
 impl ChoiceError {
--- a/src/placement/cold.rs
+++ b/src/placement/cold.rs
@@ -1,87 +1,89 @@
-//! Engines that have just started, or are cold again: they bear only so many new requests a second, and
-//! fall over at well above that.
+//! Engines that have just started, or are cold again: they sustain only a limited rate of new
+//! requests, and crash well above it.
 //!
-//! What an engine may get is a bound over all boxes, whatever these believe of each other. So each box that
-//! may believe to be the one that decides uses a part of the bound, and a box that decides without asking
-//! anybody sends nothing there.
+//! The limit applies to the sum over all boxes, even while these disagree about who decides. Each
+//! box that may consider itself the one to decide therefore uses only a fraction of it, and a box
+//! that decides without coordination sends nothing to a cold engine.
 
 use std::time::Duration;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Part of the bound that an engine's owner uses. Two that believe to own it, their standby and requests
-/// that were placed up to 0.4 s before they are sent (the time that connecting may take) stay below it.
+/// Fraction of the limit that an engine's owner uses. Two boxes that both consider themselves the
+/// owner, their standby, and requests placed up to 0.4 s before they are sent (the time that
+/// connecting may take) stay below the limit together.
 const OWNER_SHARE: f64 = 0.35;
 
-/// A standby places this much more slowly than an owner.
-const STANDBY_SLOWNESS: u32 = 2;
+/// A standby's interval between requests is this many times the owner's.
+const STANDBY_INTERVAL_FACTOR: u32 = 2;
 
-/// Part of the bound that boxes use on average where each decides by itself. Their turns are drawn, so that a
-/// second may see several times as many.
+/// Fraction of the limit that all boxes use together on average where each decides by itself. Their
+/// offsets are random, so the rate within a single second may be several times the average.
 const PEERS_SHARE: f64 = 0.35;
 
-/// A box that knows of fewer boxes may be cut off from the others, and counts so many.
+/// Least number of boxes assumed; a box that knows fewer may be cut off from the rest.
 const PEERS_MIN: usize = 16;
 
-/// A box that comes to keep the model of an engine doesn't know what others have just sent there; it waits
-/// for as long as the bound looks back.
+/// Period over which the limit is measured. A box that takes over the state of an engine does not
+/// know what others have just sent there, and waits this long.
 pub const RATE_WINDOW: Duration = Duration::from_secs(1);
 
-/// What an engine bears while it is cold, by the configuration.
+/// What an engine sustains while it is cold, as configured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ColdLimits {
-    /// How long it stays cold after a start.
+    /// How long an engine stays cold after a start.
     #[serde(rename = "lasts")]
     pub duration: Duration,
-    /// Time between two requests that it bears.
+    /// Shortest interval between two requests.
     #[serde(rename = "pace")]
     pub min_interval: Duration,
 }
 
-/// How far above its pace an engine may get requests in any one second, by the operator's settings.
+/// How far the requests in any one second may exceed what an engine sustains, by the operator's
+/// settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdBound {
-    /// How many times what it bears.
+    /// Multiple of the sustained rate.
     pub overage: f64,
-    /// Requests beyond that.
+    /// Requests per second on top of that.
     pub slack: f64,
 }
 
 impl ColdBound {
-    /// Requests in any second that are too many for an engine of these limits.
+    /// Requests per second that are too many for an engine with these limits.
     fn per_second(self, limits: ColdLimits) -> f64 {
         self.overage / limits.min_interval.as_secs_f64() + self.slack
     }
 }
 
 impl Default for ColdBound {
-    /// No more than it bears.
+    /// No more than the engine sustains.
     fn default() -> ColdBound {
         ColdBound { overage: 1.0, slack: 0.0 }
     }
 }
 
-/// By what right a box decides what goes to an engine.
+/// The role in which a box decides what is sent to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It owns the engine's model.
+    /// Owns the engine.
     Owner,
-    /// It takes over from the owner.
+    /// Takes over if the owner fails.
     Standby,
-    /// Each of so many boxes decides, and tells the others.
+    /// One of `boxes` boxes that each decide by themselves and notify the others.
     Peer {
-        /// The boxes, this one and those that are silent now included.
+        /// Number of boxes, including this one and those that are currently dead.
         boxes: usize,
-        /// A number of this box's own, by which it takes its turn.
+        /// Pseudo-random number of this box, which sets its offset within the interval.
         draw: u32,
     },
-    /// None: nobody who keeps the model answers.
+    /// None: no box that tracks the engine responds.
     Unassigned,
 }
 
 impl Role {
-    /// The right as a word for logs.
+    /// The role's name in logs.
     pub fn code(self) -> &'static str {
         match self {
             Role::Owner => "owner",
@@ -92,83 +94,83 @@
     }
 }
 
-/// What is known of the cold start of one engine.
+/// The known state of one engine's cold start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ColdStart {
-    /// When it was first known to be cold, and until when it is.
+    /// When the engine was first known to be cold, and until when it is.
     since: Duration,
     until: Duration,
-    /// When it may get the next request, by all that this box has heard of.
+    /// When it may get the next request, considering the requests of all boxes.
     next: Duration,
-    /// The same, by what this box has sent itself.
+    /// When it may get the next request of this box.
     own_next: Duration,
 }
 
 impl ColdStart {
-    /// Notes that the engine is cold until `until`, if that is later than known. True where it wasn't known
-    /// to be cold for nearly as long.
-    pub fn note(&mut self, until: Duration, now: Duration) -> bool {
-        // Reports of one cold start differ by the time that they take to come.
-        const SAME: Duration = Duration::from_millis(1500);
-        let is_news = self.until.max(now) + SAME < until;
-        if is_news {
+    /// Records that the engine is cold until `until`, if that is later than known. Returns whether
+    /// this is a new cold start.
+    pub fn mark_cold(&mut self, until: Duration, now: Duration) -> bool {
+        // Reports of the same cold start differ by their delay in transit.
+        const SAME_START_TOLERANCE: Duration = Duration::from_millis(1500);
+        let is_new = self.until.max(now) + SAME_START_TOLERANCE < until;
+        if is_new {
             self.since = now;
         }
         self.until = self.until.max(until);
-        is_news
+        is_new
     }
 
-    /// How long it stays cold.
-    pub fn left(&self, now: Duration) -> Duration {
+    /// How long the engine stays cold.
+    pub fn remaining(&self, now: Duration) -> Duration {
         self.until.saturating_sub(now)
     }
 
-    /// Nothing goes there before `until`, while it is cold.
-    pub fn hold(&mut self, until: Duration) {
+    /// Withholds requests before `until` while the engine is cold.
+    pub fn hold_until(&mut self, until: Duration) {
         self.next = self.next.max(until);
     }
 
-    /// Whether a request may go there now.
-    pub fn bears(&self, role: Role, limits: ColdLimits, bound: ColdBound, now: Duration) -> bool {
-        if self.left(now).is_zero() {
+    /// Whether a request may be sent now.
+    pub fn accepts(&self, role: Role, limits: ColdLimits, bound: ColdBound, now: Duration) -> bool {
+        if self.remaining(now).is_zero() {
             return true;
         }
-        let pace = owner_pace(limits, bound);
+        let interval = owner_interval(limits, bound);
         match role {
-            Role::Owner => self.next <= now + pace,
-            Role::Standby => self.next + pace * (STANDBY_SLOWNESS - 1) <= now,
+            Role::Owner => self.next <= now + interval,
+            Role::Standby => self.next + interval * (STANDBY_INTERVAL_FACTOR - 1) <= now,
             Role::Peer { boxes, draw } => {
-                let turn = f64::from(draw) / f64::from(u32::MAX);
-                let first = self.since + own_pace(limits, bound, boxes).mul_f64(turn);
+                let offset = f64::from(draw) / f64::from(u32::MAX);
+                let first = self.since + peer_interval(limits, bound, boxes).mul_f64(offset);
                 self.next.max(self.own_next).max(first) <= now
             }
             Role::Unassigned => false,
         }
     }
 
-    /// Notes that a request is sent there, `own` if by this box and by its own right.
-    pub fn begin(
+    /// Records a request. `decided_by` is this box's role if it made the decision, else `None`.
+    pub fn record_request(
         &mut self,
-        own: Option<Role>,
+        decided_by: Option<Role>,
         limits: ColdLimits,
         bound: ColdBound,
         now: Duration,
     ) {
-        self.next = self.next.max(now) + owner_pace(limits, bound);
-        if let Some(Role::Peer { boxes, .. }) = own {
-            self.own_next = now + own_pace(limits, bound, boxes);
+        self.next = self.next.max(now) + owner_interval(limits, bound);
+        if let Some(Role::Peer { boxes, .. }) = decided_by {
+            self.own_next = now + peer_interval(limits, bound, boxes);
         }
     }
 }
 
-/// Time between two requests that an owner sends. No faster than the engine bears.
-fn owner_pace(limits: ColdLimits, bound: ColdBound) -> Duration {
-    let pace = Duration::from_secs_f64(1.0 / (bound.per_second(limits) * OWNER_SHARE));
-    pace.max(limits.min_interval)
+/// Interval between two requests of an owner; never below what the engine sustains.
+fn owner_interval(limits: ColdLimits, bound: ColdBound) -> Duration {
+    let interval = Duration::from_secs_f64(1.0 / (bound.per_second(limits) * OWNER_SHARE));
+    interval.max(limits.min_interval)
 }
 
-/// Time between two requests that one of so many boxes sends by itself.
-fn own_pace(limits: ColdLimits, bound: ColdBound, boxes: usize) -> Duration {
+/// Interval between two requests of one of `boxes` boxes that decide by themselves.
+fn peer_interval(limits: ColdLimits, bound: ColdBound, boxes: usize) -> Duration {
     let per_second = bound.per_second(limits) * PEERS_SHARE;
     Duration::from_secs_f64(boxes.max(PEERS_MIN) as f64 / per_second)
 }
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -1,5 +1,6 @@
-//! Where a request goes: models of the upstreams, fed by what this box and the others send there,
-//! and the choice among them. Nothing here does input or output; time is a parameter.
+//! Placement: predicts the state of every upstream from the requests that this and other boxes send
+//! to it, and selects the upstream for each request. Performs no I/O; the current time is a
+//! parameter.
 
 pub mod admit;
 pub mod backoff;
--- a/src/placement/plain.rs
+++ b/src/placement/plain.rs
@@ -1,8 +1,9 @@
-//! Upstreams of plain services: what runs and waits there, how long another request would wait, and whether
-//! one is admitted.
+//! Admission for plain services, which run no model: tracks the requests at each upstream, predicts
+//! the wait of another one, and decides whether to admit it.
 //!
-//! An upstream's own queue may be longer than any caller's patience: one that is full serves nobody in time.
-//! So whoever counts what all boxes have there admits only what can be answered within the aim.
+//! An upstream's own queue may be longer than callers wait; once it is full, no request is answered
+//! in time. The box that counts the requests of all boxes therefore admits only those that can be
+//! answered within the target latency.
 
 use std::net::IpAddr;
 use std::time::Duration;
@@ -20,140 +21,148 @@
 use crate::placement::registry::UpstreamRegistry;
 use crate::placement::share::Shares;
 
-/// Time in which a request is worked on, in seconds, until the first answers have told.
-const WORK_FIRST: f64 = 0.05;
+/// Processing time assumed until the first responses are measured, in seconds.
+const PROCESSING_TIME_INITIAL_S: f64 = 0.05;
 
-/// Weight of the newest answer in the average time of work.
-const WORK_WEIGHT: f64 = 0.1;
+/// Weight of the newest response in the average processing time.
+const PROCESSING_TIME_WEIGHT: f64 = 0.1;
 
-/// Part of the aim within which a request must be answered by what is expected; the rest is for callers who were
-/// refused and come back: their aim counts from their first try, and an upstream serves no more by a longer queue.
-/// A longer part fills queues with what comes too late; a shorter one refuses what could be served.
-const AIM_SHARE: f64 = 0.5;
+/// Fraction of the target latency within which the expected response must come. The rest is for
+/// callers that were refused and retry: their time counts from the first attempt, and a longer
+/// queue does not raise an upstream's throughput. A larger fraction fills queues with responses
+/// that come too late; a smaller one refuses requests that could be served.
+const TARGET_LATENCY_SHARE: f64 = 0.5;
 
-/// A request whose end isn't heard of is forgotten after this: many times what an answer takes. Ends are told to whoever
-/// counts by what the sender believes, and as many that are counted in vain as fit let nothing more in.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(2);
+/// Requests whose end is not reported are dropped at this age, many times a usual response time.
+/// Ends are reported to the box that the sender believes to count them, so some get lost; without
+/// expiry, enough lost ends would block all admission.
+const STALE_REQUEST_AGE: Duration = Duration::from_secs(2);
 
-/// Requests at an upstream, in multiples of its slots, that no admission exceeds, however long the aim: more would
-/// fill its queue and have to wait for the others' slow ones.
+/// Most requests at an upstream per slot, whatever the target latency. More would fill its queue
+/// and wait behind slow requests.
 pub const PLACED_PER_SLOT_MAX: u32 = 3;
 
-/// What each request counts among the shares of workspaces.
+/// What each request is charged against its workspace's share.
 pub const REQUEST_CHARGE: u64 = 1;
 
 #[derive(Clone, Copy, Debug)]
-struct Run {
+struct QueuedRequest {
     placed: Duration,
-    /// The box that sent it; nothing for this one.
+    /// The sending box; `None` for this one.
     sender: Option<IpAddr>,
-    /// Whether it could begin at once.
+    /// Whether it could start at once.
     had_slot: bool,
 }
 
-/// What runs and waits at one upstream.
+/// Requests that run or wait at one upstream.
 #[derive(Clone, Debug)]
-pub struct Plain {
-    runs: FxHashMap<u64, Run>,
-    /// Average time of work, in seconds.
-    work: f64,
+pub struct PlainQueue {
+    requests: FxHashMap<u64, QueuedRequest>,
+    /// Average, in seconds.
+    processing_time: f64,
 }
 
-impl Default for Plain {
-    fn default() -> Plain {
-        Plain { runs: FxHashMap::default(), work: WORK_FIRST }
+impl Default for PlainQueue {
+    fn default() -> PlainQueue {
+        PlainQueue { requests: FxHashMap::default(), processing_time: PROCESSING_TIME_INITIAL_S }
     }
 }
 
-impl Plain {
-    /// How long one more request would wait where `slots` are worked on at once.
+impl PlainQueue {
+    /// How long one more request would wait where `slots` are processed at once.
     pub fn wait(&self, slots: u32) -> Duration {
         let slots = f64::from(slots.max(1));
-        let before = (self.runs.len() as f64 + 1.0 - slots).max(0.0);
-        Duration::from_secs_f64(before / slots * self.work)
+        let ahead = (self.requests.len() as f64 + 1.0 - slots).max(0.0);
+        Duration::from_secs_f64(ahead / slots * self.processing_time)
     }
 
-    /// How long one is worked on.
-    pub fn work(&self) -> Duration {
-        Duration::from_secs_f64(self.work)
+    /// Average time to process a request.
+    pub fn processing_time(&self) -> Duration {
+        Duration::from_secs_f64(self.processing_time)
     }
 
-    /// Requests that run or wait there.
+    /// Requests that run or wait.
     pub fn running(&self) -> usize {
-        self.runs.len()
+        self.requests.len()
     }
 
-    /// Notes that a request is sent there.
-    pub fn begin(&mut self, request: u64, sender: Option<IpAddr>, slots: u32, now: Duration) {
-        let had_slot = self.runs.len() < slots as usize;
-        self.runs.insert(request, Run { placed: now, sender, had_slot });
+    /// Records a request that is sent to the upstream.
+    pub fn add_request(&mut self, request: u64, sender: Option<IpAddr>, slots: u32, now: Duration) {
+        let had_slot = self.requests.len() < slots as usize;
+        self.requests.insert(request, QueuedRequest { placed: now, sender, had_slot });
     }
 
-    /// Notes that a request was answered, `took` after it was sent. What had to wait says nothing of the work.
-    pub fn answered(&mut self, request: u64, took: Duration) {
-        if self.runs.get(&request).is_some_and(|run| run.had_slot) {
-            self.work += (took.as_secs_f64() - self.work) * WORK_WEIGHT;
+    /// Records a response, `took` after the request was sent. Requests that had to wait are
+    /// ignored, since their time does not show the processing time.
+    pub fn record_response(&mut self, request: u64, took: Duration) {
+        if self.requests.get(&request).is_some_and(|queued| queued.had_slot) {
+            self.processing_time +=
+                (took.as_secs_f64() - self.processing_time) * PROCESSING_TIME_WEIGHT;
         }
     }
 
-    /// Notes that a request has ended, for whatever reason.
-    pub fn end(&mut self, request: u64) {
-        self.runs.remove(&request);
+    /// Records the end of a request, whatever the reason.
+    pub fn remove_request(&mut self, request: u64) {
+        self.requests.remove(&request);
     }
 
-    /// Forgets the requests of a box that is gone.
+    /// Removes the requests of a dead box.
     pub fn remove_sender(&mut self, sender: IpAddr) {
-        self.runs.retain(|_, run| run.sender != Some(sender));
+        self.requests.retain(|_, queued| queued.sender != Some(sender));
     }
 
-    /// Forgets requests whose ends were never heard of.
+    /// Drops requests whose ends were never reported.
     pub fn tick(&mut self, now: Duration) {
-        self.runs.retain(|_, run| now <= run.placed + FORGOTTEN_AFTER);
+        self.requests.retain(|_, queued| now <= queued.placed + STALE_REQUEST_AGE);
     }
 }
 
-/// A request for a plain service, as whoever counts its upstreams sees it.
+/// A request for a plain service, as the deciding box sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct PlainQuery<'a> {
-    /// Names the send.
+    /// Identifies this attempt to send the request.
     pub request: u64,
-    /// The service.
     pub service: &'a str,
-    /// Whom it is charged to.
+    /// The workspace that is charged; `None` for requests without one.
     pub workspace: Option<&'a WorkspaceName>,
-    /// Upstreams that are out of the question.
+    /// Upstreams that may not be chosen.
     pub excluded: &'a [UpstreamName],
-    /// The versions that it may go to.
+    /// The versions that may be chosen.
     pub side: Side,
-    /// The route's aim for the answer.
+    /// The route's target for the time to the response.
     pub target_latency: Duration,
-    /// How much of that has passed.
+    /// How much of that time has passed.
     pub waited: Duration,
-    /// The availability zone of the box that sends it.
+    /// The availability zone of the sending box.
     pub zone: &'a ZoneName,
-    /// That box; nothing for this one.
+    /// The sending box; `None` for this one.
     pub sender: Option<IpAddr>,
 }
 
-/// Places a request and counts it, or counts it as refused. What would be answered too late is refused at once,
-/// unless it needn't wait at all. A workspace beyond its share waits for less.
+/// Places a request and charges the workspace's share, or counts the request as refused. A request
+/// that would be answered too late is refused at once, unless it need not wait at all. A workspace
+/// beyond its share may wait less.
 pub fn admit(
-    fleet: &mut UpstreamRegistry,
+    registry: &mut UpstreamRegistry,
     shares: &mut Shares,
     query: PlainQuery<'_>,
     now: Duration,
 ) -> Result<Choice, Denial> {
     let share_used = query.workspace.map_or(0.0, |w| shares.share_used(w, REQUEST_CHARGE, now));
-    let (by_share, _) = admit::wait_limits(fleet.tuning(), query.target_latency, share_used);
-    let chosen = fleet.choose_plain(query, now);
+    let (wait_max_by_share, _) =
+        admit::wait_limits(registry.tuning(), query.target_latency, share_used);
+    let chosen = registry.choose_plain(query, now);
     let (cause, wait_max) = match chosen {
-        Ok((choice, work)) => {
-            let left = query.target_latency.mul_f64(AIM_SHARE).saturating_sub(query.waited + work);
-            let wait_max = by_share.min(left);
-            let has_room = choice.running < fleet.admission_limit(&choice.upstream) as usize;
-            if has_room && choice.wait <= wait_max {
+        Ok((choice, processing_time)) => {
+            let remaining = query
+                .target_latency
+                .mul_f64(TARGET_LATENCY_SHARE)
+                .saturating_sub(query.waited + processing_time);
+            let wait_max = wait_max_by_share.min(remaining);
+            let has_capacity = choice.running < registry.admission_limit(&choice.upstream) as usize;
+            if has_capacity && choice.wait <= wait_max {
                 let choice = Choice { is_counted: true, ..choice };
-                fleet.begin_plain(&choice.upstream, query.request, query.sender, now);
+                registry.begin_plain(&choice.upstream, query.request, query.sender, now);
                 if let Some(workspace) = query.workspace {
                     let counted = shares.begin(workspace, REQUEST_CHARGE, now);
                     shares.remember(query.request, counted);
--- a/src/placement/registry.rs
+++ b/src/placement/registry.rs
@@ -1,4 +1,4 @@
-//! All upstreams that this box knows.
+//! All upstreams known to this box.
 
 mod backoff;
 mod cold;
@@ -33,52 +33,51 @@
 use crate::proxy::dialect::Listed;
 use crate::proxy::table::EngineLimits;
 
-/// All upstreams that this box knows.
+/// All upstreams known to this box.
 #[derive(Debug)]
 pub struct UpstreamRegistry {
     zone: ZoneName,
     tuning: Tuning,
-    /// How fast engines read, where some have told.
+    /// Estimated engine speed by service, where first tokens have been measured.
     speeds: BTreeMap<ServiceName, Speed>,
-    /// The same where none has.
-    speed_unknown: Speed,
+    /// The estimate for all other services.
+    default_speed: Speed,
     upstreams: BTreeMap<UpstreamName, Upstream>,
-    /// The same by what is asked for.
+    /// The same upstreams by lookup key.
     index: Index,
-    /// Those where something has been placed and may still be there.
+    /// Upstreams that may have placed requests outstanding.
     busy: BTreeSet<UpstreamName>,
-    /// Those that may not be reachable.
+    /// Upstreams that may be unreachable.
     unverified: BTreeSet<UpstreamName>,
-    /// Those that have asked this box to back off, whether they are listed or not.
+    /// Upstreams that have requested a backoff from this box, whether listed or not.
     backoffs: BTreeMap<UpstreamName, Backoff>,
-    /// Upstreams that choices have looked at so far.
+    /// Upstreams examined by selections so far.
     examined: Cell<u64>,
-    /// Zones whose upstreams get nothing.
-    closed: BTreeSet<ZoneName>,
-    /// Versions that are rolled out.
-    targets: BTreeMap<ServiceName, VersionName>,
+    /// Zones whose upstreams get no requests.
+    closed_zones: BTreeSet<ZoneName>,
+    /// Versions being rolled out, by service.
+    rollout_targets: BTreeMap<ServiceName, VersionName>,
 }
 
 impl UpstreamRegistry {
-    /// Nothing is known yet.
     pub fn new(zone: ZoneName, tuning: Tuning) -> UpstreamRegistry {
         UpstreamRegistry {
             zone,
             tuning,
             speeds: BTreeMap::new(),
-            speed_unknown: Speed::new(&tuning),
+            default_speed: Speed::new(&tuning),
             upstreams: BTreeMap::new(),
             index: Index::default(),
             busy: BTreeSet::new(),
             unverified: BTreeSet::new(),
             backoffs: BTreeMap::new(),
             examined: Cell::new(0),
-            closed: BTreeSet::new(),
-            targets: BTreeMap::new(),
+            closed_zones: BTreeSet::new(),
+            rollout_targets: BTreeMap::new(),
         }
     }
 
-    /// Takes over an upstream that is new or has changed. `limits` where it is an engine.
+    /// Adds or updates an upstream. `limits` is set for engines.
     pub fn upsert(&mut self, listed: Listed, limits: Option<EngineLimits>) {
         if let Some(known) = self.upstreams.get_mut(&listed.name) {
             self.index.remove(known);
@@ -95,64 +94,68 @@
         self.upstreams.insert(upstream.listed.name.clone(), upstream);
     }
 
-    /// The upstreams of these zones get nothing from now on, and those of all others may.
+    /// Replaces the set of zones whose upstreams get no requests.
     pub fn set_closed_zones(&mut self, zones: BTreeSet<ZoneName>) {
-        self.closed = zones;
+        self.closed_zones = zones;
     }
 
-    /// These versions are rolled out from now on, and no others.
-    pub fn set_rollout_targets(&mut self, targets: BTreeMap<ServiceName, VersionName>) {
-        self.targets = targets;
+    /// Replaces the versions being rolled out.
+    pub fn set_rollout_targets(&mut self, rollout_targets: BTreeMap<ServiceName, VersionName>) {
+        self.rollout_targets = rollout_targets;
     }
 
-    /// On which side of its service's roll-out an upstream of this version is.
+    /// The filter of its service's roll-out that an upstream of this version passes.
     pub fn side_of(&self, service: &str, version: &VersionName) -> Side {
-        match self.targets.get(service) {
+        match self.rollout_targets.get(service) {
             None => Side::Any,
             Some(target) if target == version => Side::Target,
             Some(_) => Side::Others,
         }
     }
 
-    fn is_on(&self, side: Side, upstream: &Upstream) -> bool {
+    fn matches_side(&self, side: Side, upstream: &Upstream) -> bool {
         let listed = &upstream.listed;
-        // Most of the time nothing is rolled out.
+        // Usually nothing is being rolled out.
         side == Side::Any
             || matches!(self.side_of(&listed.service, &listed.version), Side::Any)
             || self.side_of(&listed.service, &listed.version) == side
     }
 
-    /// Whether an upstream may get a request of a side. Of one that isn't listed nothing is known.
+    /// Whether an upstream may get a request with this filter. An upstream that is not listed may.
     pub fn allows_side(&self, name: &UpstreamName, side: Side) -> bool {
-        self.upstreams.get(name).is_none_or(|u| self.is_on(side, u))
+        self.upstreams.get(name).is_none_or(|u| self.matches_side(side, u))
     }
 
-    /// Slots of the open upstreams of a service of a version, and of its others.
+    /// Slots of a service's upstreams that accept requests: those of this version, and those of all
+    /// others.
     pub fn slots_by_version(&self, service: &str, version: &str) -> (u64, u64) {
-        let open = self.upstreams.values().filter(|u| &*u.listed.service == service);
-        open.filter(|u| self.takes(u)).fold((0, 0), |(is, other), u| {
+        let of_service = self.upstreams.values().filter(|u| &*u.listed.service == service);
+        of_service.filter(|u| self.is_accepting(u)).fold((0, 0), |(of_version, others), u| {
             let slots = u64::from(u.listed.slots);
-            if &*u.listed.version == version { (is + slots, other) } else { (is, other + slots) }
+            if &*u.listed.version == version {
+                (of_version + slots, others)
+            } else {
+                (of_version, others + slots)
+            }
         })
     }
 
-    /// Requests of this box at a service's upstreams of other versions than this one.
+    /// Requests of this box at a service's upstreams of any other version.
     pub fn outstanding_on_other_versions(&self, service: &str, version: &str) -> u32 {
         let of_service = self.upstreams.values().filter(|u| &*u.listed.service == service);
         of_service.filter(|u| &*u.listed.version != version).map(Upstream::outstanding).sum()
     }
 
-    /// All upstreams, as they are to be told to another box.
+    /// All upstreams, in the form sent to other boxes.
     pub fn listings(&self, now: Duration) -> Vec<Listed> {
-        self.upstreams.values().map(|u| u.told(now)).collect()
+        self.upstreams.values().map(|u| u.listing(now)).collect()
     }
 
-    /// An upstream, as it is to be told to another box.
+    /// An upstream, in the form sent to other boxes.
     pub fn listing(&self, name: &UpstreamName, now: Duration) -> Option<Listed> {
-        self.upstreams.get(name).map(|u| u.told(now))
+        self.upstreams.get(name).map(|u| u.listing(now))
     }
 
-    /// Forgets an upstream.
     pub fn remove(&mut self, name: &UpstreamName) {
         if let Some(upstream) = self.upstreams.remove(name) {
             self.index.remove(&upstream);
@@ -161,7 +164,7 @@
         self.unverified.remove(name);
     }
 
-    /// Marks an upstream as leaving.
+    /// Marks an upstream as leaving: it gets no new requests.
     pub fn mark_leaving(&mut self, name: &UpstreamName) {
         if let Some(upstream) = self.upstreams.get_mut(name) {
             self.index.remove(upstream);
@@ -170,17 +173,15 @@
         }
     }
 
-    /// All upstreams, as listed.
     pub fn listed(&self) -> impl Iterator<Item = &Listed> {
         self.upstreams.values().map(|u| &u.listed)
     }
 
-    /// An upstream, as listed.
     pub fn get(&self, name: &UpstreamName) -> Option<&Listed> {
         self.upstreams.get(name).map(|u| &u.listed)
     }
 
-    /// Whether an upstream is a model's engine.
+    /// Whether an upstream runs a model.
     pub fn is_engine(&self, name: &UpstreamName) -> bool {
         self.upstreams.get(name).is_some_and(|u| u.engine.is_some())
     }
@@ -190,21 +191,21 @@
         self.get(name).is_some_and(|l| !l.leaving)
     }
 
-    /// Notes a request that another box sends to an upstream, or this one if no `sender` is given.
+    /// Records a request sent to an upstream by another box, or by this one if `sender` is `None`.
     pub fn place(&mut self, name: &UpstreamName, placement: Placement<'_>, now: Duration) {
         let Some(upstream) = self.upstreams.get_mut(name) else { return };
         self.busy.insert(name.clone());
         let Some(engine) = &mut upstream.engine else {
             let Placement { request, sender, .. } = placement;
-            upstream.plain.begin(request, sender, upstream.listed.slots, now);
+            upstream.plain.add_request(request, sender, upstream.listed.slots, now);
             return;
         };
-        let speed = self.speeds.get(&upstream.listed.service).unwrap_or(&self.speed_unknown);
+        let speed = self.speeds.get(&upstream.listed.service).unwrap_or(&self.default_speed);
         engine.place(placement, speed, self.tuning, now);
     }
 
-    /// Notes the first token of a request, which came `took` after it was sent: nothing where that
-    /// was when it was noted.
+    /// Records the first token of a request, `took` after it was sent; `None` means after it was
+    /// placed.
     pub fn record_first_token(
         &mut self,
         name: &UpstreamName,
@@ -214,51 +215,50 @@
     ) {
         let Some(upstream) = self.upstreams.get_mut(name) else { return };
         let Some(engine) = &mut upstream.engine else {
-            took.into_iter().for_each(|took| upstream.plain.answered(request, took));
+            took.into_iter().for_each(|took| upstream.plain.record_response(request, took));
             return;
         };
         if !self.speeds.contains_key(&upstream.listed.service) {
-            self.speeds.insert(upstream.listed.service.clone(), self.speed_unknown.clone());
+            self.speeds.insert(upstream.listed.service.clone(), self.default_speed.clone());
         }
         let Some(speed) = self.speeds.get_mut(&upstream.listed.service) else { return };
-        engine.first(request, took, speed, now);
+        engine.record_first_token(request, took, speed, now);
     }
 
-    /// How choices are weighed.
     pub fn tuning(&self) -> Tuning {
         self.tuning
     }
 
-    /// How fast the engines of a service read.
+    /// Estimated speed of a service's engines.
     pub fn speed(&self, service: &str) -> &Speed {
-        self.speeds.get(service).unwrap_or(&self.speed_unknown)
+        self.speeds.get(service).unwrap_or(&self.default_speed)
     }
 
-    /// Notes the end of a request.
+    /// Records the end of a request.
     pub fn remove_request(&mut self, name: &UpstreamName, request: u64) {
         let Some(upstream) = self.upstreams.get_mut(name) else { return };
         match &mut upstream.engine {
-            Some(engine) => engine.end(request),
-            None => upstream.plain.end(request),
+            Some(engine) => engine.remove_request(request),
+            None => upstream.plain.remove_request(request),
         }
     }
 
-    /// Forgets a request that isn't sent, wherever it was placed.
+    /// Removes a request that is not sent, wherever it was placed.
     pub fn withdraw(&mut self, request: u64, now: Duration) {
         for name in &self.busy {
             let Some(upstream) = self.upstreams.get_mut(name) else { continue };
             match &mut upstream.engine {
                 Some(engine) => {
                     let speed = self.speeds.get(&upstream.listed.service);
-                    let speed = speed.unwrap_or(&self.speed_unknown);
+                    let speed = speed.unwrap_or(&self.default_speed);
                     engine.withdraw(request, speed, self.tuning, now);
                 }
-                None => upstream.plain.end(request),
+                None => upstream.plain.remove_request(request),
             }
         }
     }
 
-    /// Forgets the requests of a box that is gone.
+    /// Removes the requests of a dead box.
     pub fn remove_sender(&mut self, sender: IpAddr) {
         for name in &self.busy {
             let Some(upstream) = self.upstreams.get_mut(name) else { continue };
@@ -267,43 +267,41 @@
         }
     }
 
-    /// All engines.
     pub fn engines(&self) -> impl Iterator<Item = &Listed> {
         self.upstreams.values().filter(|u| u.engine.is_some()).map(|u| &u.listed)
     }
 
-    /// The engines of a group.
     pub fn engines_in_group(&self, group: Group) -> impl Iterator<Item = &Listed> {
         let of_group = self.index.of_group(group).filter_map(|name| self.upstreams.get(name));
         of_group.filter(|u| u.engine.is_some()).map(|u| &u.listed)
     }
 
-    /// Counts a request of this box in.
+    /// Counts a request of this box at an upstream.
     pub fn request_sent(&mut self, name: &UpstreamName) {
         if let Some(upstream) = self.upstreams.get_mut(name) {
-            upstream.sent();
+            upstream.request_sent();
         }
     }
 
-    /// Counts a request of this box out, and notes how it went.
+    /// Ends the count of a request of this box, and records its outcome.
     pub fn request_ended(&mut self, name: &UpstreamName, health: Option<Health>, now: Duration) {
         let Some(upstream) = self.upstreams.get_mut(name) else { return };
-        upstream.ended();
+        upstream.request_ended();
         if let Some(health) = health {
-            upstream.note(health, now);
+            upstream.record_health(health, now);
         }
     }
 
-    /// Notes how a request of this box goes.
+    /// Records the outcome of a request of this box.
     pub fn record_health(&mut self, name: &UpstreamName, health: Health, now: Duration) {
         if let Some(upstream) = self.upstreams.get_mut(name) {
-            upstream.note(health, now);
+            upstream.record_health(health, now);
         }
     }
 
-    /// Forgets what is too old to be true.
+    /// Drops expired state.
     pub fn tick(&mut self, now: Duration) {
-        self.tick_backoffs(now);
+        self.expire_backoffs(now);
         let upstreams = &mut self.upstreams;
         self.busy.retain(|name| {
             let Some(upstream) = upstreams.get_mut(name) else { return false };
@@ -313,27 +311,26 @@
         });
     }
 
-    /// Whether an upstream gets new requests, as far as it and its zone go.
-    fn takes(&self, upstream: &Upstream) -> bool {
-        !upstream.listed.leaving && !self.closed.contains(&upstream.listed.zone)
+    /// Whether neither the upstream itself nor its zone rules out new requests.
+    fn is_accepting(&self, upstream: &Upstream) -> bool {
+        !upstream.listed.leaving && !self.closed_zones.contains(&upstream.listed.zone)
     }
 
-    /// Upstreams that choices have looked at so far: what they cost.
+    /// Upstreams examined by selections so far, a measure of their cost.
     pub fn examined(&self) -> u64 {
         self.examined.get()
     }
 
-    fn look_at(&self, name: &UpstreamName) -> Option<&Upstream> {
+    fn examine(&self, name: &UpstreamName) -> Option<&Upstream> {
         self.examined.set(self.examined.get() + 1);
         self.upstreams.get(name)
     }
 
-    /// How many engines there are.
     pub fn engine_count(&self) -> usize {
-        self.index.engines()
+        self.index.engine_count()
     }
 
-    /// A digest of the upstreams that are in use: boxes that list the same have the same.
+    /// Digest of the upstreams in use; equal for boxes with the same list.
     pub fn digest(&self) -> u64 {
         self.index.digest()
     }
@@ -347,17 +344,18 @@
         self.upstreams.get_mut(name)?.engine.as_mut()
     }
 
-    /// Upstreams of a service that may get work; those that rest only if there are no others.
+    /// Upstreams of a service that may get requests; those in cooldown only if there are no others.
     fn usable(&self, criteria: SelectionCriteria<'_>, now: Duration) -> Vec<&Upstream> {
         let open: Vec<&Upstream> = self
             .index
-            .of(criteria.service, criteria.group)
-            .filter_map(|name| self.look_at(name))
-            .filter(|u| self.takes(u))
-            .filter(|u| self.is_on(criteria.side, u))
+            .of_service(criteria.service, criteria.group)
+            .filter_map(|name| self.examine(name))
+            .filter(|u| self.is_accepting(u))
+            .filter(|u| self.matches_side(criteria.side, u))
             .filter(|u| !criteria.excluded.contains(&u.listed.name))
             .collect();
-        let awake: Vec<&Upstream> = open.iter().copied().filter(|u| u.is_awake(now)).collect();
-        if awake.is_empty() { open } else { awake }
+        let available: Vec<&Upstream> =
+            open.iter().copied().filter(|u| u.is_available(now)).collect();
+        if available.is_empty() { open } else { available }
     }
 }
--- a/src/placement/registry/cold.rs
+++ b/src/placement/registry/cold.rs
@@ -1,4 +1,4 @@
-//! Which engines are cold.
+//! Cold engines.
 
 use std::time::Duration;
 
@@ -8,8 +8,8 @@
 use crate::placement::registry::UpstreamRegistry;
 
 impl UpstreamRegistry {
-    /// Notes that an upstream is cold for so long, or for as long as after a start if nothing is known. True
-    /// where that is news.
+    /// Records that an upstream is cold for this long, or for as long as after a start if `None`.
+    /// Returns whether this is a new cold start.
     pub fn mark_cold(
         &mut self,
         name: &UpstreamName,
@@ -19,7 +19,7 @@
         self.engine(name).is_some_and(|engine| engine.mark_cold(cold_for, now))
     }
 
-    /// Engines of a zone may just have started, all of them.
+    /// Records that all engines of a zone may just have started.
     pub fn mark_zone_cold(&mut self, zone: &ZoneName, now: Duration) {
         let of_zone = self.upstreams.values_mut().filter(|u| u.listed.zone == *zone);
         of_zone.filter_map(|u| u.engine.as_mut()).for_each(|engine| {
@@ -27,13 +27,13 @@
         });
     }
 
-    /// Whether the upstream is an engine that bears less than usual after a start.
+    /// Whether the upstream is an engine with a limited request rate after a start.
     pub fn has_cold_limits(&self, name: &UpstreamName) -> bool {
         let engine = self.upstreams.get(name).and_then(|u| u.engine.as_ref());
         engine.is_some_and(|engine| engine.limits().cold.is_some())
     }
 
-    /// Cold engines of a group get nothing before `until`.
+    /// Withholds requests for a group's cold engines before `until`.
     pub fn hold_cold_engines(&mut self, group: Group, until: Duration) {
         let of_group: Vec<UpstreamName> = self.index.of_group(group).cloned().collect();
         for name in &of_group {
--- a/src/placement/registry/index.rs
+++ b/src/placement/registry/index.rs
@@ -1,5 +1,5 @@
-//! Upstreams by what is asked for, kept as the list changes: a choice looks at those that it may be made among, whatever
-//! the number of all.
+//! Index of the upstreams by lookup key, updated with the list, so that a selection examines only
+//! eligible upstreams, however many there are in all.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,41 +14,42 @@
 use crate::placement::upstream::Upstream;
 use crate::util::mix;
 
-/// Points at which the engine that comes next is looked for; the nearest is taken. With so many each engine gets at most
-/// some 5 % more than its part (multi-probe consistent hashing, Appleton and O'Reilly, 2015).
-const PROBES: u64 = 21;
+/// Number of ring positions tried for each key; the engine nearest to its position is taken. With
+/// this many, each engine gets at most some 5 % more than its even part (multi-probe consistent
+/// hashing, Appleton and O'Reilly, 2015).
+const HASH_PROBES: u64 = 21;
 
-/// Upstreams by service and the hash of their names, and what is told of all of them.
+/// Upstreams by service and name hash, and totals over all of them.
 #[derive(Debug, Default)]
 pub(super) struct Index {
     by_hash: BTreeMap<ServiceName, BTreeMap<(u64, UpstreamName), IsEngine>>,
     leaving: BTreeSet<(ServiceName, UpstreamName)>,
     addrs: FxHashMap<SocketAddr, u32>,
-    engines: usize,
+    engine_count: usize,
     digest: u64,
 }
 
 type IsEngine = bool;
 
 impl Index {
-    /// Adds an upstream, which isn't in it.
+    /// Adds an upstream that is not in the index.
     pub(super) fn add(&mut self, u: &Upstream) {
         let (service, name) = (u.listed.service.clone(), u.listed.name.clone());
-        self.engines += usize::from(u.engine.is_some());
+        self.engine_count += usize::from(u.engine.is_some());
         *self.addrs.entry(u.listed.addr).or_default() += 1;
         if u.listed.leaving {
             self.leaving.insert((service.clone(), name.clone()));
         } else {
             self.digest = self.digest.wrapping_add(mix(u.hash));
         }
-        let of_service = self.by_hash.entry(service).or_default();
-        of_service.insert((u.hash, name), u.engine.is_some());
+        let entries = self.by_hash.entry(service).or_default();
+        entries.insert((u.hash, name), u.engine.is_some());
     }
 
-    /// Takes an upstream out as it was added.
+    /// Removes an upstream, which must be unchanged since it was added.
     pub(super) fn remove(&mut self, u: &Upstream) {
         let listed = &u.listed;
-        self.engines -= usize::from(u.engine.is_some());
+        self.engine_count -= usize::from(u.engine.is_some());
         if let Some(count) = self.addrs.get_mut(&listed.addr) {
             *count -= 1;
             if *count == 0 {
@@ -60,58 +61,57 @@
         } else {
             self.digest = self.digest.wrapping_sub(mix(u.hash));
         }
-        if let Some(of_service) = self.by_hash.get_mut(&listed.service) {
-            of_service.remove(&(u.hash, listed.name.clone()));
+        if let Some(entries) = self.by_hash.get_mut(&listed.service) {
+            entries.remove(&(u.hash, listed.name.clone()));
         }
     }
 
-    /// How many engines there are.
-    pub(super) fn engines(&self) -> usize {
-        self.engines
+    pub(super) fn engine_count(&self) -> usize {
+        self.engine_count
     }
 
-    /// A digest of the upstreams that don't leave.
+    /// Digest of the upstreams that are not leaving.
     pub(super) fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Whether any upstream has an address.
+    /// Whether any upstream has this address.
     pub(super) fn has_addr(&self, addr: &SocketAddr) -> bool {
         self.addrs.contains_key(addr)
     }
 
-    /// The upstreams of a service, or those of a group of them.
-    pub(super) fn of(
+    /// The upstreams of a service, or those of them in a group.
+    pub(super) fn of_service(
         &self,
         service: &str,
         group: Option<Group>,
     ) -> impl Iterator<Item = &UpstreamName> {
         let range = group.map_or(0..=u64::MAX, Group::hashes);
-        let of_service = self.by_hash.get(service);
-        of_service
+        let entries = self.by_hash.get(service);
+        entries
             .into_iter()
-            .flat_map(move |all| within(all, range.clone()))
+            .flat_map(move |all| entries_in_range(all, range.clone()))
             .map(|((_, name), _)| name)
     }
 
     /// The upstreams of a group, whatever their service.
     pub(super) fn of_group(&self, group: Group) -> impl Iterator<Item = &UpstreamName> {
-        self.by_hash.keys().flat_map(move |service| self.of(service, Some(group)))
+        self.by_hash.keys().flat_map(move |service| self.of_service(service, Some(group)))
     }
 
-    /// The upstreams of a service that leave.
+    /// The upstreams of a service that are leaving.
     pub(super) fn leaving(&self, service: &str) -> impl Iterator<Item = &UpstreamName> {
-        // A text is ordered before all that it begins.
+        // A string sorts before all strings that it is a prefix of.
         let from = (ServiceName::from(service), UpstreamName::none());
         self.leaving.range(from..).take_while(move |(s, _)| &**s == service).map(|(_, name)| name)
     }
 
-    /// The hash of the engine of a service to which something of this hash belongs, of those that are `eligible`. Most stay
-    /// where they are when engines come and go.
+    /// The name hash of the `eligible` engine of a service to which a key is assigned. Most keys
+    /// stay with their engines when others are added or removed.
     pub(super) fn home(
         &self,
         service: &str,
-        of: u64,
+        key: u64,
         eligible: impl Fn(&UpstreamName) -> bool,
     ) -> Option<u64> {
         let all = self.by_hash.get(service)?;
@@ -121,16 +121,16 @@
             let mut ring = ring.take(all.len()).filter(|(_, is_engine)| **is_engine);
             ring.find(|((_, name), _)| eligible(name)).map(|((hash, _), _)| *hash)
         };
-        let first = next(mix(of))?;
+        let first = next(mix(key))?;
         let distance = |point: u64| next(point).map(|hash| (hash.wrapping_sub(point), hash));
-        let points = (1..PROBES).map(|n| mix(of ^ n.rotate_left(32)));
+        let points = (1..HASH_PROBES).map(|n| mix(key ^ n.rotate_left(32)));
         let nearest =
-            points.filter_map(distance).chain([(first.wrapping_sub(mix(of)), first)]).min();
+            points.filter_map(distance).chain([(first.wrapping_sub(mix(key)), first)]).min();
         nearest.map(|(_, hash)| hash)
     }
 }
 
-fn within(
+fn entries_in_range(
     all: &BTreeMap<(u64, UpstreamName), IsEngine>,
     range: RangeInclusive<u64>,
 ) -> impl Iterator<Item = (&(u64, UpstreamName), &IsEngine)> {
--- a/src/placement/registry/learned.rs
+++ b/src/placement/registry/learned.rs
@@ -1,4 +1,4 @@
-//! What a box has learned of engines, as it is told to one that comes to keep their models.
+//! What a box has learned of engines, as sent to a box that starts to track them.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -12,53 +12,55 @@
 use crate::placement::upstream::Upstream;
 use crate::proxy::dialect::Part;
 
-/// What a box has learned of engines, for one that has just started.
+/// What a box has learned of engines, for a box that has just started.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LearnedReport {
-    /// What engines keep.
+    /// Cache contents by engine.
     pub cached: Vec<CachedParts>,
-    /// How fast those of a service read.
+    /// Estimated engine speed by service.
     pub speeds: Vec<(ServiceName, Speed)>,
-    /// Upstreams that have said themselves that they are draining.
+    /// Upstreams that have announced that they are draining.
     pub draining: Vec<Draining>,
 }
 
-/// What an engine is believed to keep.
+/// The prompt parts that an engine is believed to have cached.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CachedParts {
-    /// The engine.
     pub upstream: UpstreamName,
-    /// Parts of prompts, those unused longest first.
+    /// Least recently used first.
     pub parts: Vec<Part>,
 }
 
 impl UpstreamRegistry {
-    /// What has been learned of the engines, or of those of one group.
+    /// Reports what was learned of all engines, or of those in a group.
     pub fn learned(&self, group: Option<Group>) -> LearnedReport {
-        let kept = |u: &Upstream| {
-            Some(CachedParts { upstream: u.listed.name.clone(), parts: u.engine.as_ref()?.parts() })
+        let cached = |u: &Upstream| {
+            Some(CachedParts {
+                upstream: u.listed.name.clone(),
+                parts: u.engine.as_ref()?.cached_parts(),
+            })
         };
         let speeds = self.speeds.iter().map(|(service, s)| (service.clone(), s.clone()));
-        let kept = match group {
+        let cached = match group {
             Some(group) => {
                 let names = self.index.of_group(group);
-                names.filter_map(|name| self.upstreams.get(name)).filter_map(kept).collect()
+                names.filter_map(|name| self.upstreams.get(name)).filter_map(cached).collect()
             }
-            None => self.upstreams.values().filter_map(kept).collect(),
+            None => self.upstreams.values().filter_map(cached).collect(),
         };
-        LearnedReport { cached: kept, speeds: speeds.collect(), draining: Vec::new() }
+        LearnedReport { cached, speeds: speeds.collect(), draining: Vec::new() }
     }
 
-    /// Takes over what another box has learned of the engines.
+    /// Merges what another box has learned of the engines.
     pub fn apply_learned(&mut self, learned: &LearnedReport) {
-        for kept in &learned.cached {
-            if let Some(engine) = self.engine(&kept.upstream) {
-                engine.keep(&kept.parts);
+        for cached in &learned.cached {
+            if let Some(engine) = self.engine(&cached.upstream) {
+                engine.merge_cached_parts(&cached.parts);
             }
         }
         for (service, speed) in &learned.speeds {
-            let unknown = &self.speed_unknown;
-            let known = self.speeds.entry(service.clone()).or_insert_with(|| unknown.clone());
+            let default = &self.default_speed;
+            let known = self.speeds.entry(service.clone()).or_insert_with(|| default.clone());
             known.adopt(speed);
         }
     }
--- a/src/placement/registry/plain.rs
+++ b/src/placement/registry/plain.rs
@@ -1,4 +1,4 @@
-//! The choice among the upstreams of a plain service, and what runs there.
+//! Selection for plain services, and requests at their upstreams.
 
 use std::net::IpAddr;
 use std::time::Duration;
@@ -11,12 +11,12 @@
 use crate::placement::registry::UpstreamRegistry;
 use crate::placement::upstream::Upstream;
 
-/// Upstreams of a plain service that answer within the same step of time are as good as each other.
-const PLAIN_STEP: Duration = Duration::from_millis(10);
+/// Response times within the same step count as equal.
+const PLAIN_TIME_STEP: Duration = Duration::from_millis(10);
 
 impl UpstreamRegistry {
-    /// Of a plain service's upstreams the one that answers soonest, and how long it works on a request; in the
-    /// sender's zone where several do.
+    /// Chooses the upstream of a plain service with the shortest expected response time, preferring
+    /// the sender's zone among equals. Also returns its processing time.
     pub fn choose_plain(
         &self,
         query: plain::PlainQuery<'_>,
@@ -26,16 +26,16 @@
         let usable = self.usable(SelectionCriteria { side: query.side, ..any }, now);
         let rank = |u: &&&Upstream| {
             let running = u.plain.running();
-            let time = u.plain.wait(u.listed.slots) + u.plain.work();
-            // Averages of work differ a little, always.
-            let steps = time.as_millis() / PLAIN_STEP.as_millis();
-            (steps, running, u.listed.zone != *query.zone)
+            let time = u.plain.wait(u.listed.slots) + u.plain.processing_time();
+            // Averages always differ a little.
+            let time_steps = time.as_millis() / PLAIN_TIME_STEP.as_millis();
+            (time_steps, running, u.listed.zone != *query.zone)
         };
         let best = usable.iter().min_by_key(rank).ok_or(ChoiceError::NoUpstream)?;
-        Ok((best.choice_plain(), best.plain.work()))
+        Ok((best.choice_plain(), best.plain.processing_time()))
     }
 
-    /// Counts a request at an upstream of a plain service.
+    /// Records a request at an upstream of a plain service.
     pub fn begin_plain(
         &mut self,
         name: &UpstreamName,
@@ -44,21 +44,22 @@
         now: Duration,
     ) {
         if let Some(upstream) = self.upstreams.get_mut(name) {
-            upstream.plain.begin(request, sender, upstream.listed.slots, now);
+            upstream.plain.add_request(request, sender, upstream.listed.slots, now);
             self.busy.insert(name.clone());
         }
     }
 
-    /// Requests that whoever keeps an upstream's model, or counts what runs there, lets be there at once.
+    /// Requests that may be placed at an upstream at once, over all boxes.
     pub fn admission_limit(&self, name: &UpstreamName) -> u32 {
         let Some(upstream) = self.upstreams.get(name) else { return 0 };
         let slots = upstream.listed.slots;
         if upstream.engine.is_some() { slots } else { slots * plain::PLACED_PER_SLOT_MAX }
     }
 
-    /// Upstreams of a service that this box leaves alone for now.
+    /// Upstreams of a service that are in cooldown or unverified.
     pub fn unavailable(&self, service: &str, now: Duration) -> Vec<UpstreamName> {
-        let of_service = self.index.of(service, None).filter_map(|name| self.upstreams.get(name));
-        of_service.filter(|u| !u.is_awake(now)).map(|u| u.listed.name.clone()).collect()
+        let of_service =
+            self.index.of_service(service, None).filter_map(|name| self.upstreams.get(name));
+        of_service.filter(|u| !u.is_available(now)).map(|u| u.listed.name.clone()).collect()
     }
 }
--- a/src/placement/registry/reachability.rs
+++ b/src/placement/registry/reachability.rs
@@ -1,4 +1,4 @@
-//! Which upstreams may not be reachable.
+//! Upstreams that may be unreachable.
 
 use std::time::Duration;
 
@@ -8,38 +8,38 @@
 use crate::proxy::dialect::Listed;
 
 impl UpstreamRegistry {
-    /// Notes that an upstream may not be reachable, by what this box saw itself or was told. True
-    /// when this is new.
-    pub fn mark_unverified(&mut self, name: &UpstreamName, is_own: bool, now: Duration) -> bool {
+    /// Records that an upstream may be unreachable, as noticed by this box or reported by another.
+    /// Returns whether this is new.
+    pub fn mark_unverified(&mut self, name: &UpstreamName, is_local: bool, now: Duration) -> bool {
         let Some(upstream) = self.upstreams.get_mut(name) else { return false };
         self.unverified.insert(name.clone());
-        upstream.doubt(is_own, now)
+        upstream.mark_unverified(is_local, now)
     }
 
-    /// Whether no connection to an upstream could be made when it was tried last.
+    /// Whether the last attempt to connect to an upstream failed.
     pub fn last_connect_failed(&self, name: &UpstreamName) -> bool {
         self.upstreams.get(name).is_some_and(Upstream::last_connect_failed)
     }
 
-    /// Notes that a connection to an upstream could be made. True when that was in doubt.
+    /// Records a successful connection to an upstream. Returns whether it was unverified.
     pub fn mark_reachable(&mut self, name: &UpstreamName) -> bool {
         self.unverified.remove(name);
-        self.upstreams.get_mut(name).is_some_and(Upstream::reached)
+        self.upstreams.get_mut(name).is_some_and(Upstream::mark_reachable)
     }
 
-    /// Notes that no connection to an upstream could be made. True when the other boxes should
-    /// hear of it: at the first failure, and only from who came upon it.
+    /// Records a failed connection to an upstream. Returns whether to notify the other boxes: only
+    /// at the first failure, and only if this box noticed the problem.
     pub fn record_connect_failure(&mut self, name: &UpstreamName, now: Duration) -> bool {
         self.upstreams.get_mut(name).is_some_and(|u| u.record_connect_failure(now))
     }
 
-    /// How many upstreams get no work since they may not be reachable.
+    /// Number of upstreams that get no requests since they may be unreachable.
     pub fn unverified_count(&self) -> usize {
         self.unverified.len()
     }
 
-    /// Upstreams that it is time to connect to, to see whether they can be reached. Each is given
-    /// once until [`Fleet::not_reached`] is called for it, or for the longest pause.
+    /// Upstreams to which it is time to try to connect. Each is returned once until
+    /// [`UpstreamRegistry::record_connect_failure`] is called for it, or for the longest interval.
     pub fn take_due_probes(&mut self, now: Duration) -> Vec<Listed> {
         let upstreams = &mut self.upstreams;
         let due = self.unverified.iter().filter_map(|name| {
--- a/src/placement/share.rs
+++ b/src/placement/share.rs
@@ -1,6 +1,6 @@
-//! Fair shares of the engines among workspaces: max-min over a sliding window, of what the whole
-//! fleet served. Every box counts what it and the others admit and refuse, so all come to about
-//! the same shares without asking anybody.
+//! Fair shares of the engines among workspaces: max-min fairness over a sliding window, by what the
+//! whole fleet has served. Every box counts what it and the others admit and refuse, so that all
+//! reach about the same shares without coordination.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,56 +11,56 @@
 
 use crate::names::WorkspaceName;
 
-/// Steps of a window, after which old counts fall out.
-const STEPS: u32 = 8;
+/// Steps of a window, after which old counts expire.
+const WINDOW_STEPS: u32 = 8;
 
-/// Part of the window in which a workspace that asks for more than its share is held to it: with a
-/// window of four seconds a second. If it were the whole window, what it had while there was room would
-/// shut it out when others come, and who comes would take all until it has caught up.
-const LATELY: u32 = 4;
+/// The window divided by this is the recent window, which limits a workspace that requests more
+/// than its share: one second of four. With the whole window, a workspace that used spare capacity
+/// would be shut out when others arrive, and a new one would take everything until it has caught
+/// up.
+const RECENT_WINDOW_DIVISOR: u32 = 4;
 
-/// What workspaces asked for and got lately, in tokens.
+/// What workspaces recently requested and were granted, in tokens.
 #[derive(Debug)]
 pub struct Shares {
     window: Window,
-    /// The newest part of it.
-    lately: Window,
-    /// What this box has admitted and refused since [`Shares::take_local`].
-    own: Sums,
-    /// All that was counted since the start, for figures.
+    /// The newest part of the window.
+    recent: Window,
+    /// Counted by this box since [`Shares::take_local`].
+    local: Sums,
+    /// Counted since the start, for metrics.
     totals: Sums,
-    /// What was counted for requests that may still turn out to run nowhere, and these in the order in which they
-    /// were counted.
-    kept: FxHashMap<u64, ShareCharge>,
-    kept_since: VecDeque<(Duration, u64)>,
+    /// Counts that may have to be reverted, since their requests may still turn out to run nowhere,
+    /// and these requests in the order of counting.
+    remembered: FxHashMap<u64, ShareCharge>,
+    remembered_order: VecDeque<(Duration, u64)>,
 }
 
-/// What was counted of one request or sum.
+/// What was counted for one request or report.
 #[derive(Clone, Debug)]
 pub struct ShareCharge {
     workspace: WorkspaceName,
     tokens: TokenCounts,
     at: Duration,
-    /// Whether this box has counted it, and tells others.
-    is_own: bool,
+    /// Whether this box counted it and reports it to others.
+    is_local: bool,
 }
 
-/// What a workspace asked for and got; less than nothing where more is taken back than was counted.
+/// What a workspace requested and was granted. Negative where more is reverted than was counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TokenCounts {
-    /// What it asked for.
     pub requested: i64,
-    /// What was begun of that.
+    /// The part of that which was admitted.
     pub admitted: i64,
 }
 
 impl TokenCounts {
-    /// Of a request that is begun.
+    /// Counts an admitted request.
     pub fn admitted(tokens: u64) -> TokenCounts {
         TokenCounts { requested: tokens as i64, admitted: tokens as i64 }
     }
 
-    /// Of a request that is refused.
+    /// Counts a refused request.
     pub fn refused(tokens: u64) -> TokenCounts {
         TokenCounts { requested: tokens as i64, admitted: 0 }
     }
@@ -70,40 +70,40 @@
     }
 }
 
-/// What workspaces asked for and got in some time before now.
+/// Counts per workspace over a sliding window.
 #[derive(Debug)]
 struct Window {
     step: Duration,
-    /// The newest step last.
+    /// Newest last.
     steps: VecDeque<Step>,
     sums: Sums,
 }
 
 #[derive(Debug, Default)]
 struct Step {
-    number: u64,
+    index: u64,
     sums: Sums,
 }
 
-/// What each workspace asked for and got in some time. Those that asked for nothing aren't there.
+/// Counts per workspace. Workspaces without any are not contained.
 #[derive(Debug, Default)]
 struct Sums(FxHashMap<WorkspaceName, TokenCounts>);
 
 impl Shares {
-    /// Nothing is counted yet; counts are kept for `window`.
+    /// Creates empty counts over a window of this length.
     pub fn new(window: Duration) -> Shares {
-        let lately = Window::new(window / LATELY);
+        let recent = Window::new(window / RECENT_WINDOW_DIVISOR);
         Shares {
             window: Window::new(window),
-            lately,
-            own: Sums::default(),
+            recent,
+            local: Sums::default(),
             totals: Sums::default(),
-            kept: FxHashMap::default(),
-            kept_since: VecDeque::new(),
+            remembered: FxHashMap::default(),
+            remembered_order: VecDeque::new(),
         }
     }
 
-    /// Counts a request that begins.
+    /// Counts a request that is admitted.
     pub fn begin(&mut self, workspace: &WorkspaceName, tokens: u64, now: Duration) -> ShareCharge {
         self.count(workspace, TokenCounts::admitted(tokens), now)
     }
@@ -113,7 +113,7 @@
         self.count(workspace, TokenCounts::refused(tokens), now)
     }
 
-    /// Adds what another box has counted.
+    /// Adds counts of another box.
     pub fn add_remote(
         &mut self,
         workspace: &WorkspaceName,
@@ -121,63 +121,66 @@
         now: Duration,
     ) -> ShareCharge {
         self.window.add(workspace, tokens, now);
-        self.lately.add(workspace, tokens, now);
+        self.recent.add(workspace, tokens, now);
         self.totals.add(workspace, tokens);
-        ShareCharge { workspace: workspace.clone(), tokens, at: now, is_own: false }
+        ShareCharge { workspace: workspace.clone(), tokens, at: now, is_local: false }
     }
 
-    /// Remembers for which request something was counted, for as long as it matters. A request counts once: what was
-    /// counted for it before is taken back.
+    /// Remembers what was counted for a request, so that it can be reverted while it matters. A
+    /// request counts once: any earlier count for it is reverted.
     pub fn remember(&mut self, request: u64, counted: ShareCharge) {
         let now = counted.at;
         self.revert(request, now);
-        while let Some((at, oldest)) = self.kept_since.front().copied()
+        while let Some((at, oldest)) = self.remembered_order.front().copied()
             && at + self.window.length() < now
         {
-            self.kept_since.pop_front();
-            if self.kept.get(&oldest).is_some_and(|kept| kept.at == at) {
-                self.kept.remove(&oldest);
+            self.remembered_order.pop_front();
+            if self.remembered.get(&oldest).is_some_and(|remembered| remembered.at == at) {
+                self.remembered.remove(&oldest);
             }
         }
-        self.kept_since.push_back((now, request));
-        self.kept.insert(request, counted);
+        self.remembered_order.push_back((now, request));
+        self.remembered.insert(request, counted);
     }
 
-    /// Takes back what was counted for a request that runs nowhere by that decision. Else a workspace that is served by
-    /// boxes whose questions are answered too late would be held to a part of its share.
+    /// Reverts what was counted for a request that runs nowhere by that decision. Otherwise a
+    /// workspace served by boxes that get decisions too late would be limited to a fraction of its
+    /// share.
     pub fn revert(&mut self, request: u64, now: Duration) {
-        let Some(ShareCharge { workspace, tokens, at, is_own }) = self.kept.remove(&request) else {
+        let Some(ShareCharge { workspace, tokens, at, is_local }) =
+            self.remembered.remove(&request)
+        else {
             return;
         };
-        self.window.take_back(&workspace, tokens, at, now);
-        self.lately.take_back(&workspace, tokens, at, now);
+        self.window.revert(&workspace, tokens, at, now);
+        self.recent.revert(&workspace, tokens, at, now);
         self.totals.add(&workspace, tokens.negated());
-        if is_own {
-            self.own.add(&workspace, tokens.negated());
+        if is_local {
+            self.local.add(&workspace, tokens.negated());
         }
     }
 
-    /// What each workspace asked for and got since the start, as far as this box has counted or been told.
+    /// Counts per workspace since the start, as far as known to this box.
     pub fn totals(&self) -> impl Iterator<Item = (WorkspaceName, TokenCounts)> {
         self.totals.0.iter().map(|(name, tokens)| (name.clone(), *tokens))
     }
 
-    /// What this box has admitted and refused since the last call, to be added elsewhere.
+    /// Counts of this box since the last call, to be reported to other boxes.
     pub fn take_local(&mut self) -> FxHashMap<WorkspaceName, TokenCounts> {
-        std::mem::take(&mut self.own).0
+        std::mem::take(&mut self.local).0
     }
 
-    /// How much of its share a workspace would have used with a request of this size: over one is
-    /// over its share. One that asks for no more than its share never is; for one that does, what it
-    /// had lately counts.
+    /// The fraction of its share that a workspace would have used, with a request of this size
+    /// included; above one it is over its share. A workspace that requests no more than its share
+    /// is never over it; for any other, the recent window decides.
     pub fn share_used(&mut self, workspace: &WorkspaceName, tokens: u64, now: Duration) -> f64 {
         let sums = self.window.sums(now);
-        let level = sums.level(workspace, tokens);
-        if sums.asked(workspace) + tokens <= level {
-            return sums.used(workspace, tokens, level);
+        let fair_level = sums.fair_level(workspace, tokens);
+        if sums.requested(workspace) + tokens <= fair_level {
+            return sums.share_used(workspace, tokens, fair_level);
         }
-        let lately = self.lately.sums(now);
-        lately.used(workspace, tokens, lately.level(workspace, tokens))
+        let recent = self.recent.sums(now);
+        recent.share_used(workspace, tokens, recent.fair_level(workspace, tokens))
     }
 
     fn count(
@@ -186,29 +189,29 @@
         tokens: TokenCounts,
         now: Duration,
     ) -> ShareCharge {
-        self.own.add(workspace, tokens);
-        ShareCharge { is_own: true, ..self.add_remote(workspace, tokens, now) }
+        self.local.add(workspace, tokens);
+        ShareCharge { is_local: true, ..self.add_remote(workspace, tokens, now) }
     }
 }
 
 impl Window {
     fn new(length: Duration) -> Window {
-        Window { step: length / STEPS, steps: VecDeque::new(), sums: Sums::default() }
+        Window { step: length / WINDOW_STEPS, steps: VecDeque::new(), sums: Sums::default() }
     }
 
     fn add(&mut self, workspace: &WorkspaceName, tokens: TokenCounts, now: Duration) {
         self.expire(now);
-        let number = self.number(now);
-        if self.steps.back().is_none_or(|s| s.number != number) {
-            self.steps.push_back(Step { number, ..Step::default() });
+        let index = self.index(now);
+        if self.steps.back().is_none_or(|s| s.index != index) {
+            self.steps.push_back(Step { index, ..Step::default() });
         }
         let Some(step) = self.steps.back_mut() else { return };
         step.sums.add(workspace, tokens);
         self.sums.add(workspace, tokens);
     }
 
-    /// Takes back what was added at an earlier time, unless it has fallen out.
-    fn take_back(
+    /// Reverts a count of time `at`, unless it has expired.
+    fn revert(
         &mut self,
         workspace: &WorkspaceName,
         tokens: TokenCounts,
@@ -216,14 +219,14 @@
         now: Duration,
     ) {
         self.expire(now);
-        let number = self.number(at);
-        let Some(step) = self.steps.iter_mut().find(|s| s.number == number) else { return };
+        let index = self.index(at);
+        let Some(step) = self.steps.iter_mut().find(|s| s.index == index) else { return };
         step.sums.add(workspace, tokens.negated());
         self.sums.add(workspace, tokens.negated());
     }
 
     fn length(&self) -> Duration {
-        self.step * (STEPS + 1)
+        self.step * (WINDOW_STEPS + 1)
     }
 
     fn sums(&mut self, now: Duration) -> &Sums {
@@ -231,13 +234,13 @@
         &self.sums
     }
 
-    fn number(&self, now: Duration) -> u64 {
+    fn index(&self, now: Duration) -> u64 {
         (now.as_nanos() / self.step.as_nanos().max(1)) as u64
     }
 
     fn expire(&mut self, now: Duration) {
-        let oldest = self.number(now).saturating_sub(u64::from(STEPS));
-        while self.steps.front().is_some_and(|s| s.number < oldest) {
+        let oldest = self.index(now).saturating_sub(u64::from(WINDOW_STEPS));
+        while self.steps.front().is_some_and(|s| s.index < oldest) {
             let Some(step) = self.steps.pop_front() else { return };
             self.sums.subtract(step.sums);
         }
@@ -261,42 +264,42 @@
         others.0.iter().for_each(|(name, tokens)| self.add(name, tokens.negated()));
     }
 
-    fn asked(&self, workspace: &WorkspaceName) -> u64 {
+    fn requested(&self, workspace: &WorkspaceName) -> u64 {
         self.0.get(workspace).map_or(0, |t| at_least_zero(t.requested))
     }
 
-    fn begun(&self, workspace: &WorkspaceName) -> u64 {
+    fn admitted(&self, workspace: &WorkspaceName) -> u64 {
         self.0.get(workspace).map_or(0, |t| at_least_zero(t.admitted))
     }
 
-    /// How much of its share, `level`, a workspace would have used with a request of this size.
-    fn used(&self, workspace: &WorkspaceName, tokens: u64, level: u64) -> f64 {
-        (self.begun(workspace) + tokens) as f64 / level.max(1) as f64
+    /// The fraction of the share `fair_level` that a workspace would have used, with this request.
+    fn share_used(&self, workspace: &WorkspaceName, tokens: u64, fair_level: u64) -> f64 {
+        (self.admitted(workspace) + tokens) as f64 / fair_level.max(1) as f64
     }
 
-    /// The most that any workspace gets when what was served is shared by max-min.
-    fn level(&self, workspace: &WorkspaceName, tokens: u64) -> u64 {
-        let begun = self.0.values().map(|t| at_least_zero(t.admitted));
-        let capacity = begun.fold(tokens, u64::saturating_add);
-        let own = self.asked(workspace) + tokens;
+    /// The most that any workspace gets in a max-min division of what was served.
+    fn fair_level(&self, workspace: &WorkspaceName, tokens: u64) -> u64 {
+        let admitted = self.0.values().map(|t| at_least_zero(t.admitted));
+        let capacity = admitted.fold(tokens, u64::saturating_add);
+        let own = self.requested(workspace) + tokens;
         let others = self.0.iter().filter(|(name, _)| *name != workspace);
         let others = others.map(|(_, t)| at_least_zero(t.requested));
         let mut requested: Vec<u64> = others.chain([own]).collect();
         requested.sort_unstable();
-        let (mut left, mut count) = (capacity, requested.len() as u64);
-        for want in requested {
-            let even = left / count.max(1);
-            if even <= want {
-                return even;
+        let (mut remaining, mut count) = (capacity, requested.len() as u64);
+        for demand in requested {
+            let equal_part = remaining / count.max(1);
+            if equal_part <= demand {
+                return equal_part;
             }
-            left -= want;
+            remaining -= demand;
             count -= 1;
         }
         u64::MAX
     }
 }
 
-/// More may be taken back than was counted in a window, since boxes tell each other later than they count.
+/// More may be reverted than a window holds, since boxes report to each other after they count.
 fn at_least_zero(tokens: i64) -> u64 {
     u64::try_from(tokens).unwrap_or(0)
 }
--- a/src/placement/speed.rs
+++ b/src/placement/speed.rs
@@ -1,8 +1,8 @@
-//! How fast the engines of a service read prompts, learned from the times to their first tokens.
+//! Estimates how fast the engines of a service prefill, from the times to their first tokens.
 //!
-//! What stands before a request's first token is work: tokens, pairs of tokens, prompts. The time per
-//! unit of each, and the time that is spent whatever the work, are estimated by recursive least squares
-//! (a Kalman filter whose state drifts). Single engines differ from their service by a factor.
+//! The work before a first token consists of tokens, pairs of tokens and prompts. The time per unit
+//! of each, and a fixed time, are estimated by recursive least squares (a Kalman filter with a
+//! drifting state). A single engine differs from its service by a factor.
 
 use std::time::Duration;
 
@@ -11,65 +11,65 @@
 
 use crate::placement::tuning::Tuning;
 
-/// What is estimated: seconds per thousand tokens, per million pairs, per prompt, and in any case.
-const COUNT: usize = 4;
+/// The estimates: seconds per thousand tokens, per million pairs and per prompt, and the fixed
+/// time.
+const PARAMETERS: usize = 4;
 
-/// The place of the time that is spent whatever the work.
-const FIXED: usize = 3;
+/// Index of the fixed time.
+const FIXED_INDEX: usize = 3;
 
-/// How far off the settings are expected to be, as a part of them: the spread of the first estimate.
+/// Relative standard deviation of the initial estimates.
 const PRIOR_SPREAD: f64 = 1.0;
 
-/// By what part of itself an estimate may drift in a second: reading grows slower within seconds as
-/// more requests run beside it.
-const DRIFT: f64 = 0.05;
+/// Relative drift of an estimate per second: prefill slows within seconds as more requests run
+/// beside it.
+const DRIFT_PER_S: f64 = 0.05;
 
-/// Scatter of the times to first tokens: seconds, and part of the expected time. A step under way
-/// when a prompt comes is the first; what other boxes sent meanwhile is the second.
-const SCATTER: f64 = 0.01;
-const SCATTER_SHARE: f64 = 0.2;
+/// Noise of the times to first tokens: in seconds, for a step in progress when a prompt arrives,
+/// and relative to the expected time, for what other boxes have sent meanwhile.
+const NOISE_S: f64 = 0.01;
+const NOISE_SHARE: f64 = 0.2;
 
-/// A time that is further off than this many times its spread counts as if it were so far off:
-/// answers that are held up on their way, or by an engine that hangs, tell little of its speed.
-const OUTLIER: f64 = 2.5;
+/// Errors are clipped at this many standard deviations: responses delayed in transit or by a hung
+/// engine say little about its speed.
+const OUTLIER_SPREADS: f64 = 2.5;
 
-/// No estimate falls below this part of its setting or rises above so many times it.
-const BOUND: f64 = 16.0;
+/// An estimate stays within this factor of its initial value, above and below.
+const BOUND_FACTOR: f64 = 16.0;
 
-/// Time in which half of what is known of a single engine is forgotten, in seconds. An engine that
-/// turns slow is to be left within about a second, and half a dozen first tokens come in one.
-const FACTOR_HALF_LIFE: f64 = 1.5;
+/// Half-life of what is known of a single engine, in seconds. An engine that turns slow is to be
+/// avoided within about a second, in which half a dozen first tokens come.
+const SLOWDOWN_HALF_LIFE_S: f64 = 1.5;
 
-/// Seconds of work for which an engine is believed to be like its service.
-const FACTOR_PRIOR: f64 = 0.4;
+/// Seconds of work at the service's speed that the estimate for a single engine starts with.
+const SLOWDOWN_PRIOR_S: f64 = 0.4;
 
-/// How far one answer can be off the expected time, as a factor, for the sake of a single engine.
-const FACTOR_MAX: f64 = 8.0;
+/// Limit on the ratio of measured to expected time in one measurement of a single engine.
+const SLOWDOWN_MAX: f64 = 8.0;
 
-/// What engines have to do before a first token.
+/// Work of an engine before a first token.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Work {
-    /// Tokens to read, in thousands.
+    /// Tokens to prefill, in thousands.
     pub tokens: f64,
-    /// Pairs of a token to read and one before it, in millions.
+    /// Pairs of a token to prefill and a token before it, in millions.
     pub pairs: f64,
-    /// Prompts.
+    /// Number of prompts.
     pub prompts: f64,
 }
 
 impl Work {
-    /// Reading `unread` tokens behind `kept` ones.
-    pub fn reading(kept: u32, unread: u32) -> Work {
-        let (kept, unread) = (f64::from(kept), f64::from(unread));
+    /// Prefill of `uncached` tokens after `cached` ones.
+    pub fn prefill(cached: u32, uncached: u32) -> Work {
+        let (cached, uncached) = (f64::from(cached), f64::from(uncached));
         Work {
-            tokens: unread / 1e3,
-            pairs: unread * (kept + unread / 2.0) / 1e6,
-            prompts: if unread == 0.0 { 0.0 } else { 1.0 },
+            tokens: uncached / 1e3,
+            pairs: uncached * (cached + uncached / 2.0) / 1e6,
+            prompts: if uncached == 0.0 { 0.0 } else { 1.0 },
         }
     }
 
-    /// This work and another.
-    pub fn and(self, other: Work) -> Work {
+    pub fn plus(self, other: Work) -> Work {
         Work {
             tokens: self.tokens + other.tokens,
             pairs: self.pairs + other.pairs,
@@ -77,77 +77,87 @@
         }
     }
 
-    /// A multiple of this work.
-    pub fn times(self, x: f64) -> Work {
-        Work { tokens: self.tokens * x, pairs: self.pairs * x, prompts: self.prompts * x }
+    pub fn scaled(self, factor: f64) -> Work {
+        Work {
+            tokens: self.tokens * factor,
+            pairs: self.pairs * factor,
+            prompts: self.prompts * factor,
+        }
     }
 
-    fn units(self) -> [f64; COUNT] {
+    fn units(self) -> [f64; PARAMETERS] {
         [self.tokens, self.pairs, self.prompts, 1.0]
     }
 }
 
-/// How fast the engines of a service are believed to be.
+/// Estimated speed of the engines of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Speed {
-    /// Seconds per unit of work.
-    seconds: [f64; COUNT],
-    /// How sure they are.
-    covariance: [[f64; COUNT]; COUNT],
-    settings: [f64; COUNT],
-    /// First tokens that it was learned from.
+    /// Seconds per unit of work; the last one is the fixed time.
+    seconds_per_unit: [f64; PARAMETERS],
+    /// Covariance of the estimates.
+    covariance: [[f64; PARAMETERS]; PARAMETERS],
+    initial_seconds: [f64; PARAMETERS],
+    /// Number of first tokens measured.
     samples: u64,
-    /// When it last drifted.
+    /// When the drift was last applied.
     #[serde(skip)]
-    at: Duration,
+    updated: Duration,
 }
 
 impl Speed {
-    /// What the settings say.
+    /// Starts from the settings.
     pub fn new(tuning: &Tuning) -> Speed {
-        let settings = [
+        let initial_seconds = [
             1.0 / tuning.tokens_per_ms.max(f64::MIN_POSITIVE),
             tuning.per_million_pairs.as_secs_f64(),
             tuning.per_prompt.as_secs_f64(),
             tuning.first_token_overhead.as_secs_f64(),
         ];
-        let mut covariance = [[0.0; COUNT]; COUNT];
-        for (n, setting) in settings.iter().enumerate() {
-            covariance[n][n] = (setting * PRIOR_SPREAD).powi(2);
+        let mut covariance = [[0.0; PARAMETERS]; PARAMETERS];
+        for (n, initial) in initial_seconds.iter().enumerate() {
+            covariance[n][n] = (initial * PRIOR_SPREAD).powi(2);
+        }
+        Speed {
+            seconds_per_unit: initial_seconds,
+            covariance,
+            initial_seconds,
+            samples: 0,
+            updated: Duration::ZERO,
         }
-        Speed { seconds: settings, covariance, settings, samples: 0, at: Duration::ZERO }
     }
 
-    /// Seconds that reading takes.
-    pub fn reading(&self, work: Work) -> f64 {
-        self.expected(work) - self.fixed()
+    /// Seconds of prefill, without the fixed time.
+    pub fn prefill_seconds(&self, work: Work) -> f64 {
+        self.expected(work) - self.fixed_seconds()
     }
 
-    /// Seconds from the end of reading to the first token.
-    pub fn fixed(&self) -> f64 {
-        self.seconds[FIXED]
+    /// Seconds from the end of prefill to the first token.
+    pub fn fixed_seconds(&self) -> f64 {
+        self.seconds_per_unit[FIXED_INDEX]
     }
 
-    /// First tokens that it was learned from.
+    /// Number of first tokens measured.
     pub fn samples(&self) -> u64 {
         self.samples
     }
 
-    /// Takes in that a first token came `took` seconds after it was asked for, with this work before
-    /// it.
-    pub fn learn(&mut self, work: Work, took: f64, now: Duration) {
+    /// Records a first token that came `took` seconds after it was requested, with this work ahead
+    /// of it.
+    pub fn update(&mut self, work: Work, took: f64, now: Duration) {
         self.drift(now);
         let units = work.units();
         let gains = self.covariance.map(|row| dot(&row, &units));
         let expected = self.expected(work);
-        let scatter = SCATTER + SCATTER_SHARE * expected;
-        let spread = dot(&gains, &units) + scatter * scatter;
-        let far = OUTLIER * spread.sqrt();
-        let off = (took - expected).clamp(-far, far);
+        let noise = NOISE_S + NOISE_SHARE * expected;
+        let spread = dot(&gains, &units) + noise * noise;
+        let error_max = OUTLIER_SPREADS * spread.sqrt();
+        let error = (took - expected).clamp(-error_max, error_max);
         for (n, gain) in gains.iter().enumerate() {
-            let setting = self.settings[n];
-            let moved = self.seconds[n] + gain / spread * off;
-            self.seconds[n] = moved.clamp(setting / BOUND, setting * BOUND);
+            let initial = self.initial_seconds[n];
+            let estimate = self.seconds_per_unit[n] + gain / spread * error;
+            self.seconds_per_unit[n] =
+                estimate.clamp(initial / BOUND_FACTOR, initial * BOUND_FACTOR);
             for (m, other) in gains.iter().enumerate() {
                 self.covariance[n][m] -= gain * other / spread;
             }
@@ -155,29 +165,31 @@
         self.samples += 1;
     }
 
-    /// Takes over what another box has learned, unless this one has learned more or that can't be
-    /// so.
+    /// Takes over the estimate of another box if it has more samples and plausible values.
     pub fn adopt(&mut self, other: &Speed) {
-        let settings = self.settings;
-        let is_bounded = |n: usize, x: f64| settings[n] / BOUND <= x && x <= settings[n] * BOUND;
-        let is_sane = other.seconds.iter().enumerate().all(|(n, seconds)| is_bounded(n, *seconds))
-            && other.covariance.iter().flatten().all(|c| c.is_finite());
+        let initial_seconds = self.initial_seconds;
+        let is_bounded = |n: usize, x: f64| {
+            initial_seconds[n] / BOUND_FACTOR <= x && x <= initial_seconds[n] * BOUND_FACTOR
+        };
+        let is_sane =
+            other.seconds_per_unit.iter().enumerate().all(|(n, seconds)| is_bounded(n, *seconds))
+                && other.covariance.iter().flatten().all(|c| c.is_finite());
         if is_sane && self.samples < other.samples {
-            *self = Speed { at: self.at, settings, ..other.clone() };
+            *self = Speed { updated: self.updated, initial_seconds, ..other.clone() };
         }
     }
 
     fn expected(&self, work: Work) -> f64 {
-        dot(&self.seconds, &work.units())
+        dot(&self.seconds_per_unit, &work.units())
     }
 
     fn drift(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        self.at = now;
-        for (n, seconds) in self.seconds.iter().enumerate() {
-            let most = (self.settings[n] * PRIOR_SPREAD).powi(2);
-            let drifted = self.covariance[n][n] + (seconds * DRIFT).powi(2) * passed;
-            self.covariance[n][n] = drifted.min(most.max(self.covariance[n][n]));
+        let passed = now.saturating_sub(self.updated).as_secs_f64();
+        self.updated = now;
+        for (n, seconds) in self.seconds_per_unit.iter().enumerate() {
+            let variance_max = (self.initial_seconds[n] * PRIOR_SPREAD).powi(2);
+            let drifted = self.covariance[n][n] + (seconds * DRIFT_PER_S).powi(2) * passed;
+            self.covariance[n][n] = drifted.min(variance_max.max(self.covariance[n][n]));
         }
     }
 }
@@ -185,29 +197,29 @@
 /// How much slower than its service one engine is.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SlowdownFactor {
-    /// Seconds that work took, and was expected to take at the service's speed, lately.
+    /// Recent work: seconds that it took, and seconds expected at the service's speed.
     took: f64,
     expected: f64,
-    at: Duration,
+    updated: Duration,
 }
 
 impl SlowdownFactor {
-    /// The factor: one for an engine like the others.
+    /// The factor; one for an engine as fast as its service.
     pub fn get(&self) -> f64 {
-        (self.took + FACTOR_PRIOR) / (self.expected + FACTOR_PRIOR)
+        (self.took + SLOWDOWN_PRIOR_S) / (self.expected + SLOWDOWN_PRIOR_S)
     }
 
-    /// Takes in that work took so many seconds, where the service's speed would have it take
-    /// `expected`.
-    pub fn learn(&mut self, expected: f64, took: f64, now: Duration) {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        self.at = now;
-        let left = 0.5f64.powf(passed / FACTOR_HALF_LIFE);
-        self.took = self.took * left + took.clamp(0.0, expected * FACTOR_MAX);
-        self.expected = self.expected * left + expected;
+    /// Records that work took `took` seconds, where `expected` were expected at the service's
+    /// speed.
+    pub fn update(&mut self, expected: f64, took: f64, now: Duration) {
+        let passed = now.saturating_sub(self.updated).as_secs_f64();
+        self.updated = now;
+        let decay = 0.5f64.powf(passed / SLOWDOWN_HALF_LIFE_S);
+        self.took = self.took * decay + took.clamp(0.0, expected * SLOWDOWN_MAX);
+        self.expected = self.expected * decay + expected;
     }
 }
 
-fn dot(a: &[f64; COUNT], b: &[f64; COUNT]) -> f64 {
+fn dot(a: &[f64; PARAMETERS], b: &[f64; PARAMETERS]) -> f64 {
     a.iter().zip(b).map(|(a, b)| a * b).sum()
 }
--- a/src/placement/tuning.rs
+++ b/src/placement/tuning.rs
@@ -1,41 +1,41 @@
-//! What the models and the choice among engines depend on.
+//! Parameters of the engine predictions and of the selection.
 
 use std::time::Duration;
 
 use crate::placement::cold::ColdBound;
 
-/// How fast engines are believed to be at first, and how what a choice costs is weighed.
+/// Initial estimates of engine speed, and weights of the selection cost.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tuning {
-    /// Prompt tokens read in a millisecond, until engines' first tokens have told.
+    /// Prompt tokens prefilled per millisecond, until measured from first tokens.
     pub tokens_per_ms: f64,
-    /// The same for a million pairs of a token that is read and one that stands before it.
+    /// Initial time per million pairs of a prefilled token and a token before it.
     pub per_million_pairs: Duration,
-    /// The same for a prompt, whatever its length.
+    /// Initial time per prompt, whatever its length.
     pub per_prompt: Duration,
-    /// The same for the time from the end of reading to the first token, without any backlog.
+    /// Initial time from the end of prefill to the first token, without any backlog.
     pub first_token_overhead: Duration,
-    /// Part of its time that an engine may spend on reading prompts, over longer times. While it
-    /// reads a piece, those that run get one token in the time of a dozen; without a pause in which
-    /// they go on they would not end before their deadlines.
+    /// Fraction of its time that an engine may spend on prefill in the long run. During a prefill
+    /// chunk, running requests get one token in the time of a dozen; without pauses between prompts
+    /// they would miss their deadlines.
     pub prefill_share: f64,
-    /// How much more than its time a token that must be read counts, since reading it keeps the
-    /// engine from others, and shared parts that are read again are charged for.
+    /// Weight of prefill time in the cost. Above one, since prefill blocks other requests, and
+    /// since prefilling shared parts again is charged for.
     pub prefill_weight: f64,
-    /// How much more than its time a copy between engines counts, since it is charged for.
+    /// Weight of the time of a copy between engines in the cost, since copies are charged for.
     pub copy_weight: f64,
-    /// Part of a route's aim that a request may wait for an engine; the rest is for reading the
-    /// prompt and the first step.
+    /// Fraction of a route's target latency that a request may wait for an engine; the rest is for
+    /// prefill and the first step.
     pub wait_share: f64,
-    /// The same for a workspace that has had its fair share, where engines are busy: it gets what the
-    /// others leave.
+    /// The same fraction, where engines are saturated, for a workspace that has used up its fair
+    /// share: it gets only what the others leave.
     pub wait_share_over: f64,
-    /// How far above what it bears a cold engine may get.
+    /// How far above its sustained rate a cold engine may be loaded.
     pub cold: ColdBound,
 }
 
 impl Default for Tuning {
-    /// The engines of the users' sheets; the weights were chosen by measurement (docs/DESIGN.md).
+    /// Values of the engines that the users describe; docs/DESIGN.md explains the weights.
     fn default() -> Tuning {
         Tuning {
             tokens_per_ms: 51.1,
--- a/src/placement/upstream.rs
+++ b/src/placement/upstream.rs
@@ -1,5 +1,5 @@
-//! One upstream as a box knows it: what it would cost to send a request there, how requests there
-//! went, and whether it may be reached.
+//! One upstream as this box sees it: the cost of sending a request there, the outcome of earlier
+//! requests, and whether it may be unreachable.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,228 +12,228 @@
 use crate::placement::choice::CopySource;
 use crate::placement::cold::Role;
 use crate::placement::engine::Engine;
-use crate::placement::plain::Plain;
+use crate::placement::plain::PlainQueue;
 use crate::placement::speed::Speed;
 use crate::placement::speed::Work;
 use crate::placement::tuning::Tuning;
 use crate::proxy::dialect::Listed;
 use crate::proxy::dialect::Prompt;
 
-/// Fewest tokens that are worth a copy: twice those that are read in the time of its setup.
+/// Fewest tokens worth a copy: twice those that are prefilled in the time of its setup.
 pub const COPY_TOKENS_MIN: u32 = 400;
 
-/// Preference for an upstream in the own zone: bytes between zones are charged for.
-const ZONE_LEAD: Duration = Duration::from_millis(4);
+/// Preference for an upstream in the same zone, since bytes between zones are charged for.
+const ZONE_BONUS: Duration = Duration::from_millis(4);
 
-/// How long an upstream that failed is left alone at first; doubled with each failure in a row.
-const REST_FIRST: Duration = Duration::from_millis(400);
+/// Cooldown after a first failure; doubled with each further one in a row.
+const COOLDOWN_FIRST: Duration = Duration::from_millis(400);
 
-/// Longest time that an upstream is left alone before it is tried again.
-const REST_MAX: Duration = Duration::from_secs(5);
+/// Longest cooldown after failures.
+const COOLDOWN_MAX: Duration = Duration::from_secs(5);
 
-/// Time between tries to connect to an upstream that may not be reachable, at first and at most;
+/// First and longest interval between attempts to connect to an upstream that may be unreachable;
 /// doubled with each failure, since each box tries by itself.
-const LOOK_FIRST: Duration = Duration::from_millis(300);
-const LOOK_MAX: Duration = Duration::from_millis(2400);
+const PROBE_INTERVAL_FIRST: Duration = Duration::from_millis(300);
+const PROBE_INTERVAL_MAX: Duration = Duration::from_millis(2400);
 
-/// Weight of the newest answer time of a plain service in its average.
-const ANSWER_TIME_WEIGHT: f64 = 0.2;
+/// Weight of the newest response time of a plain service in its average.
+const RESPONSE_TIME_WEIGHT: f64 = 0.2;
 
-/// How an engine would come by a prompt.
+/// How an engine would process a prompt.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Plan {
-    /// Until it is due: engines need pauses between prompts.
+pub(super) struct PrefillPlan {
+    /// Wait until the engine may start: engines need pauses between prompts.
     pub(super) wait: Duration,
-    /// Until the engine has read what it was sent before.
+    /// Time until earlier prefills are done.
     backlog: Duration,
     prefill_tokens: u32,
-    /// Seconds to read these, and from then to the first token.
-    reading: f64,
-    first_step: f64,
+    /// In seconds.
+    prefill_seconds: f64,
+    first_token_overhead: f64,
     copied_tokens: u32,
     copy_time: Duration,
     copy_from: Option<SocketAddr>,
-    /// Preference where the prompt's shared parts belong here by their hash.
-    home_lead: Duration,
+    /// Preference if the prompt's shared parts hash to this engine.
+    home_bonus: Duration,
 }
 
-/// What a choice depends on beside the request and the upstreams.
+/// Inputs of the cost besides the request and the upstream.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Context<'a> {
-    /// How fast the service's engines read.
+    /// Estimated speed of the service's engines.
     pub(super) speed: &'a Speed,
     pub(super) tuning: Tuning,
-    /// The availability zone of the box that sends the request.
+    /// The availability zone of the sending box.
     pub(super) zone: &'a ZoneName,
     pub(super) now: Duration,
 }
 
-/// How a request at an upstream went, as far as it tells about the upstream.
+/// The outcome of a request, as far as it shows the state of the upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// It answered as it should, after this time.
+    /// A regular response, after this time.
     Good(Duration),
-    /// It refused or failed, though it can be reached.
+    /// Refused or failed, but reachable.
     Failed,
-    /// It can't be reached, or broke off.
+    /// Unreachable, or the connection broke.
     Broken,
 }
 
-/// One upstream.
 #[derive(Clone, Debug)]
 pub(super) struct Upstream {
     pub(super) listed: Listed,
     pub(super) engine: Option<Engine>,
-    /// What runs there, where it is of a plain service.
-    pub(super) plain: Plain,
-    /// Requests of this box there.
+    /// Requests at an upstream of a plain service.
+    pub(super) plain: PlainQueue,
+    /// Requests of this box at the upstream.
     outstanding: u32,
-    answer_time: f64,
+    response_time: f64,
     failures: u32,
-    rests_until: Duration,
-    /// Set while it may not be reachable; it gets no work until a connection can be made.
-    doubt: Option<Doubt>,
-    /// Of its name; see [`hash`].
+    cooldown_until: Duration,
+    /// Set while the upstream may be unreachable; it gets no requests until a connection succeeds.
+    unverified: Option<Unverified>,
+    /// See [`name_hash`].
     pub(super) hash: u64,
 }
 
-/// Why an upstream gets no work: it may not be reachable.
+/// An upstream may be unreachable and gets no requests.
 #[derive(Clone, Copy, Debug)]
-struct Doubt {
-    /// Whether this box came upon it, or was told.
-    is_own: bool,
-    /// Tries to connect that failed since.
+struct Unverified {
+    /// Whether this box noticed it, or received a report.
+    is_local: bool,
+    /// Failed attempts to connect since then.
     failures: u32,
     /// When to try next.
-    look_at: Duration,
+    probe_at: Duration,
 }
 
-/// The hash of an upstream's name, by which parts of prompts and owners are found for it.
+/// The hash of an upstream's name, which determines its owners and the prompt parts assigned to it.
 pub fn name_hash(name: &UpstreamName) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
 impl Upstream {
-    /// An upstream that is believed to be well and, if it is an engine, idle and empty.
+    /// An upstream assumed to be healthy and, if it is an engine, idle with an empty cache.
     pub(super) fn new(listed: Listed, engine: Option<Engine>) -> Upstream {
         Upstream {
             engine,
-            plain: Plain::default(),
+            plain: PlainQueue::default(),
             outstanding: 0,
-            answer_time: 0.0,
+            response_time: 0.0,
             failures: 0,
-            rests_until: Duration::ZERO,
-            doubt: None,
+            cooldown_until: Duration::ZERO,
+            unverified: None,
             hash: name_hash(&listed.name),
             listed,
         }
     }
 
-    /// Whether it may get work without being the last resort.
-    pub(super) fn is_awake(&self, now: Duration) -> bool {
-        self.rests_until <= now && self.doubt.is_none()
+    /// Whether it may be chosen while there are others.
+    pub(super) fn is_available(&self, now: Duration) -> bool {
+        self.cooldown_until <= now && self.unverified.is_none()
     }
 
-    /// Whether it may not be reachable.
+    /// Whether it may be unreachable.
     pub(super) fn is_unverified(&self) -> bool {
-        self.doubt.is_some()
+        self.unverified.is_some()
     }
 
-    /// Whether anything has been placed there and may still be there.
+    /// Whether it may have placed requests outstanding.
     pub(super) fn is_busy(&self) -> bool {
         self.plain.running() != 0 || self.engine.as_ref().is_some_and(Engine::is_busy)
     }
 
-    /// Requests of this box there.
+    /// Requests of this box at the upstream.
     pub(super) fn outstanding(&self) -> u32 {
         self.outstanding
     }
 
-    /// Counts a request of this box in.
-    pub(super) fn sent(&mut self) {
+    pub(super) fn request_sent(&mut self) {
         self.outstanding += 1;
     }
 
-    /// Counts a request of this box out.
-    pub(super) fn ended(&mut self) {
+    pub(super) fn request_ended(&mut self) {
         self.outstanding = self.outstanding.saturating_sub(1);
     }
 
-    /// Notes that it may not be reachable, by what this box saw itself or was told. True when this
-    /// is new.
-    pub(super) fn doubt(&mut self, is_own: bool, now: Duration) -> bool {
-        if self.doubt.is_some() {
+    /// Records that the upstream may be unreachable, as noticed by this box or reported by another.
+    /// Returns whether this is new.
+    pub(super) fn mark_unverified(&mut self, is_local: bool, now: Duration) -> bool {
+        if self.unverified.is_some() {
             return false;
         }
-        self.doubt = Some(Doubt { is_own, failures: 0, look_at: now });
+        self.unverified = Some(Unverified { is_local, failures: 0, probe_at: now });
         true
     }
 
-    /// Whether no connection could be made when it was tried last.
+    /// Whether the last attempt to connect failed.
     pub(super) fn last_connect_failed(&self) -> bool {
-        self.doubt.is_some_and(|doubt| doubt.failures != 0)
+        self.unverified.is_some_and(|unverified| unverified.failures != 0)
     }
 
-    /// Notes that a connection to it could be made. True when that was in doubt.
-    pub(super) fn reached(&mut self) -> bool {
-        self.doubt.take().is_some()
+    /// Records a successful connection. Returns whether the upstream was unverified.
+    pub(super) fn mark_reachable(&mut self) -> bool {
+        self.unverified.take().is_some()
     }
 
-    /// Notes that no connection could be made. True when the other boxes should hear of it: at the
-    /// first failure, and only from who came upon it.
+    /// Records a failed connection. Returns whether to notify the other boxes: only at the first
+    /// failure, and only if this box noticed the problem.
     pub(super) fn record_connect_failure(&mut self, now: Duration) -> bool {
-        let Some(doubt) = &mut self.doubt else { return false };
-        doubt.failures += 1;
-        let pause = LOOK_FIRST * 2u32.saturating_pow(doubt.failures.min(8) - 1);
-        doubt.look_at = now + pause.min(LOOK_MAX);
-        doubt.is_own && doubt.failures == 1
+        let Some(unverified) = &mut self.unverified else { return false };
+        unverified.failures += 1;
+        let pause = PROBE_INTERVAL_FIRST * 2u32.saturating_pow(unverified.failures.min(8) - 1);
+        unverified.probe_at = now + pause.min(PROBE_INTERVAL_MAX);
+        unverified.is_local && unverified.failures == 1
     }
 
-    /// Whether it is time to connect, to see whether it can be reached. True once until
-    /// [`Upstream::not_reached`], or for the longest pause.
+    /// Whether it is time to try to connect. Returns true once until
+    /// [`Upstream::record_connect_failure`] is called, or for the longest interval.
     pub(super) fn take_due_probe(&mut self, now: Duration) -> bool {
-        let Some(doubt) = self.doubt.as_mut().filter(|d| d.look_at <= now) else { return false };
-        doubt.look_at = now + LOOK_MAX;
+        let Some(unverified) = self.unverified.as_mut().filter(|u| u.probe_at <= now) else {
+            return false;
+        };
+        unverified.probe_at = now + PROBE_INTERVAL_MAX;
         true
     }
 
-    /// Whether it has a slot and memory for a prompt.
+    /// Whether there are a slot and memory for a prompt.
     pub(super) fn has_room(&self, prompt: &Prompt) -> bool {
         self.engine.as_ref().is_none_or(|engine| engine.has_room(prompt))
     }
 
-    /// Whether it bears one more request now, if a box of this role sends it.
-    pub(super) fn bears(&self, role: Role, cx: Context<'_>) -> bool {
-        self.engine.as_ref().is_none_or(|engine| engine.bears(role, cx.tuning, cx.now))
+    /// Whether a box in this role may send one more request now.
+    pub(super) fn accepts(&self, role: Role, cx: Context<'_>) -> bool {
+        self.engine.as_ref().is_none_or(|engine| engine.accepts(role, cx.tuning, cx.now))
     }
 
-    /// How it is listed, with what is known now of its start.
-    pub(super) fn told(&self, now: Duration) -> Listed {
-        let cold_for = self.engine.as_ref().map(|engine| engine.cold_for(now));
+    /// The listing, with the current state of the cold start.
+    pub(super) fn listing(&self, now: Duration) -> Listed {
+        let cold_for = self.engine.as_ref().map(|engine| engine.cold_remaining(now));
         Listed { cold_for, ..self.listed.clone() }
     }
 
-    /// How this engine, which keeps `kept` tokens of a prompt, would come by it; nothing for plain
-    /// services.
+    /// How this engine, which has `cached` tokens of a prompt cached, would process it; `None` for
+    /// plain services.
     pub(super) fn plan(
         &self,
         prompt: &Prompt,
-        kept: u32,
+        cached: u32,
         source: Option<CopySource>,
-        home_lead: Duration,
+        home_bonus: Duration,
         cx: Context<'_>,
-    ) -> Option<Plan> {
+    ) -> Option<PrefillPlan> {
         let Context { speed, tuning, now, .. } = cx;
         let engine = self.engine.as_ref()?;
-        let gain = source.map_or(0, |s| s.kept.saturating_sub(kept));
+        let gain = source.map_or(0, |s| s.cached.saturating_sub(cached));
         let copied_tokens = if gain < COPY_TOKENS_MIN { 0 } else { gain };
-        let prefill_tokens = prompt.tokens - kept - copied_tokens;
-        Some(Plan {
+        let prefill_tokens = prompt.tokens - cached - copied_tokens;
+        Some(PrefillPlan {
             wait: engine.wait(speed, tuning, now),
             backlog: engine.backlog(speed, now),
             prefill_tokens,
-            reading: engine.reading(Work::reading(kept + copied_tokens, prefill_tokens), speed),
-            first_step: speed.fixed(),
+            prefill_seconds: engine
+                .prefill_seconds(Work::prefill(cached + copied_tokens, prefill_tokens), speed),
+            first_token_overhead: speed.fixed_seconds(),
             copied_tokens,
             copy_time: if copied_tokens == 0 {
                 Duration::ZERO
@@ -241,35 +241,37 @@
                 engine.copy_time(copied_tokens)
             },
             copy_from: source.filter(|_| copied_tokens != 0).map(|s| s.addr),
-            home_lead,
+            home_bonus,
         })
     }
 
-    /// What sending a request here costs, in seconds: less is better.
-    pub(super) fn cost(&self, plan: Option<&Plan>, cx: Context<'_>) -> f64 {
+    /// The cost of sending a request here, in seconds; lower is better.
+    pub(super) fn cost(&self, plan: Option<&PrefillPlan>, cx: Context<'_>) -> f64 {
         let tuning = cx.tuning;
-        let mut lead = if self.listed.zone == *cx.zone { ZONE_LEAD.as_secs_f64() } else { 0.0 };
+        let mut bonus = if self.listed.zone == *cx.zone { ZONE_BONUS.as_secs_f64() } else { 0.0 };
         let Some(plan) = plan else {
-            return self.answer_time * f64::from(1 + self.outstanding) - lead;
+            return self.response_time * f64::from(1 + self.outstanding) - bonus;
         };
-        lead += plan.home_lead.as_secs_f64();
-        let reading = plan.reading;
+        bonus += plan.home_bonus.as_secs_f64();
+        let prefilling = plan.prefill_seconds;
         let copying = plan.copy_time.as_secs_f64();
-        plan.wait.as_secs_f64() + reading * tuning.prefill_weight + copying * tuning.copy_weight
-            - lead
+        plan.wait.as_secs_f64() + prefilling * tuning.prefill_weight + copying * tuning.copy_weight
+            - bonus
     }
 
-    /// The choice of this upstream of a plain service.
+    /// The choice of this upstream for a plain service.
     pub(super) fn choice_plain(&self) -> Choice {
         let wait = self.plain.wait(self.listed.slots);
-        let first_token = wait + self.plain.work();
+        let first_token = wait + self.plain.processing_time();
         Choice { wait, first_token, running: self.plain.running(), ..self.choice(None) }
     }
 
-    /// The choice of this upstream.
-    pub(super) fn choice(&self, plan: Option<Plan>) -> Choice {
+    /// The choice of this upstream with the given plan.
+    pub(super) fn choice(&self, plan: Option<PrefillPlan>) -> Choice {
         let first_token = plan.as_ref().map_or(Duration::ZERO, |p| {
-            p.backlog + p.copy_time + Duration::from_secs_f64(p.reading + p.first_step)
+            p.backlog
+                + p.copy_time
+                + Duration::from_secs_f64(p.prefill_seconds + p.first_token_overhead)
         });
         Choice {
             upstream: self.listed.name.clone(),
@@ -285,19 +287,22 @@
         }
     }
 
-    /// Notes how a request of this box went.
-    pub(super) fn note(&mut self, health: Health, now: Duration) {
+    /// Records the outcome of a request of this box.
+    pub(super) fn record_health(&mut self, health: Health, now: Duration) {
         match health {
             Health::Good(time) => {
                 self.failures = 0;
-                self.rests_until = Duration::ZERO;
-                self.answer_time += (time.as_secs_f64() - self.answer_time) * ANSWER_TIME_WEIGHT;
+                self.cooldown_until = Duration::ZERO;
+                self.response_time +=
+                    (time.as_secs_f64() - self.response_time) * RESPONSE_TIME_WEIGHT;
+            }
+            Health::Failed => {
+                self.response_time += RESPONSE_TIME_WEIGHT * COOLDOWN_FIRST.as_secs_f64()
             }
-            Health::Failed => self.answer_time += ANSWER_TIME_WEIGHT * REST_FIRST.as_secs_f64(),
             Health::Broken => {
-                let rest = REST_FIRST * 2u32.saturating_pow(self.failures.min(8));
+                let cooldown = COOLDOWN_FIRST * 2u32.saturating_pow(self.failures.min(8));
                 self.failures += 1;
-                self.rests_until = now + rest.min(REST_MAX);
+                self.cooldown_until = now + cooldown.min(COOLDOWN_MAX);
             }
         }
     }
--- a/tests/fleet_placement.rs
+++ b/tests/fleet_placement.rs
@@ -253,9 +253,9 @@
             std::net::SocketAddr::from(([10, 9, (**n / 256) as u8, (**n % 256) as u8], 80)) == addr
         })
     });
-    let copied = from.map_or(0, |n| real[*n].cache.kept(&prompt.parts));
+    let copied = from.map_or(0, |n| real[*n].cache.cached_tokens(&prompt.parts));
     let engine = &mut real[engine];
-    let kept = engine.cache.kept(&prompt.parts).max(copied);
+    let kept = engine.cache.cached_tokens(&prompt.parts).max(copied);
     let unread = prompt.tokens - kept;
     let own = prompt.parts[1].tokens;
     outcome.read_again += u64::from(unread.saturating_sub(own));
@@ -263,7 +263,7 @@
     let unread = f64::from(unread);
     let pairs = unread * (f64::from(kept) + unread / 2.0) / 1e6;
     engine.free_at = begin + engine.factor * (unread / 51_100.0 + pairs * 0.000_323 + 0.006);
-    engine.cache.read(&prompt.parts);
+    engine.cache.insert(&prompt.parts);
     engine.free_at + 0.05
 }
 
--- a/tests/proxy_speed.rs
+++ b/tests/proxy_speed.rs
@@ -213,7 +213,7 @@
     let mut fresh = Speed::new(&tuning(50.0));
     fresh.adopt(&learned);
     assert_eq!(fresh.samples(), learned.samples());
-    assert_eq!(fresh.fixed(), learned.fixed());
+    assert_eq!(fresh.fixed_seconds(), learned.fixed_seconds());
     let mut wiser = learned.clone();
     wiser.adopt(&Speed::new(&tuning(50.0)));
     assert_eq!(wiser, learned);
