--- a/src/placement/admit.rs
+++ b/src/placement/admit.rs
@@ -1,5 +1,5 @@
-//! Whether a request is placed, and where: by its workspace's share, how long it may wait, and the
-//! choice among the engines. Whoever keeps the models of the engines in question decides.
+//! Decides whether and where a request is placed, by its workspace's share, the wait that it may
+//! accept, and the selection among engines. Runs on a box that tracks the engines in question.
 
 use std::net::IpAddr;
 use std::time::Duration;
--- a/src/placement/choice.rs
+++ b/src/placement/choice.rs
@@ -101,7 +101,7 @@
 pub enum ChoiceError {
     /// No upstream of the service is known and in use.
     NoUpstream,
-    /// All upstreams in use lack a slot or memory.
+    /// All upstreams in use lack a slot or memory, or are limited by a cold start.
     Full,
     /// A large shared part of the prompt would have to be prefilled, and another engine may have it
     /// cached.
--- a/src/placement/cold.rs
+++ b/src/placement/cold.rs
@@ -22,7 +22,7 @@
 /// offsets are random, so the rate within a single second may be several times the average.
 const PEERS_SHARE: f64 = 0.35;
 
-/// Least number of boxes assumed; a box that knows fewer may be cut off from the rest.
+/// Number of boxes assumed at least, since a box that knows fewer may be cut off from the rest.
 const PEERS_MIN: usize = 16;
 
 /// Period over which the limit is measured. A box that takes over the state of an engine does not
--- a/src/placement/registry/selection.rs
+++ b/src/placement/registry/selection.rs
@@ -18,8 +18,8 @@
 
 /// Preferences for the engines to which a prompt's shared parts hash, in order of rank. They make
 /// boxes that have no state yet, or don't know each other's requests, choose the same engine; when
-/// the first is busy, parts are copied to the same few engines rather than to all in turn. Never
-/// more than the time to prefill the shared parts.
+/// the first is busy, parts are copied to the same few engines rather than to all in turn. Each is
+/// limited to the time to prefill the shared parts.
 const HOME_BONUSES: [Duration; 3] =
     [Duration::from_millis(200), Duration::from_millis(160), Duration::from_millis(160)];
 
@@ -49,7 +49,8 @@
 }
 
 impl UpstreamRegistry {
-    /// Chooses the upstream with the lowest cost among those with an acceptable wait.
+    /// Chooses the upstream with the lowest cost, whose wait must be acceptable. If any engine will
+    /// do, only those with an acceptable wait are compared.
     pub fn choose(
         &self,
         criteria: SelectionCriteria<'_>,
--- a/src/placement/upstream.rs
+++ b/src/placement/upstream.rs
@@ -96,7 +96,7 @@
     pub(super) hash: u64,
 }
 
-/// An upstream may be unreachable and gets no requests.
+/// State of an upstream that may be unreachable.
 #[derive(Clone, Copy, Debug)]
 struct Unverified {
     /// Whether this box noticed it, or received a report.
--- a/tests/proxy_speed.rs
+++ b/tests/proxy_speed.rs
@@ -224,7 +224,7 @@
     let known = Speed::new(&tuning(50.0));
     for value in [1e300, -1.0, 0.0] {
         let mut told = serde_json::to_value(&known).expect("it can be written");
-        told["seconds"][0] = value.into();
+        told["seconds_per_unit"][0] = value.into();
         told["samples"] = 1_000.into();
         let told: Speed = serde_json::from_value(told).expect("it can be read");
         let mut speed = known.clone();
