--- a/src/proxy/admission.rs
+++ b/src/proxy/admission.rs
@@ -13,7 +13,7 @@
 use crate::proxy::answer::Refusal;
 use crate::proxy::dialect::Head;
 use crate::proxy::hub::Hub;
-use crate::proxy::request::Run;
+use crate::proxy::request::RequestContext;
 use crate::proxy::table::Route;
 use crate::proxy::table::Table;
 use crate::web;
@@ -24,7 +24,7 @@
     hub: &Arc<Hub>,
     parts: request::Parts,
     arrived: Duration,
-) -> Result<Run, (Refusal, String)> {
+) -> Result<RequestContext, (Refusal, String)> {
     let head = hub.dialect().read(&parts).map_err(|_| (Refusal::BadHead, String::new()))?;
     let fail = |cause| (cause, head.id.clone());
     let table = hub.table().ok_or_else(|| fail(Refusal::NotConfigured))?;
@@ -36,7 +36,7 @@
     let connections_max = table.service(&service).map_or(u32::MAX, |s| s.max_connections);
     let patience = head.patience.map_or(route.timeout, |p| p.min(route.timeout));
     hub.count_request(&service);
-    Ok(Run {
+    Ok(RequestContext {
         connections_max,
         hub: hub.clone(),
         head,
@@ -50,11 +50,11 @@
         deadline: arrived + patience,
         tried: Vec::new(),
         sends: 0,
-        begun_at: None,
-        breaks: 0,
-        in_flight: hub.enter(),
-        start: Some(hub.start()),
-        stream: None,
+        response_version: None,
+        broken_sends: 0,
+        in_flight_guard: hub.enter(),
+        unsent_guard: Some(hub.start()),
+        stream_guard: None,
         first_token: None,
     })
 }
--- a/src/proxy/answer.rs
+++ b/src/proxy/answer.rs
@@ -10,8 +10,8 @@
 use http::header::CONTENT_TYPE;
 use http::header::RETRY_AFTER;
 
-use crate::proxy::stream;
-use crate::proxy::stream::Body;
+use crate::proxy::response_body;
+use crate::proxy::response_body::Body;
 
 /// Why a request gets an answer of our own. Those that say "not run" are sent only if no upstream
 /// runs the request or ever will.
@@ -146,7 +146,7 @@
 
 /// The answer for a refusal.
 pub fn refusal(cause: Refusal) -> Response<Body> {
-    let mut resp = Response::new(stream::whole(Bytes::from(text(cause))));
+    let mut resp = Response::new(response_body::full(Bytes::from(text(cause))));
     *resp.status_mut() = cause.status();
     let headers = resp.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
--- a/src/proxy/ask.rs
+++ b/src/proxy/ask.rs
@@ -22,7 +22,7 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-use crate::proxy::link;
+use crate::proxy::upstream_connections;
 
 /// How long connecting may take, however long the answer may.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
@@ -144,7 +144,7 @@
         .await
         .map_err(|_| Error::Timeout)??;
     // An answer may be waited for long; a partition that silences its connection is noticed before.
-    link::guard(&stream)?;
+    upstream_connections::set_tcp_options(&stream)?;
     let (tx, conn) = http1::handshake(TokioIo::new(stream)).await?;
     let task = tokio::spawn(async move {
         // Whoever waits on the connection hears of its failure.
--- a/src/proxy/capacity.rs
+++ b/src/proxy/capacity.rs
@@ -59,13 +59,13 @@
 const MEMORY_PER_SOCKET: usize = 34 << 10;
 
 /// Streams that a box takes at a time, to begin with.
-pub fn streams(cores: f64) -> usize {
+pub fn initial_stream_limit(cores: f64) -> usize {
     (cores * STREAMS_PER_CORE).max(STREAMS_MIN) as usize
 }
 
 /// Callers' connections that may be open at once, by the descriptors and the memory (in bytes; zero where that has no
 /// bound) that the process may use.
-pub fn connections(descriptors: usize, memory: usize) -> usize {
+pub fn caller_connections_max(descriptors: usize, memory: usize) -> usize {
     let by_memory = match memory {
         0 => usize::MAX,
         _ => (memory as f64 * MEMORY_SHARE) as usize / MEMORY_PER_SOCKET,
@@ -76,7 +76,7 @@
 /// Until when pieces that follow are held, so that several are read and written at once: each receive and each send
 /// costs as much as the rest of passing a piece on. Nothing while the box has few of the streams that it can pass on,
 /// or where pieces may not be late at all.
-pub fn hold_until(
+pub fn coalesce_until(
     streams: usize,
     streams_max: usize,
     late_max: Duration,
@@ -92,7 +92,7 @@
 
 /// How many streams this box can pass on at a time.
 #[derive(Debug)]
-pub struct Capacity {
+pub struct StreamLimiter {
     /// Average delay of a timer, in seconds.
     delay: f64,
     limit: f64,
@@ -100,15 +100,15 @@
     is_full: bool,
 }
 
-impl Capacity {
+impl StreamLimiter {
     /// Starts with a limit that is roughly right.
-    pub fn new(limit: usize) -> Capacity {
+    pub fn new(limit: usize) -> StreamLimiter {
         let limit = limit as f64;
-        Capacity { delay: 0.0, limit, limit_min: limit * LIMIT_MIN_SHARE, is_full: false }
+        StreamLimiter { delay: 0.0, limit, limit_min: limit * LIMIT_MIN_SHARE, is_full: false }
     }
 
     /// Notes by how much a timer was late while so many streams were running; gives the limit.
-    pub fn note(&mut self, late: Duration, streams: usize) -> usize {
+    pub fn record_tick(&mut self, late: Duration, streams: usize) -> usize {
         self.delay += (late.as_secs_f64() - self.delay) * WEIGHT;
         let streams = streams as f64;
         let is_reached = self.limit * REACHED <= streams;
--- a/src/proxy/door.rs
+++ b/src/proxy/connection_limiter.rs
@@ -2,7 +2,7 @@
 //!
 //! A caller who is turned away at once tries another box in time; one who is let in to wait, or whose
 //! connection nobody takes, loses a second. What can be begun soon is let in, the rest is told so
-//! ([`crate::proxy::turn_away`]).
+//! ([`crate::proxy::connection_rejecter`]).
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -22,7 +22,7 @@
 
 /// Who is let in.
 #[derive(Debug)]
-pub struct Door {
+pub struct ConnectionLimiter {
     starts_max: usize,
     /// Connections on which the first request hasn't come.
     fresh: Vec<(Duration, Arc<AtomicBool>)>,
@@ -30,31 +30,31 @@
 
 /// A connection that was let in.
 #[derive(Debug)]
-pub struct Entered(Arc<AtomicBool>);
+pub struct AdmittedConnection(Arc<AtomicBool>);
 
-impl Entered {
+impl AdmittedConnection {
     /// Notes that its first request has come.
-    pub fn has_asked(&self) {
+    pub fn note_request(&self) {
         self.0.store(true, Ordering::Relaxed);
     }
 }
 
-impl Door {
+impl ConnectionLimiter {
     /// The door of a box that may use this part of a core.
-    pub fn new(cores: f64) -> Door {
+    pub fn new(cores: f64) -> ConnectionLimiter {
         let starts_max = (cores * STARTS_PER_CORE).max(STARTS_MIN) as usize;
-        Door { starts_max, fresh: Vec::new() }
+        ConnectionLimiter { starts_max, fresh: Vec::new() }
     }
 
     /// Lets a caller in, unless there is no room beside the requests that have come and not been sent
     /// yet, and those that are about to come.
-    pub fn enter(&mut self, starts: usize, now: Duration) -> Option<Entered> {
+    pub fn try_admit(&mut self, starts: usize, now: Duration) -> Option<AdmittedConnection> {
         self.fresh.retain(|(at, asked)| now < *at + FRESH_FOR && !asked.load(Ordering::Relaxed));
         if self.starts_max <= starts + self.fresh.len() {
             return None;
         }
         let asked = Arc::new(AtomicBool::new(false));
         self.fresh.push((now, asked.clone()));
-        Some(Entered(asked))
+        Some(AdmittedConnection(asked))
     }
 }
--- a/src/proxy/turn_away.rs
+++ b/src/proxy/connection_rejecter.rs
@@ -43,14 +43,14 @@
 
 /// Takes callers who are turned away.
 #[derive(Clone, Debug)]
-pub struct TurnAway(mpsc::Sender<TcpStream>);
+pub struct ConnectionRejecter(mpsc::Sender<TcpStream>);
 
-impl TurnAway {
+impl ConnectionRejecter {
     /// Starts to tell callers so.
-    pub fn start(hub: Arc<Hub>) -> TurnAway {
+    pub fn start(hub: Arc<Hub>) -> ConnectionRejecter {
         let (tx, rx) = mpsc::channel(WAITING_MAX);
         tokio::spawn(run(hub, rx));
-        TurnAway(tx)
+        ConnectionRejecter(tx)
     }
 
     /// Tells the caller on a new connection, as soon as its request comes. Where too many wait for
@@ -64,20 +64,20 @@
 async fn run(hub: Arc<Hub>, mut rx: mpsc::Receiver<TcpStream>) {
     let prepared = answer::prepared(Refusal::BoxBusy);
     let mut buf = vec![0; BUF];
-    let mut waiting: Vec<Turned> = Vec::new();
+    let mut waiting: Vec<RejectedConnection> = Vec::new();
     loop {
         if waiting.is_empty() {
             let Some(stream) = rx.recv().await else { return };
-            waiting.extend(Turned::new(stream));
+            waiting.extend(RejectedConnection::new(stream));
         }
         while waiting.len() < WAITING_MAX
             && let Ok(stream) = rx.try_recv()
         {
-            waiting.extend(Turned::new(stream));
+            waiting.extend(RejectedConnection::new(stream));
         }
         waiting.retain_mut(|turned| {
             let goes_on = !turned.is_due() || turned.step(&prepared, &mut buf);
-            if !goes_on && turned.is_told() {
+            if !goes_on && turned.is_answered() {
                 hub.metrics().refused(Refusal::BoxBusy.code());
             }
             goes_on
@@ -88,7 +88,7 @@
 
 /// A connection whose caller is turned away.
 #[derive(Debug)]
-pub struct Turned {
+pub struct RejectedConnection {
     stream: TcpStream,
     stage: Stage,
     until: Instant,
@@ -105,17 +105,23 @@
     Told { left: usize },
 }
 
-impl Turned {
+impl RejectedConnection {
     /// Nothing if the caller is gone already.
-    pub fn new(stream: TcpStream) -> Option<Turned> {
+    pub fn new(stream: TcpStream) -> Option<RejectedConnection> {
         stream.set_nonblocking(true).ok()?;
         let now = Instant::now();
         let until = now + FIRST_BYTES_WITHIN;
-        Some(Turned { stream, stage: Stage::Silent, until, look_at: now, pause: LOOK_EVERY })
+        Some(RejectedConnection {
+            stream,
+            stage: Stage::Silent,
+            until,
+            look_at: now,
+            pause: LOOK_EVERY,
+        })
     }
 
     /// Whether the caller was told.
-    pub fn is_told(&self) -> bool {
+    pub fn is_answered(&self) -> bool {
         self.stage != Stage::Silent
     }
 
@@ -132,7 +138,7 @@
             Ok(n) => self.take(&buf[..n], answer, now),
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                 self.look_at = (now + self.pause).min(self.until);
-                self.pause *= if self.is_told() { 1 } else { 2 };
+                self.pause *= if self.is_answered() { 1 } else { 2 };
                 now < self.until
             }
             // The caller is gone.
--- a/src/proxy/gossip.rs
+++ b/src/proxy/gossip.rs
@@ -17,7 +17,6 @@
 use crate::fleet::standing::Standing;
 use crate::proxy::asking;
 use crate::proxy::hub::Hub;
-use crate::proxy::intake;
 use crate::proxy::message::Message;
 use crate::proxy::pace;
 use crate::proxy::peers::DATAGRAM_MAX;
@@ -25,6 +24,7 @@
 use crate::proxy::plain;
 use crate::proxy::rollouts;
 use crate::proxy::side;
+use crate::proxy::state_updates;
 use crate::proxy::view::View;
 
 /// Datagrams taken in before others get their turn.
@@ -91,7 +91,7 @@
             Message::Beat(beat) => hear(hub, &beat),
             Message::Ask(ask) => asking::answer(hub, &ask, from.ip()),
             Message::AskPlain(ask) => plain::answer(hub, &ask, from.ip()),
-            message => intake::message(hub, message, from.ip()),
+            message => state_updates::apply_message(hub, message, from.ip()),
         }
     }
 }
--- a/src/proxy/hub.rs
+++ b/src/proxy/hub.rs
@@ -31,18 +31,18 @@
 use crate::proxy::capacity;
 use crate::proxy::dialect::Dialect;
 use crate::proxy::dialect::Engines;
-use crate::proxy::figures::Figures;
-use crate::proxy::link::Allowed;
-use crate::proxy::link::Links;
-use crate::proxy::link::Sharing;
 use crate::proxy::message::Message;
 use crate::proxy::peers::Peers;
 use crate::proxy::placed::InFlight;
+use crate::proxy::proxy_metrics::ProxyMetrics;
 use crate::proxy::rollouts::RolloutState;
 use crate::proxy::settings::Settings;
 use crate::proxy::suspects;
 use crate::proxy::suspects::Suspects;
 use crate::proxy::table::Table;
+use crate::proxy::upstream_connections::ConnectionQuota;
+use crate::proxy::upstream_connections::QuotaInputs;
+use crate::proxy::upstream_connections::UpstreamConnections;
 use crate::proxy::view::Change;
 use crate::proxy::view::Snapshot;
 use crate::proxy::view::View;
@@ -53,9 +53,9 @@
     clock: Arc<Clock>,
     dialect: Arc<dyn Dialect>,
     engines: Arc<dyn Engines>,
-    links: Arc<Links>,
+    upstream_connections: Arc<UpstreamConnections>,
     peers: Peers,
-    figures: Figures,
+    metrics: ProxyMetrics,
     log: Logger,
     in_flight: Arc<AtomicUsize>,
     asking: Asking,
@@ -89,7 +89,7 @@
         dialect: Arc<dyn Dialect>,
         engines: Arc<dyn Engines>,
         peers: Peers,
-        figures: Figures,
+        metrics: ProxyMetrics,
         log: Logger,
     ) -> Arc<Hub> {
         let fleet = Fleet::new(cfg.identity.zone.clone(), cfg.tuning);
@@ -103,10 +103,10 @@
             inner: Mutex::new(inner),
             dialect,
             engines,
-            links: Links::new(clock.clone()),
+            upstream_connections: UpstreamConnections::new(clock.clone()),
             clock,
             peers,
-            figures,
+            metrics,
             log,
             in_flight: Arc::default(),
             asking: Asking::default(),
@@ -115,15 +115,15 @@
             look: Notify::new(),
             warm: AtomicBool::new(false),
             streams: Arc::default(),
-            streams_max: AtomicUsize::new(capacity::streams(cfg.cores)),
+            streams_max: AtomicUsize::new(capacity::initial_stream_limit(cfg.cores)),
             full: AtomicBool::new(false),
             starts: Arc::default(),
             turned_away: AtomicUsize::new(0),
             connections: Arc::default(),
-            connections_max: capacity::connections(cfg.descriptors, cfg.memory),
+            connections_max: capacity::caller_connections_max(cfg.descriptors, cfg.memory_bytes),
             late_max: cfg.late_max,
         });
-        hub.figures.show(&hub);
+        hub.metrics.register_gauges(&hub);
         hub
     }
 
@@ -148,8 +148,8 @@
     }
 
     /// Connections to upstreams.
-    pub fn links(&self) -> &Arc<Links> {
-        &self.links
+    pub fn upstream_connections(&self) -> &Arc<UpstreamConnections> {
+        &self.upstream_connections
     }
 
     /// The other boxes.
@@ -158,8 +158,8 @@
     }
 
     /// The figures of this process.
-    pub fn metrics(&self) -> &Figures {
-        &self.figures
+    pub fn metrics(&self) -> &ProxyMetrics {
+        &self.metrics
     }
 
     /// The log.
@@ -247,9 +247,10 @@
     }
 
     /// Until when a stream's pieces that follow are held; nothing for those that are passed on at once.
-    pub fn hold_until(&self) -> Option<Instant> {
+    pub fn coalesce_until(&self) -> Option<Instant> {
         let now = self.now();
-        let until = capacity::hold_until(self.streams(), self.streams_max(), self.late_max, now);
+        let until =
+            capacity::coalesce_until(self.streams(), self.streams_max(), self.late_max, now);
         until.map(|until| Instant::now() + until.saturating_sub(now))
     }
 
@@ -377,17 +378,22 @@
         let mut inner = self.inner.lock().expect("no panic under lock");
         let allowed = inner.budget.repeat(service, boxes, now);
         drop(inner);
-        self.figures.repeat(allowed);
+        self.metrics.repeat(allowed);
         allowed
     }
 
     /// How many connections to an upstream this box may have, where it takes so many from all;
     /// `is_placed` for a request that the upstream's owner has placed.
-    pub fn allowed(&self, upstream: &UpstreamName, connections: u32, is_placed: bool) -> Allowed {
+    pub fn connection_quota(
+        &self,
+        upstream: &UpstreamName,
+        connections: u32,
+        is_placed: bool,
+    ) -> ConnectionQuota {
         let placed_max = self.read(|view| view.fleet().placed_max(upstream));
         let draw = self.peers.own_draw(upstream);
         let boxes = self.peers.known();
-        Allowed::new(Sharing { connections, placed_max, boxes, draw }, is_placed)
+        ConnectionQuota::new(QuotaInputs { connections, placed_max, boxes, draw }, is_placed)
     }
 
     /// Whether this box backs off from an upstream, or waits for answers of its slow start.
@@ -438,14 +444,14 @@
             }
             Change::Restored(era) => {
                 warn!(self.log, "store came back from an older copy"; "era" => era);
-                self.figures.store_restored();
+                self.metrics.store_restored();
                 self.suspects.keep_again();
             }
             Change::Restarted(name, addr, born) => {
-                let cut = self.links.cut(*addr, *born);
+                let cut = self.upstream_connections.close_before_restart(*addr, *born);
                 info!(self.log, "upstream restarted"; "name" => name.as_str(), "addr" => %addr,
                     "born" => born, "connections_cut" => cut);
-                self.figures.upstream_restarted();
+                self.metrics.upstream_restarted();
                 suspects::restarted(self, name);
             }
             Change::Missing(name) => {
--- a/src/proxy/front.rs
+++ b/src/proxy/listener.rs
@@ -21,17 +21,17 @@
 use tokio::sync::Semaphore;
 use tokio::sync::watch;
 
-use crate::proxy::Stop;
+use crate::proxy::ShutdownPhase;
 use crate::proxy::answer;
 use crate::proxy::answer::Refusal;
-use crate::proxy::door::Door;
-use crate::proxy::door::Entered;
+use crate::proxy::connection_limiter::AdmittedConnection;
+use crate::proxy::connection_limiter::ConnectionLimiter;
+use crate::proxy::connection_rejecter::ConnectionRejecter;
 use crate::proxy::hub::Hub;
-use crate::proxy::link;
 use crate::proxy::request;
-use crate::proxy::stream::Body;
+use crate::proxy::response_body::Body;
 use crate::proxy::table::Limits;
-use crate::proxy::turn_away::TurnAway;
+use crate::proxy::upstream_connections;
 
 /// Pause after a failure to accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
@@ -55,12 +55,12 @@
 /// Serves callers until the process ends.
 pub async fn serve(
     listener: AsyncFd<std::net::TcpListener>,
-    mut door: Door,
+    mut limiter: ConnectionLimiter,
     hub: Arc<Hub>,
-    stopping: watch::Receiver<Stop>,
+    stopping: watch::Receiver<ShutdownPhase>,
 ) {
     let connections = Arc::new(Semaphore::new(hub.connections_max()));
-    let away = TurnAway::start(hub.clone());
+    let away = ConnectionRejecter::start(hub.clone());
     let mut taken = 0;
     loop {
         let Ok(permit) = connections.clone().acquire_owned().await else { return };
@@ -77,7 +77,7 @@
         if taken % TAKEN_AT_ONCE == 0 {
             tokio::task::yield_now().await;
         }
-        let Some(entered) = door.enter(hub.starts(), hub.now()) else {
+        let Some(entered) = limiter.try_admit(hub.starts(), hub.now()) else {
             hub.turn_away();
             away.turn_away(stream);
             continue;
@@ -102,9 +102,9 @@
 
 async fn serve_connection(
     stream: std::net::TcpStream,
-    entered: Entered,
+    entered: AdmittedConnection,
     hub: Arc<Hub>,
-    stopping: watch::Receiver<Stop>,
+    stopping: watch::Receiver<ShutdownPhase>,
 ) {
     let stream = match register(stream) {
         Ok(stream) => stream,
@@ -113,7 +113,7 @@
     };
     let limits = hub.table().map(|t| t.limits.clone()).unwrap_or_default();
     let service = service_fn(|req| {
-        entered.has_asked();
+        entered.note_request();
         respond(hub.clone(), stopping.clone(), req)
     });
     let connection = http1::Builder::new()
@@ -136,18 +136,18 @@
 fn register(stream: std::net::TcpStream) -> io::Result<TcpStream> {
     stream.set_nonblocking(true)?;
     let stream = TcpStream::from_std(stream)?;
-    link::guard(&stream)?;
+    upstream_connections::set_tcp_options(&stream)?;
     Ok(stream)
 }
 
 /// Waits until the process is told to stop. A connection that is made after that is not closed
 /// unused, since its caller could not know.
-async fn told_to_stop(mut stopping: watch::Receiver<Stop>) {
-    if *stopping.borrow() != Stop::No {
+async fn told_to_stop(mut stopping: watch::Receiver<ShutdownPhase>) {
+    if *stopping.borrow() != ShutdownPhase::Running {
         return std::future::pending().await;
     }
     // An error means that the process ends.
-    let _ = stopping.wait_for(|stop| *stop != Stop::No).await;
+    let _ = stopping.wait_for(|stop| *stop != ShutdownPhase::Running).await;
 }
 
 /// `hyper` counts the time for a head from the end of the last answer, so it is the time for which
@@ -158,16 +158,16 @@
 
 async fn respond(
     hub: Arc<Hub>,
-    stopping: watch::Receiver<Stop>,
+    stopping: watch::Receiver<ShutdownPhase>,
     req: Request<Incoming>,
 ) -> Result<Response<Body>, Infallible> {
     let stop = *stopping.borrow();
     let mut resp = match stop {
-        Stop::Late => answer::refusal(Refusal::Stopping),
-        Stop::No | Stop::Begun => request::serve(hub.clone(), req).await,
+        ShutdownPhase::Refusing => answer::refusal(Refusal::Stopping),
+        ShutdownPhase::Running | ShutdownPhase::Closing => request::serve(hub.clone(), req).await,
     };
     // The caller's next connection leads to another box.
-    if *stopping.borrow() != Stop::No || hub.sends_away() {
+    if *stopping.borrow() != ShutdownPhase::Running || hub.sends_away() {
         resp.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     Ok(resp)
--- a/src/proxy/look.rs
+++ b/src/proxy/look.rs
@@ -47,7 +47,7 @@
 
 async fn look_for(hub: Arc<Hub>, listed: Listed) {
     let Listed { name, addr, .. } = listed;
-    if let Err(e) = hub.links().warm(addr).await {
+    if let Err(e) = hub.upstream_connections().preconnect(addr).await {
         let now = hub.now();
         if e.is_refused() {
             suspects::refuses(&hub, &name);
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -10,16 +10,14 @@
 pub mod asking;
 pub mod budget;
 pub mod capacity;
+pub mod connection_limiter;
+pub mod connection_rejecter;
 pub mod dialect;
 pub mod digests;
-pub mod door;
-pub mod figures;
-pub mod front;
 pub mod gossip;
 pub mod history;
 pub mod hub;
-pub mod intake;
-pub mod link;
+pub mod listener;
 pub mod look;
 pub mod message;
 pub mod notices;
@@ -28,15 +26,17 @@
 pub mod placed;
 pub mod placing;
 pub mod plain;
-pub mod pump;
+pub mod proxy_metrics;
 pub mod request;
+pub mod response_body;
 pub mod rollouts;
 pub mod settings;
 pub mod side;
-pub mod stream;
+pub mod state_updates;
+pub mod stream_relay;
 pub mod suspects;
 pub mod table;
-pub mod turn_away;
+pub mod upstream_connections;
 pub mod view;
 pub mod warm;
 
@@ -68,16 +68,16 @@
 use crate::metrics;
 use crate::metrics::Metrics;
 use crate::placement::cold;
-use crate::proxy::capacity::Capacity;
+use crate::proxy::capacity::StreamLimiter;
+use crate::proxy::connection_limiter::ConnectionLimiter;
 use crate::proxy::dialect::Dialect;
 use crate::proxy::dialect::Directory;
 use crate::proxy::dialect::Engines;
 use crate::proxy::dialect::Records;
 use crate::proxy::dialect::Rollouts;
-use crate::proxy::door::Door;
-use crate::proxy::figures::Figures;
 use crate::proxy::hub::Hub;
 use crate::proxy::peers::Peers;
+use crate::proxy::proxy_metrics::ProxyMetrics;
 use crate::proxy::settings::Settings;
 use crate::stop::Signals;
 
@@ -100,13 +100,13 @@
 
 /// How far a stop has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stop {
+pub enum ShutdownPhase {
     /// No stop is asked for.
-    No,
+    Running,
     /// Nothing is kept open, but who comes is served.
-    Begun,
+    Closing,
     /// Nobody should come any more; what does is refused, since it might not end in time.
-    Late,
+    Refusing,
 }
 
 /// Why a proxy can't run.
@@ -121,7 +121,7 @@
 }
 
 /// Where the proxy runs: how its surroundings speak.
-pub struct Surroundings {
+pub struct Dependencies {
     /// The headers of callers and upstreams.
     pub dialect: Arc<dyn Dialect>,
     /// Calls to engines beside requests.
@@ -136,22 +136,22 @@
 
 /// Runs a proxy until it is told to stop. `path` is the settings file, which is read again when it
 /// changes.
-pub fn run(cfg: Settings, path: &Path, around: Surroundings) -> Result<(), Error> {
+pub fn run(cfg: Settings, path: &Path, deps: Dependencies) -> Result<(), Error> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(|source| Error::Io { what: "starting the runtime", source })?;
-    let result = runtime.block_on(serve(cfg, path.to_owned(), around));
+    let result = runtime.block_on(serve(cfg, path.to_owned(), deps));
     runtime.shutdown_background();
     result
 }
 
-async fn serve(cfg: Settings, path: PathBuf, around: Surroundings) -> Result<(), Error> {
+async fn serve(cfg: Settings, path: PathBuf, deps: Dependencies) -> Result<(), Error> {
     let (log, _guard) = log::open(&cfg.log, "frostdyke-proxy", &cfg.identity.name);
-    let figures = Figures::new(Metrics::new()?);
+    let metrics = ProxyMetrics::new(Metrics::new()?);
     let callers = bind("[listen] callers", cfg.callers).await?;
-    let callers =
-        front::listen(callers).map_err(|source| Error::Io { what: "[listen] callers", source })?;
+    let callers = listener::listen(callers)
+        .map_err(|source| Error::Io { what: "[listen] callers", source })?;
     let ready = bind("[listen] ready", cfg.ready).await?;
     let peer_port = bind("[listen] peers", cfg.peers).await?;
     let socket = UdpSocket::bind(cfg.datagrams)
@@ -161,22 +161,22 @@
     let clock = Clock::new(Box::new(SinceBoot));
     let peers = Peers::new(&cfg, socket, clock.clone());
     peers.add_seeds(&cfg.seeds);
-    let engines = around.engines.clone();
-    let hub = Hub::new(&cfg, clock, around.dialect, engines, peers, figures, log.clone());
+    let engines = deps.engines.clone();
+    let hub = Hub::new(&cfg, clock, deps.dialect, engines, peers, metrics, log.clone());
     info!(log, "started"; "callers" => %cfg.callers, "zone" => cfg.identity.zone.as_str());
 
-    let (stop, stopping) = watch::channel(Stop::No);
+    let (stop, stopping) = watch::channel(ShutdownPhase::Running);
     let (due, is_due) = watch::channel(false);
-    follow(&hub, &*around.directory, is_due);
+    follow(&hub, &*deps.directory, is_due);
     gossip::start(&hub);
-    tokio::spawn(warm::up(hub.clone(), around.engines.clone()));
-    tokio::spawn(warm::keep(hub.clone(), around.engines));
+    tokio::spawn(warm::up(hub.clone(), deps.engines.clone()));
+    tokio::spawn(warm::keep(hub.clone(), deps.engines));
     tokio::spawn(asking::tell_shares(hub.clone()));
-    tokio::spawn(rollouts::run(hub.clone(), around.rollouts));
+    tokio::spawn(rollouts::run(hub.clone(), deps.rollouts));
     tokio::spawn(suspects::catch_up(hub.clone()));
-    tokio::spawn(suspects::keep(hub.clone(), around.records.clone()));
+    tokio::spawn(suspects::keep(hub.clone(), deps.records.clone()));
     if !cfg.is_first_start {
-        tokio::spawn(suspects::recall(hub.clone(), around.records));
+        tokio::spawn(suspects::recall(hub.clone(), deps.records));
     }
     due.send_replace(hub.peers().is_store_due());
     tokio::spawn(tick(hub.clone(), due));
@@ -184,7 +184,12 @@
     tokio::spawn(reload(hub.clone(), path));
     tokio::spawn(side::serve_ready(ready, hub.clone(), stopping.clone()));
     tokio::spawn(side::serve_peers(peer_port, hub.clone()));
-    tokio::spawn(front::serve(callers, Door::new(cfg.cores), hub.clone(), stopping));
+    tokio::spawn(listener::serve(
+        callers,
+        ConnectionLimiter::new(cfg.cores),
+        hub.clone(),
+        stopping,
+    ));
 
     signals.next().await;
     info!(log, "stopping"; "in_flight" => hub.in_flight());
@@ -203,13 +208,13 @@
     let hub = hub.clone();
     tokio::spawn(async move {
         while let Some(news) = rx.recv().await {
-            intake::news(&hub, news);
+            state_updates::apply_store_update(&hub, news);
         }
     });
 }
 
 async fn tick(hub: Arc<Hub>, store_due: watch::Sender<bool>) {
-    let mut capacity = Capacity::new(hub.streams_max());
+    let mut capacity = StreamLimiter::new(hub.streams_max());
     let mut turned_away = 0;
     let mut crowded_until = Instant::now();
     let mut kept: BTreeSet<Group> = BTreeSet::new();
@@ -221,7 +226,7 @@
             wake(&hub, suspended);
         }
         let before = (capacity.is_behind(), hub.is_full());
-        hub.set_streams_max(capacity.note(due.elapsed(), hub.streams()));
+        hub.set_streams_max(capacity.record_tick(due.elapsed(), hub.streams()));
         if turned_away < hub.turned_away() {
             turned_away = hub.turned_away();
             crowded_until = due + CROWDED_FOR;
@@ -250,12 +255,12 @@
         if store_due.send_if_modified(|was| std::mem::replace(was, is_due) != is_due) {
             info!(hub.log(), "watch of the store"; "is_due" => is_due);
         }
-        let resting = hub.links().addrs();
+        let resting = hub.upstream_connections().addrs();
         let gone = hub.read(|view| {
             let is_gone = |addr: &SocketAddr| !view.fleet().has_addr(addr);
             resting.into_iter().filter(is_gone).collect()
         });
-        hub.links().tick(&gone);
+        hub.upstream_connections().close_expired(&gone);
     }
 }
 
@@ -264,7 +269,7 @@
 fn wake(hub: &Hub, suspended: Duration) {
     warn!(hub.log(), "suspended"; "ms" => suspended.as_millis() as u64);
     hub.metrics().suspended();
-    hub.links().close_resting();
+    hub.upstream_connections().close_idle();
     hub.clock().wake();
 }
 
@@ -275,14 +280,14 @@
 }
 
 /// Waits until all requests have ended and no new ones are to be expected, or time is up.
-async fn drain(hub: &Hub, stop: &watch::Sender<Stop>, within: Duration) {
+async fn drain(hub: &Hub, stop: &watch::Sender<ShutdownPhase>, within: Duration) {
     let began = Instant::now();
-    let _ = stop.send(Stop::Begun);
+    let _ = stop.send(ShutdownPhase::Closing);
     let last = within.saturating_sub(STOP_RESERVE);
     loop {
         tokio::time::sleep(TICK).await;
         if STOP_MIN <= began.elapsed() {
-            let _ = stop.send(Stop::Late);
+            let _ = stop.send(ShutdownPhase::Refusing);
         }
         let quiet = hub.in_flight() == 0 && STOP_MIN <= began.elapsed();
         if quiet || last <= began.elapsed() {
--- a/src/proxy/placed.rs
+++ b/src/proxy/placed.rs
@@ -22,7 +22,7 @@
 use crate::proxy::hub::Hub;
 use crate::proxy::message::Message;
 use crate::proxy::plain;
-use crate::proxy::request::Run;
+use crate::proxy::request::RequestContext;
 use crate::proxy::rollouts::Mark;
 
 /// Counts a request while it is served.
@@ -81,8 +81,8 @@
 
 impl Placed {
     /// The entry of a send that `choice` was made for; `request` names it.
-    pub fn new(run: &Run, choice: &Choice, request: u64) -> Placed {
-        let Run { hub, service, workspace, .. } = run;
+    pub fn new(ctx: &RequestContext, choice: &Choice, request: u64) -> Placed {
+        let RequestContext { hub, service, workspace, .. } = ctx;
         let now = hub.now();
         let (trial, born, version) = hub.fleet(|fleet| {
             fleet.sent(&choice.upstream);
@@ -92,8 +92,8 @@
         });
         let mark = version
             .as_ref()
-            .and_then(|version| hub.rollouts().mark(service, version, &run.route.name));
-        let charge = run.head.prompt.as_ref().map(Prompt::charge);
+            .and_then(|version| hub.rollouts().mark(service, version, &ctx.route.name));
+        let charge = ctx.head.prompt.as_ref().map(Prompt::charge);
         Placed {
             hub: hub.clone(),
             upstream: choice.upstream.clone(),
@@ -101,7 +101,7 @@
             sent: now,
             expected: choice.first_token,
             service: service.clone(),
-            is_model: run.head.prompt.is_some(),
+            is_model: ctx.head.prompt.is_some(),
             born: born.flatten(),
             version,
             mark,
--- a/src/proxy/placing.rs
+++ b/src/proxy/placing.rs
@@ -22,7 +22,7 @@
 use crate::proxy::dialect::Prompt;
 use crate::proxy::placed::Placed;
 use crate::proxy::plain;
-use crate::proxy::request::Run;
+use crate::proxy::request::RequestContext;
 
 /// When to come back where no upstream can be had: entries come back within seconds.
 pub(super) const NO_UPSTREAM_RETRY: Duration = Duration::from_millis(500);
@@ -30,7 +30,7 @@
 /// When to come back at the earliest after an overload.
 pub(super) const OVERLOAD_RETRY_MIN: Duration = Duration::from_millis(100);
 
-impl Run {
+impl RequestContext {
     /// Chooses an upstream and enters the request there, or says why it can't be served in time.
     pub async fn place(&mut self) -> Result<(Choice, Placed), Refusal> {
         let name = format!("{}/{}", self.head.id, self.tried.len());
@@ -38,7 +38,7 @@
         let side = self.side();
         let mut decided = self.decide(request, side).await;
         let has_no_room = side == Side::Target && decided.decision.is_err();
-        if has_no_room && self.begun_at.is_none() && self.may_fall_back() {
+        if has_no_room && self.response_version.is_none() && self.may_fall_back() {
             decided = self.decide(request, Side::Others).await;
         }
         match &decided.decision {
@@ -63,7 +63,7 @@
     /// The versions that the request may go to: an answer that has begun is gone on with by the same one.
     fn side(&self) -> Side {
         let (rollouts, now) = (self.hub.rollouts(), self.hub.now());
-        match &self.begun_at {
+        match &self.response_version {
             Some(version) => rollouts.side_of(&self.service, version, now),
             None => rollouts.side(&self.service, &self.head.id, now),
         }
--- a/src/proxy/figures.rs
+++ b/src/proxy/proxy_metrics.rs
@@ -24,7 +24,7 @@
 
 /// The proxy's counters and histograms.
 #[derive(Clone)]
-pub struct Figures {
+pub struct ProxyMetrics {
     metrics: Metrics,
     refused: Counter<u64>,
     workspace_begun: Counter<u64>,
@@ -47,14 +47,14 @@
     suspended: Counter<u64>,
 }
 
-impl Figures {
+impl ProxyMetrics {
     /// Figures that nobody has asked for yet.
-    pub fn new(metrics: Metrics) -> Figures {
+    pub fn new(metrics: Metrics) -> ProxyMetrics {
         let meter = metrics.meter();
         let histogram = |name: &'static str| {
             meter.f64_histogram(name).with_boundaries(TIME_BOUNDS.to_vec()).build()
         };
-        Figures {
+        ProxyMetrics {
             refused: meter.u64_counter("frostdyke_proxy_refused").build(),
             workspace_begun: meter.u64_counter("frostdyke_workspace_begun_tokens").build(),
             workspace_refused: meter.u64_counter("frostdyke_workspace_refused_tokens").build(),
@@ -87,7 +87,7 @@
     }
 
     /// Shows what the process holds and believes whenever the page is asked for.
-    pub fn show(&self, hub: &Arc<Hub>) {
+    pub fn register_gauges(&self, hub: &Arc<Hub>) {
         let gauge = |name: &'static str, read: fn(&Hub) -> u64| {
             let hub: Weak<Hub> = Arc::downgrade(hub);
             let gauge = self.metrics.meter().u64_observable_gauge(name);
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -33,8 +33,6 @@
 use crate::proxy::dialect::Outgoing;
 use crate::proxy::dialect::Verdict;
 use crate::proxy::hub::Hub;
-use crate::proxy::link;
-use crate::proxy::link::AnswerBody;
 use crate::proxy::look;
 use crate::proxy::notices;
 use crate::proxy::notices::Said;
@@ -43,13 +41,15 @@
 use crate::proxy::placed::Placed;
 use crate::proxy::placing::NO_UPSTREAM_RETRY;
 use crate::proxy::placing::OVERLOAD_RETRY_MIN;
-use crate::proxy::pump;
-use crate::proxy::stream;
-use crate::proxy::stream::Body;
+use crate::proxy::response_body;
+use crate::proxy::response_body::Body;
+use crate::proxy::stream_relay;
 use crate::proxy::suspects;
 use crate::proxy::suspects::Break;
 use crate::proxy::table::Repeat;
 use crate::proxy::table::Route;
+use crate::proxy::upstream_connections;
+use crate::proxy::upstream_connections::UpstreamBody;
 use crate::util;
 use crate::web;
 use crate::web::BodyFault;
@@ -68,7 +68,7 @@
 const WHOLE_MAX: usize = 4 << 20;
 
 /// A request with all that is known of it.
-pub struct Run {
+pub struct RequestContext {
     /// The process.
     pub hub: Arc<Hub>,
     /// What the caller's head says.
@@ -96,29 +96,29 @@
     /// Sends so far.
     pub sends: u32,
     /// The version of the upstream that began the answer, once one has.
-    pub begun_at: Option<VersionName>,
+    pub response_version: Option<VersionName>,
     /// Sends that broke off.
-    pub breaks: u32,
+    pub broken_sends: u32,
     /// When the first token came, once it has.
     pub first_token: Option<FirstToken>,
     /// Counts it until all of its answer has been passed on.
-    pub in_flight: InFlight,
+    pub in_flight_guard: InFlight,
     /// The same until it has been sent for the first time.
-    pub start: Option<InFlight>,
+    pub unsent_guard: Option<InFlight>,
     /// The same among the streams, if it is one.
-    pub stream: Option<InFlight>,
+    pub stream_guard: Option<InFlight>,
 }
 
 /// What became of one send.
 enum Sent {
     /// The answer to pass on.
-    Answer(Box<Reply>),
+    Answer(Box<UpstreamResponse>),
     /// It did not reach the upstream.
-    Unsent(link::Error),
+    Unsent(upstream_connections::Error),
     /// The upstream says that it did not run it.
     NotRun,
     /// It may have run. The answer to pass on if it isn't sent again, if there is one.
-    Unsure(Option<Box<Reply>>),
+    Unsure(Option<Box<UpstreamResponse>>),
 }
 
 /// What came of earlier sends of a request.
@@ -126,13 +126,13 @@
 struct Earlier {
     may_have_run: bool,
     /// The last answer, which is passed on if no better one comes.
-    reply: Option<Box<Reply>>,
+    reply: Option<Box<UpstreamResponse>>,
 }
 
 impl Earlier {
     /// How the request ends that is not sent any more, for `cause`: whoever may have run it, it is
     /// not called "not run".
-    fn give_up(self, cause: Refusal) -> Result<Box<Reply>, Refusal> {
+    fn give_up(self, cause: Refusal) -> Result<Box<UpstreamResponse>, Refusal> {
         match self.reply {
             Some(reply) => Ok(reply),
             None if self.may_have_run => Err(Refusal::Broken),
@@ -142,9 +142,9 @@
 }
 
 /// An upstream's answer whose body is still to come.
-pub struct Reply {
+pub struct UpstreamResponse {
     /// The answer; its body closes the connection when it is dropped.
-    pub resp: Response<AnswerBody>,
+    pub resp: Response<UpstreamBody>,
     /// The request's entry in the models.
     pub placed: Placed,
 }
@@ -162,8 +162,8 @@
         Err(cause) => return run.refuse(cause),
     }
     if run.route.streaming {
-        run.stream = hub.enter_stream();
-        if run.stream.is_none() {
+        run.stream_guard = hub.enter_stream();
+        if run.stream_guard.is_none() {
             return run.refuse(Refusal::BoxBusy);
         }
     }
@@ -177,7 +177,7 @@
     answer::refusal(cause)
 }
 
-impl Run {
+impl RequestContext {
     async fn go(mut self) -> Response<Body> {
         let timed_out = self.hub.clock().clone().sleep_until(self.deadline);
         let attempted = tokio::select! {
@@ -211,7 +211,7 @@
     }
 
     /// Sends the request until there is an answer to pass on.
-    async fn attempt(&mut self) -> Result<Box<Reply>, Refusal> {
+    async fn attempt(&mut self) -> Result<Box<UpstreamResponse>, Refusal> {
         let mut unsent = 0;
         let mut earlier = Earlier::default();
         loop {
@@ -228,7 +228,7 @@
             };
             match self.send(&choice, placed, None).await {
                 Sent::Answer(reply) => {
-                    self.begun_at = reply.placed.version().cloned();
+                    self.response_version = reply.placed.version().cloned();
                     return Ok(reply);
                 }
                 Sent::Unsent(e) => {
@@ -281,14 +281,15 @@
     /// off waits until other boxes have told of the same request, since it may have run at several upstreams at once.
     async fn holds_back(&self) -> Option<Refusal> {
         let suspects = self.hub.suspects();
-        if self.breaks != 0 {
+        if self.broken_sends != 0 {
             tokio::time::sleep(TOLD_WITHIN).await;
         } else if !self.may_be_known() {
             return None;
         }
         let content = self.fingerprint();
         let retry_after = suspects::held_for(&self.hub, &content);
-        let is_doubtful = self.breaks != 0 && suspects.would_be_too_many(&content, self.hub.now());
+        let is_doubtful =
+            self.broken_sends != 0 && suspects.would_be_too_many(&content, self.hub.now());
         let retry_after = retry_after.or(is_doubtful.then_some(NO_UPSTREAM_RETRY));
         retry_after.map(|retry_after| Refusal::EndsUpstreams { retry_after })
     }
@@ -300,14 +301,14 @@
     }
 
     /// Notes that the answer broke off, and ends the request's entry in the models. `is_sure` if the upstream has ended.
-    pub fn broke_off(&mut self, placed: Placed, is_sure: bool) {
+    pub fn record_break(&mut self, placed: Placed, is_sure: bool) {
         let upstream = placed.upstream().clone();
         // One that has ended, or leaves, says nothing of its version's answers.
         if !is_sure && self.hub.read(|view| view.fleet().is_open(&upstream)) {
             placed.failed();
         }
         let start = suspects::start_of(&upstream, placed.born());
-        self.breaks += 1;
+        self.broken_sends += 1;
         look::unreachable(&self.hub, &upstream);
         placed.close(Some(Health::Broken));
         // One that leaves ends by itself.
@@ -318,7 +319,7 @@
     }
 
     /// Notes that the request has ended well.
-    pub fn ended_well(&self) {
+    pub fn record_success(&self) {
         if self.may_be_known() {
             suspects::ended_well(&self.hub, &self.fingerprint());
         }
@@ -331,22 +332,26 @@
 
     /// Sends the request to an upstream, from the event after `resume_after` on if that is given.
     async fn send(&mut self, choice: &Choice, placed: Placed, resume_after: Option<u64>) -> Sent {
-        self.start = None;
+        self.unsent_guard = None;
         self.tried.push(choice.upstream.clone());
         let req = self.request_for(choice, resume_after);
         let began = Instant::now();
         let once = self.route.repeat == Repeat::Never;
-        let links = self.hub.links().clone();
-        let allowed = self.hub.allowed(&choice.upstream, self.connections_max, choice.is_counted);
+        let upstream_connections = self.hub.upstream_connections().clone();
+        let connection_quota =
+            self.hub.connection_quota(&choice.upstream, self.connections_max, choice.is_counted);
         let withheld = || notices::withheld(&self.hub, &placed);
-        let answer = links.send(choice.addr, allowed, once, req, withheld).await;
+        let answer =
+            upstream_connections.send(choice.addr, connection_quota, once, req, withheld).await;
         let mut resp = match answer {
             Ok(resp) => resp,
             Err(e) if e.is_unsent() => {
                 match e {
-                    link::Error::Withheld(reason) => self.hub.metrics().withheld(reason.code()),
+                    upstream_connections::Error::Withheld(reason) => {
+                        self.hub.metrics().withheld(reason.code())
+                    }
                     // Our own limit says nothing about the upstream.
-                    link::Error::NoneFree => {}
+                    upstream_connections::Error::LimitReached => {}
                     _ => look::unreachable(&self.hub, &choice.upstream),
                 }
                 placed.withdraw(None);
@@ -357,7 +362,7 @@
                 info!(self.hub.log(), "no answer"; "id" => &self.head.id,
                     "content" => %self.fingerprint(), "upstream" => choice.upstream.as_str(),
                     "error" => util::with_causes(&e));
-                self.broke_off(placed, matches!(e, link::Error::Restarted));
+                self.record_break(placed, matches!(e, upstream_connections::Error::Restarted));
                 return Sent::Unsure(None);
             }
         };
@@ -374,7 +379,7 @@
 
     fn judge(
         &self,
-        resp: Response<AnswerBody>,
+        resp: Response<UpstreamBody>,
         placed: Placed,
         verdict: Verdict,
         began: Instant,
@@ -401,7 +406,7 @@
             placed.close(Some(Health::Failed));
             return Sent::Unsure(None);
         }
-        let reply = Box::new(Reply { resp, placed });
+        let reply = Box::new(UpstreamResponse { resp, placed });
         if status.is_server_error() {
             self.log_answer(&reply.resp, &reply.placed, verdict, "failed");
             reply.placed.note(Health::Failed);
@@ -418,7 +423,7 @@
     /// Logs an answer that isn't simply passed on.
     fn log_answer(
         &self,
-        resp: &Response<AnswerBody>,
+        resp: &Response<UpstreamBody>,
         placed: &Placed,
         verdict: Verdict,
         taken_for: &'static str,
@@ -430,7 +435,7 @@
     }
 
     /// Sends the rest of a broken stream's request to another upstream.
-    pub async fn resume(&mut self, after: Option<u64>) -> Option<Box<Reply>> {
+    pub async fn resume(&mut self, after: Option<u64>) -> Option<Box<UpstreamResponse>> {
         let repeatable =
             self.route.repeat == Repeat::AfterEvent && self.sends < self.route.max_upstreams;
         while repeatable
@@ -467,26 +472,26 @@
     }
 
     /// Passes an answer on.
-    async fn answer(self, reply: Box<Reply>) -> Response<Body> {
+    async fn answer(self, reply: Box<UpstreamResponse>) -> Response<Body> {
         if self.route.streaming && reply.resp.status().is_success() {
-            return pump::start(self, *reply);
+            return stream_relay::start(self, *reply);
         }
         self.answer_whole(*reply).await
     }
 
     /// Passes an answer on once it has come whole, so that one that breaks off is never begun.
-    async fn answer_whole(mut self, reply: Reply) -> Response<Body> {
-        let Reply { resp, placed } = reply;
+    async fn answer_whole(mut self, reply: UpstreamResponse) -> Response<Body> {
+        let UpstreamResponse { resp, placed } = reply;
         let (head, mut body) = resp.into_parts();
         let left = self.left();
         match web::read_body(&mut body, WHOLE_MAX, left).await {
             Ok(bytes) => {
                 body.keep(&head.headers);
                 placed.close(None);
-                self.ended_well();
+                self.record_success();
                 self.log_end(head.status, "whole");
                 let headers = self.hub.dialect().incoming(&head.headers);
-                respond(head.status, headers, stream::whole(bytes))
+                respond(head.status, headers, response_body::full(bytes))
             }
             Err(fault) => {
                 info!(self.hub.log(), "broke off"; "id" => &self.head.id,
@@ -494,7 +499,7 @@
                     "error" => %fault);
                 match fault {
                     BodyFault::Cut if !self.left().is_zero() => {
-                        self.broke_off(placed, false);
+                        self.record_break(placed, false);
                     }
                     BodyFault::Cut | BodyFault::TooLong => placed.close(Some(Health::Broken)),
                 }
--- a/src/proxy/stream.rs
+++ b/src/proxy/response_body.rs
@@ -13,18 +13,18 @@
 pub type Body = UnsyncBoxBody<Bytes, io::Error>;
 
 /// A body that is there as a whole.
-pub fn whole(bytes: Bytes) -> Body {
+pub fn full(bytes: Bytes) -> Body {
     Full::new(bytes).map_err(|e| match e {}).boxed_unsync()
 }
 
 /// Cuts a stream of events at the ends of events, so that a broken one can be gone on with.
 #[derive(Debug, Default)]
-pub struct Events {
+pub struct EventSplitter {
     part: BytesMut,
     last_id: Option<u64>,
 }
 
-impl Events {
+impl EventSplitter {
     /// Takes in bytes; gives all events that are whole now.
     pub fn push(&mut self, bytes: &[u8]) -> Bytes {
         self.part.extend_from_slice(bytes);
@@ -42,7 +42,7 @@
     }
 
     /// Takes what is left of an event that has no end.
-    pub fn take_part(&mut self) -> Bytes {
+    pub fn take_partial(&mut self) -> Bytes {
         let len = self.part.remaining();
         self.part.copy_to_bytes(len)
     }
--- a/src/proxy/settings.rs
+++ b/src/proxy/settings.rs
@@ -39,7 +39,7 @@
     /// `[box] descriptors`: sockets and files that the process may have open.
     pub descriptors: usize,
     /// `[box] memory-mb`: memory that the process may use, in bytes; zero for no bound.
-    pub memory: usize,
+    pub memory_bytes: usize,
     /// `[store] address`: where the platform's store is.
     pub store: SocketAddr,
     /// `[store] watch-s`: how long a watch waits for a change.
@@ -78,7 +78,7 @@
         cores: rdr.optional("box", "cores", 1.0),
         is_first_start: rdr.optional("box", "first-start", false),
         descriptors: rdr.optional("box", "descriptors", 4096),
-        memory: rdr.optional::<usize>("box", "memory-mb", 0) << 20,
+        memory_bytes: rdr.optional::<usize>("box", "memory-mb", 0) << 20,
         store: rdr.address("store", "address"),
         store_watch: Duration::from_secs_f64(rdr.optional("store", "watch-s", WATCH_S)),
         has_evacuations: rdr.optional("store", "evacuations", false),
--- a/src/proxy/side.rs
+++ b/src/proxy/side.rs
@@ -19,7 +19,7 @@
 use crate::fleet::owners::Group;
 use crate::fleet::quarantine::Suspect;
 use crate::placement::fleet::learned::Learned;
-use crate::proxy::Stop;
+use crate::proxy::ShutdownPhase;
 use crate::proxy::ask;
 use crate::proxy::ask::Asker;
 use crate::proxy::hub::Hub;
@@ -66,7 +66,11 @@
 }
 
 /// Tells the balancer whether this box serves, until the process ends.
-pub async fn serve_ready(listener: TcpListener, hub: Arc<Hub>, stopping: watch::Receiver<Stop>) {
+pub async fn serve_ready(
+    listener: TcpListener,
+    hub: Arc<Hub>,
+    stopping: watch::Receiver<ShutdownPhase>,
+) {
     let page = Arc::new(Ready { hub, stopping });
     web::serve(listener, 0, page, std::future::pending()).await;
 }
@@ -118,14 +122,14 @@
 
 struct Ready {
     hub: Arc<Hub>,
-    stopping: watch::Receiver<Stop>,
+    stopping: watch::Receiver<ShutdownPhase>,
 }
 
 impl Page for Ready {
     fn refuse(&self, _: &http::request::Parts) -> Option<Response<Bytes>> {
         let ready = self.hub.read(View::is_ready)
             && !self.hub.is_full()
-            && *self.stopping.borrow() == Stop::No;
+            && *self.stopping.borrow() == ShutdownPhase::Running;
         let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
         Some(empty(status))
     }
--- a/src/proxy/intake.rs
+++ b/src/proxy/state_updates.rs
@@ -24,7 +24,7 @@
 use crate::proxy::view::View;
 
 /// Takes in what the store tells.
-pub fn news(hub: &Hub, news: News) {
+pub fn apply_store_update(hub: &Hub, news: News) {
     match news {
         News::Configured(table) => hub.change(|view, now| view.configure(table, now)),
         News::BadConfiguration(fault) => {
@@ -75,7 +75,7 @@
 }
 
 /// Takes in a message of the box at `sender`.
-pub fn message(hub: &Hub, message: Message, sender: IpAddr) {
+pub fn apply_message(hub: &Hub, message: Message, sender: IpAddr) {
     let now = hub.now();
     match message {
         Message::Placed { upstream, request, prompt, unread, copied, workspace, sender: by } => {
--- a/src/proxy/pump.rs
+++ b/src/proxy/stream_relay.rs
@@ -20,15 +20,15 @@
 use slog::info;
 use tokio::time::Sleep;
 
-use crate::proxy::link;
-use crate::proxy::link::AnswerBody;
 use crate::proxy::placed::Placed;
 use crate::proxy::request;
-use crate::proxy::request::Reply;
-use crate::proxy::request::Run;
-use crate::proxy::stream::Body;
-use crate::proxy::stream::Events;
+use crate::proxy::request::RequestContext;
+use crate::proxy::request::UpstreamResponse;
+use crate::proxy::response_body::Body;
+use crate::proxy::response_body::EventSplitter;
 use crate::proxy::table::Repeat;
+use crate::proxy::upstream_connections;
+use crate::proxy::upstream_connections::UpstreamBody;
 use crate::util;
 
 /// Why a stream ended.
@@ -57,7 +57,7 @@
 
 /// What an upstream still has to send.
 struct Source {
-    body: AnswerBody,
+    body: UpstreamBody,
     headers: HeaderMap,
     placed: Placed,
 }
@@ -67,7 +67,7 @@
     /// An upstream's answer.
     Passing(Box<Source>),
     /// Another upstream, which goes on with the stream if there is one.
-    Resuming(BoxFuture<'static, (Box<Run>, Option<Box<Reply>>)>),
+    Resuming(BoxFuture<'static, (Box<RequestContext>, Option<Box<UpstreamResponse>>)>),
     /// Nowhere: the answer is cut, once all that came before has been written.
     Cutting,
     /// Nowhere: the answer has ended.
@@ -76,11 +76,11 @@
 
 /// The body of a caller's answer. Nothing runs beside it: the caller's connection asks it for the
 /// next piece, and it asks the upstream's. It is dropped when the caller leaves.
-struct Pump {
+struct StreamRelay {
     /// The request; a resumption has it meanwhile.
-    run: Option<Box<Run>>,
+    run: Option<Box<RequestContext>>,
     state: State,
-    events: Events,
+    events: EventSplitter,
     /// Whether the request's first piece has come.
     begun: bool,
     /// Pieces of this upstream's answer so far.
@@ -93,14 +93,14 @@
 }
 
 /// Answers with the stream that begins with `reply`.
-pub fn start(run: Run, reply: Reply) -> Response<Body> {
+pub fn start(run: RequestContext, reply: UpstreamResponse) -> Response<Body> {
     let status = reply.resp.status();
     let headers = run.hub.dialect().incoming(reply.resp.headers());
-    let pump = Pump {
+    let pump = StreamRelay {
         timed_out: run.hub.clock().clone().sleep_until(run.deadline).boxed(),
         run: Some(Box::new(run)),
         state: passing(reply),
-        events: Events::default(),
+        events: EventSplitter::default(),
         begun: false,
         pieces: 0,
         held: None,
@@ -109,13 +109,13 @@
     request::respond(status, headers, pump.boxed_unsync())
 }
 
-fn passing(reply: Reply) -> State {
-    let Reply { resp, placed } = reply;
+fn passing(reply: UpstreamResponse) -> State {
+    let UpstreamResponse { resp, placed } = reply;
     let (head, body) = resp.into_parts();
     State::Passing(Box::new(Source { body, headers: head.headers, placed }))
 }
 
-impl hyper::body::Body for Pump {
+impl hyper::body::Body for StreamRelay {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -169,20 +169,20 @@
     }
 }
 
-impl Pump {
+impl StreamRelay {
     /// The next piece of the upstream's answer. On a busy box what follows a piece is left with the kernel for a
     /// moment, so that several come with one call and go with one.
     fn poll_source(
         &mut self,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, link::Error>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, upstream_connections::Error>>> {
         if let Some(held) = &mut self.held {
             ready!(held.as_mut().poll(cx));
             self.held = None;
         }
         let State::Passing(source) = &mut self.state else { return Poll::Pending };
         let until = match (&self.run, self.has_passed) {
-            (Some(run), true) => run.hub.hold_until(),
+            (Some(run), true) => run.hub.coalesce_until(),
             _ => None,
         };
         let Some(until) = until else { return Pin::new(&mut source.body).poll_frame(cx) };
@@ -232,23 +232,23 @@
             body.keep(&headers);
             placed.paced(self.pieces);
             placed.close(None);
-            self.run.iter().for_each(|run| run.ended_well());
+            self.run.iter().for_each(|run| run.record_success());
         }
         self.log_end(End::Whole);
-        self.events.take_part()
+        self.events.take_partial()
     }
 
     /// Goes on with the stream elsewhere, or cuts it.
-    fn broke_off(&mut self, e: &link::Error) {
+    fn broke_off(&mut self, e: &upstream_connections::Error) {
         let Some(mut run) = self.run.take() else { return };
         if let State::Passing(source) = std::mem::replace(&mut self.state, State::Ended) {
             info!(run.hub.log(), "broke off"; "id" => &run.head.id,
                 "content" => %run.fingerprint(), "upstream" => source.placed.upstream().as_str(), "error" => util::with_causes(e),
                 "begun" => self.begun, "last_event" => self.events.last_id());
-            run.broke_off(source.placed, matches!(e, link::Error::Restarted));
+            run.record_break(source.placed, matches!(e, upstream_connections::Error::Restarted));
         }
         // The part of an event that came is sent again by the next upstream.
-        let _ = self.events.take_part();
+        let _ = self.events.take_partial();
         let after = self.events.last_id();
         self.state = State::Resuming(Box::pin(async move {
             let timed_out = run.hub.clock().clone().sleep_until(run.deadline);
@@ -281,7 +281,7 @@
     }
 }
 
-impl Drop for Pump {
+impl Drop for StreamRelay {
     fn drop(&mut self) {
         let late = self.run.as_ref().is_some_and(|run| run.deadline <= run.hub.now());
         self.log_end(if late { End::TimedOut } else { End::CallerLeft });
--- a/src/proxy/link.rs
+++ b/src/proxy/upstream_connections.rs
@@ -89,7 +89,7 @@
     ConnectTimeout,
     /// All connections that this upstream may get are in use; nothing was sent.
     #[error("no connection is free")]
-    NoneFree,
+    LimitReached,
     /// The connection failed after the request may have been sent.
     #[error("no answer")]
     Lost(#[source] hyper::Error),
@@ -118,16 +118,16 @@
 
 /// How many connections to one upstream this box may have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Allowed {
+pub struct ConnectionQuota {
     /// While requests are on them.
-    pub busy: u32,
+    pub open_max: u32,
     /// Between requests.
-    pub kept: u32,
+    pub kept_max: u32,
 }
 
 /// What the connections to one upstream are shared by.
 #[derive(Clone, Copy, Debug)]
-pub struct Sharing {
+pub struct QuotaInputs {
     /// Connections that it takes from all boxes.
     pub connections: u32,
     /// Requests that its owner lets be there at once.
@@ -138,12 +138,12 @@
     pub draw: u32,
 }
 
-impl Allowed {
+impl ConnectionQuota {
     /// The even part of this box. Requests that the upstream's owner has placed, as `is_placed` says, come on
     /// top of all parts: they are no more than its slots and a few that wait, so a box that has many of them may
     /// have a connection for each. The sum over all boxes stays below what the upstream takes, whatever the
     /// numbers.
-    pub fn new(sharing: Sharing, is_placed: bool) -> Allowed {
+    pub fn new(sharing: QuotaInputs, is_placed: bool) -> ConnectionQuota {
         let connections = f64::from(sharing.connections);
         let placed = (connections * PLACED_SHARE / 2.0) as u32;
         let placed = placed.min(sharing.placed_max);
@@ -157,13 +157,16 @@
             let few = (shared - DRAWN_DEVIATIONS * shared.sqrt()).max(0.0);
             u32::from(f64::from(sharing.draw) < few / boxes * f64::from(u32::MAX))
         };
-        Allowed { busy: if is_placed { kept.max(placed) } else { kept }, kept }
+        ConnectionQuota {
+            open_max: if is_placed { kept.max(placed) } else { kept },
+            kept_max: kept,
+        }
     }
 }
 
 /// Connections to all upstreams.
 #[derive(Debug)]
-pub struct Links {
+pub struct UpstreamConnections {
     clock: Arc<Clock>,
     by_addr: Mutex<HashMap<SocketAddr, PerUpstream>>,
 }
@@ -229,13 +232,13 @@
 /// Counts a connection while it is open.
 #[derive(Debug)]
 struct Count {
-    links: Arc<Links>,
+    upstream_connections: Arc<UpstreamConnections>,
     addr: SocketAddr,
 }
 
 impl Drop for Count {
     fn drop(&mut self) {
-        let mut by_addr = self.links.by_addr.lock().expect("no panic under lock");
+        let mut by_addr = self.upstream_connections.by_addr.lock().expect("no panic under lock");
         if let Some(upstream) = by_addr.get_mut(&self.addr) {
             upstream.open = upstream.open.saturating_sub(1);
         }
@@ -254,9 +257,10 @@
             drive(&mut driver, cx);
             if driver.is_some() { Poll::Pending } else { Poll::Ready(()) }
         }));
-        let (links, addr) = (count.links.clone(), count.addr);
-        let (watch, since) = (watch.abort_handle(), links.clock.now());
-        links.put(addr, Resting { tx, driver, watch, since, keep, count, made, is_proven });
+        let (upstream_connections, addr) = (count.upstream_connections.clone(), count.addr);
+        let (watch, since) = (watch.abort_handle(), upstream_connections.clock.now());
+        upstream_connections
+            .put(addr, Resting { tx, driver, watch, since, keep, count, made, is_proven });
     }
 }
 
@@ -297,12 +301,12 @@
 /// The body of an upstream's answer, with the connection that it comes on. Dropping it closes the
 /// connection.
 #[derive(Debug)]
-pub struct AnswerBody {
+pub struct UpstreamBody {
     incoming: Incoming,
     conn: Conn,
 }
 
-impl AnswerBody {
+impl UpstreamBody {
     /// Whether the upstream that the connection is meant for has answered on it, if not before then `is_proven`.
     pub fn prove(&mut self, is_proven: bool) -> bool {
         self.conn.is_proven |= is_proven;
@@ -320,7 +324,7 @@
     }
 }
 
-impl Body for AnswerBody {
+impl Body for UpstreamBody {
     type Data = Bytes;
     type Error = Error;
 
@@ -336,14 +340,14 @@
     }
 }
 
-impl Links {
+impl UpstreamConnections {
     /// No connection yet.
-    pub fn new(clock: Arc<Clock>) -> Arc<Links> {
-        Arc::new(Links { clock, by_addr: Mutex::default() })
+    pub fn new(clock: Arc<Clock>) -> Arc<UpstreamConnections> {
+        Arc::new(UpstreamConnections { clock, by_addr: Mutex::default() })
     }
 
     /// Closes all connections that rest.
-    pub fn close_resting(&self) {
+    pub fn close_idle(&self) {
         let mut by_addr = self.by_addr.lock().expect("no panic under lock");
         let resting: Vec<Resting> =
             by_addr.values_mut().flat_map(|upstream| std::mem::take(&mut upstream.idle)).collect();
@@ -355,16 +359,16 @@
     /// Sends a request; `once` asks for a connection that is sure to be alive. `withheld` is asked right before, since
     /// connecting takes time.
     pub async fn send(
-        self: &Arc<Links>,
+        self: &Arc<UpstreamConnections>,
         addr: SocketAddr,
-        allowed: Allowed,
+        quota: ConnectionQuota,
         once: bool,
         req: Request<Full<Bytes>>,
         withheld: impl FnOnce() -> Option<Withheld>,
-    ) -> Result<Response<AnswerBody>, Error> {
+    ) -> Result<Response<UpstreamBody>, Error> {
         let mut conn = match self.take(addr, once) {
             Some(conn) => conn,
-            None => self.connect(addr, allowed).await?,
+            None => self.connect(addr, quota).await?,
         };
         if let Some(reason) = withheld() {
             conn.rest();
@@ -382,12 +386,15 @@
             answer.as_mut().poll(cx).map_err(Error::Lost)
         });
         let resp = resp.await?;
-        Ok(resp.map(|incoming| AnswerBody { incoming, conn }))
+        Ok(resp.map(|incoming| UpstreamBody { incoming, conn }))
     }
 
     /// Makes a connection and keeps it for the next request.
-    pub async fn warm(self: &Arc<Links>, addr: SocketAddr) -> Result<(), Error> {
-        self.connect(addr, Allowed { busy: u32::MAX, kept: 1 }).await?.rest();
+    pub async fn preconnect(
+        self: &Arc<UpstreamConnections>,
+        addr: SocketAddr,
+    ) -> Result<(), Error> {
+        self.connect(addr, ConnectionQuota { open_max: u32::MAX, kept_max: 1 }).await?.rest();
         Ok(())
     }
 
@@ -400,7 +407,7 @@
 
     /// An upstream has started anew at a time, in milliseconds since 1970: closes what rests there, and ends the
     /// requests on connections that were made before, which are lost. Gives how many connections.
-    pub fn cut(&self, addr: SocketAddr, born: u64) -> usize {
+    pub fn close_before_restart(&self, addr: SocketAddr, born: u64) -> usize {
         let mut by_addr = self.by_addr.lock().expect("no panic under lock");
         let Some(upstream) = by_addr.get_mut(&addr) else { return 0 };
         let old: Vec<Resting> = upstream.idle.extract_if(.., |c| c.made <= born).collect();
@@ -423,7 +430,7 @@
     }
 
     /// Closes what has rested for too long, and all to upstreams that are no more.
-    pub fn tick(&self, gone: &HashSet<SocketAddr>) {
+    pub fn close_expired(&self, gone: &HashSet<SocketAddr>) {
         let mut old = Vec::new();
         let now = self.clock.now();
         let mut by_addr = self.by_addr.lock().expect("no panic under lock");
@@ -470,13 +477,17 @@
         resting.close();
     }
 
-    async fn connect(self: &Arc<Links>, addr: SocketAddr, allowed: Allowed) -> Result<Conn, Error> {
-        let count = self.count(addr, allowed).ok_or(Error::NoneFree)?;
+    async fn connect(
+        self: &Arc<UpstreamConnections>,
+        addr: SocketAddr,
+        quota: ConnectionQuota,
+    ) -> Result<Conn, Error> {
+        let count = self.count(addr, quota).ok_or(Error::LimitReached)?;
         let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr))
             .await
             .map_err(|_| Error::ConnectTimeout)?
             .map_err(Error::Connect)?;
-        guard(&stream).map_err(Error::Connect)?;
+        set_tcp_options(&stream).map_err(Error::Connect)?;
         let (tx, driver) = http1::Builder::new()
             .handshake(TokioIo::new(stream))
             .await
@@ -486,20 +497,24 @@
         Ok(Conn { tx, driver, keep, count, made, is_proven: false, cut })
     }
 
-    fn count(self: &Arc<Links>, addr: SocketAddr, allowed: Allowed) -> Option<Count> {
+    fn count(
+        self: &Arc<UpstreamConnections>,
+        addr: SocketAddr,
+        quota: ConnectionQuota,
+    ) -> Option<Count> {
         let mut by_addr = self.by_addr.lock().expect("no panic under lock");
         let upstream = by_addr.entry(addr).or_default();
-        if allowed.busy <= upstream.open {
+        if quota.open_max <= upstream.open {
             return None;
         }
-        upstream.kept_max = allowed.kept;
+        upstream.kept_max = quota.kept_max;
         upstream.open += 1;
-        Some(Count { links: self.clone(), addr })
+        Some(Count { upstream_connections: self.clone(), addr })
     }
 }
 
 /// Makes a connection notice a peer that is gone without a word.
-pub fn guard(stream: &TcpStream) -> std::io::Result<()> {
+pub fn set_tcp_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let sock = SockRef::from(stream);
     sock.set_tcp_user_timeout(Some(PEER_TIMEOUT))?;
--- a/tests/proxy_capacity.rs
+++ b/tests/proxy_capacity.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use frostdyke::proxy::capacity;
-use frostdyke::proxy::capacity::Capacity;
-use frostdyke::proxy::door::Door;
-use frostdyke::proxy::link::Allowed;
-use frostdyke::proxy::link::Sharing;
+use frostdyke::proxy::capacity::StreamLimiter;
+use frostdyke::proxy::connection_limiter::ConnectionLimiter;
+use frostdyke::proxy::upstream_connections::ConnectionQuota;
+use frostdyke::proxy::upstream_connections::QuotaInputs;
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -18,37 +18,37 @@
 
 #[test]
 fn late_timers_limit_nothing_where_few_streams_run() {
-    let mut capacity = Capacity::new(FIRST);
-    let limits: Vec<usize> = (0..50).map(|_| capacity.note(LATE, 10)).collect();
+    let mut capacity = StreamLimiter::new(FIRST);
+    let limits: Vec<usize> = (0..50).map(|_| capacity.record_tick(LATE, 10)).collect();
     assert!(capacity.is_behind() && !capacity.is_full());
     assert_eq!(limits, [FIRST; 50]);
 }
 
 #[test]
 fn a_box_that_is_behind_takes_fewer_streams_than_it_has() {
-    let mut capacity = Capacity::new(FIRST);
-    let limits: Vec<usize> = (0..10).map(|_| capacity.note(LATE, 300)).collect();
+    let mut capacity = StreamLimiter::new(FIRST);
+    let limits: Vec<usize> = (0..10).map(|_| capacity.record_tick(LATE, 300)).collect();
     assert!(capacity.is_behind() && capacity.is_full());
     assert!(limits[9] < 250, "{limits:?}");
     assert!(limits[4..].is_sorted_by(|a, b| b < a), "{limits:?}");
-    let low = (0..100).map(|_| capacity.note(LATE, 300)).last();
+    let low = (0..100).map(|_| capacity.record_tick(LATE, 300)).last();
     assert_eq!(low, Some(150), "half of the first limit is always taken");
 }
 
 #[test]
 fn it_takes_more_only_when_there_is_more_to_take() {
-    let mut capacity = Capacity::new(FIRST);
-    let calm: Vec<usize> = (0..20).map(|_| capacity.note(ON_TIME, 200)).collect();
+    let mut capacity = StreamLimiter::new(FIRST);
+    let calm: Vec<usize> = (0..20).map(|_| capacity.record_tick(ON_TIME, 200)).collect();
     assert_eq!(calm, [FIRST; 20]);
-    let busy = (0..20).map(|_| capacity.note(ON_TIME, 290)).last();
+    let busy = (0..20).map(|_| capacity.record_tick(ON_TIME, 290)).last();
     assert!(busy.is_some_and(|limit| FIRST + 10 < limit), "{busy:?}");
 }
 
 #[test]
 fn a_box_that_is_full_is_so_until_there_is_room() {
-    let mut capacity = Capacity::new(FIRST);
+    let mut capacity = StreamLimiter::new(FIRST);
     let mut full = |streams| {
-        capacity.note(ON_TIME, streams);
+        capacity.record_tick(ON_TIME, streams);
         capacity.is_full()
     };
     assert!(!full(200));
@@ -62,14 +62,14 @@
 /// runs ends.
 #[test]
 fn the_limit_settles_near_what_the_box_can_carry() {
-    let mut capacity = Capacity::new(FIRST);
+    let mut capacity = StreamLimiter::new(FIRST);
     let (mut running, mut limit) = (0.0, FIRST);
     let mut seen = Vec::new();
     for _ in 0..600 {
         running -= running / 20.0;
         running += f64::min(20.0, (limit as f64 - running).max(0.0));
         let late = if running < 200.0 { ON_TIME } else { LATE };
-        limit = capacity.note(late, running as usize);
+        limit = capacity.record_tick(late, running as usize);
         seen.push(running);
     }
     let mean = seen[200..].iter().sum::<f64>() / 400.0;
@@ -80,23 +80,24 @@
 /// When all were let in, they waited for seconds and nobody else got a connection.
 #[test]
 fn a_crowded_box_lets_in_what_it_can_begin_soon() {
-    let mut door = Door::new(0.12);
+    let mut door = ConnectionLimiter::new(0.12);
     let millis = Duration::from_millis;
     let mut entered = Vec::new();
-    let burst = (0..110).filter(|_| door.enter(0, millis(0)).map(|e| entered.push(e)).is_some());
+    let burst =
+        (0..110).filter(|_| door.try_admit(0, millis(0)).map(|e| entered.push(e)).is_some());
     assert_eq!(burst.count(), 36);
     // Their requests have come and wait to be sent.
-    entered.iter().for_each(|e| e.has_asked());
-    assert!(door.enter(36, millis(10)).is_none());
-    assert!(door.enter(10, millis(10)).is_some());
+    entered.iter().for_each(|e| e.note_request());
+    assert!(door.try_admit(36, millis(10)).is_none());
+    assert!(door.try_admit(10, millis(10)).is_some());
 }
 
 /// Callers may open connections long before they ask.
 #[test]
 fn connections_at_rest_keep_nobody_out() {
-    let mut door = Door::new(0.12);
+    let mut door = ConnectionLimiter::new(0.12);
     for n in 0..1_000 {
-        assert!(door.enter(0, Duration::from_millis(5 * n)).is_some(), "the {n}th");
+        assert!(door.try_admit(0, Duration::from_millis(5 * n)).is_some(), "the {n}th");
     }
 }
 
@@ -104,7 +105,7 @@
 /// its descriptors alone; it ends at more. A connection takes 34 KB.
 #[test]
 fn connections_are_bounded_by_memory_as_well() {
-    let most = |descriptors, mb: usize| capacity::connections(descriptors, mb << 20);
+    let most = |descriptors, mb: usize| capacity::caller_connections_max(descriptors, mb << 20);
     for (descriptors, mb) in [(4_100, 160), (8_192, 512), (4_100, 260), (1_024, 160), (4_100, 40)] {
         // Upstreams' connections come on top, in the same proportion as of the descriptors.
         let sockets = most(descriptors, mb) as f64 / 0.65;
@@ -122,27 +123,33 @@
     let late_max = Duration::from_millis(200);
     let held = |streams, now| {
         let now = Duration::from_millis(now);
-        capacity::hold_until(streams, 300, late_max, now).map(|until| until.as_millis() as u64)
+        capacity::coalesce_until(streams, 300, late_max, now).map(|until| until.as_millis() as u64)
     };
     assert_eq!(held(30, 1_003), None, "few streams are passed on at once");
     assert_eq!(held(75, 1_003), Some(1_040));
     assert_eq!(held(120, 1_003), Some(1_080), "all at the same moments");
     assert_eq!(held(300, 1_019), Some(1_080), "no later than two fifths of what they may be");
-    assert_eq!(capacity::hold_until(300, 300, Duration::ZERO, Duration::from_secs(1)), None);
+    assert_eq!(capacity::coalesce_until(300, 300, Duration::ZERO, Duration::from_secs(1)), None);
 }
 
-fn sharing(connections: u32, placed_max: u32, boxes: usize) -> Sharing {
-    Sharing { connections, placed_max, boxes, draw: 0 }
+fn sharing(connections: u32, placed_max: u32, boxes: usize) -> QuotaInputs {
+    QuotaInputs { connections, placed_max, boxes, draw: 0 }
 }
 
 /// A box whose callers share one engine's parts needs as many connections there as the engine has slots;
 /// shared evenly among 295 boxes it would have five.
 #[test]
 fn a_box_may_use_all_slots_of_an_engine_and_keeps_its_even_part() {
-    let allowed = Allowed::new(sharing(1_900, 12, 295), true);
-    assert_eq!(allowed, Allowed { busy: 12, kept: 5 });
-    assert_eq!(Allowed::new(sharing(1_900, 12, 295), false), Allowed { busy: 5, kept: 5 });
-    assert_eq!(Allowed::new(sharing(370, 64, 9), true), Allowed { busy: 64, kept: 11 });
+    let allowed = ConnectionQuota::new(sharing(1_900, 12, 295), true);
+    assert_eq!(allowed, ConnectionQuota { open_max: 12, kept_max: 5 });
+    assert_eq!(
+        ConnectionQuota::new(sharing(1_900, 12, 295), false),
+        ConnectionQuota { open_max: 5, kept_max: 5 }
+    );
+    assert_eq!(
+        ConnectionQuota::new(sharing(370, 64, 9), true),
+        ConnectionQuota { open_max: 64, kept_max: 11 }
+    );
 }
 
 /// Load: 75 boxes of which 11 have just been added, each with as many requests for one upstream as it can get:
@@ -164,17 +171,17 @@
     // The others haven't heard of them yet.
     let all = boxes + boxes * 17 / 100;
     let allowed = |is_placed, draw| {
-        let sharing = Sharing { connections, placed_max, boxes, draw };
-        Allowed::new(sharing, is_placed)
+        let sharing = QuotaInputs { connections, placed_max, boxes, draw };
+        ConnectionQuota::new(sharing, is_placed)
     };
-    let kept: u32 = (0..all).map(|_| allowed(false, rng.random()).busy).sum();
-    let placed = allowed(true, 0).busy.min(placed_max);
+    let kept: u32 = (0..all).map(|_| allowed(false, rng.random()).open_max).sum();
+    let placed = allowed(true, 0).open_max.min(placed_max);
     let what = format!("{connections} connections, {placed_max} placed, {boxes} boxes");
     assert!(kept + 2 * placed <= connections, "{what}: {kept} kept, {placed} placed twice");
     assert_ne!(placed, 0, "{what}: nobody starves whose requests the owner places");
     // Who may have none at one upstream may at another.
     let draws =
-        |rng: &mut SmallRng| (0..40).map(|_| allowed(false, rng.random()).kept).sum::<u32>();
+        |rng: &mut SmallRng| (0..40).map(|_| allowed(false, rng.random()).kept_max).sum::<u32>();
     let has_some = (0..100).all(|_| draws(&mut rng) != 0);
     assert!(has_some || connections < 2 * boxes as u32, "{what}: a box has no connection at all");
 }
--- a/tests/proxy_events.rs
+++ b/tests/proxy_events.rs
@@ -1,17 +1,17 @@
 //! Streams are cut at the ends of events.
 
-use frostdyke::proxy::stream::Events;
+use frostdyke::proxy::response_body::EventSplitter;
 use proptest::collection;
 use proptest::prelude::*;
 
 #[test]
 fn an_event_is_passed_on_when_it_is_whole() {
-    let mut events = Events::default();
+    let mut events = EventSplitter::default();
     assert_eq!(events.push(b"id: 1\ndata: a"), "");
     assert_eq!(events.last_id(), None);
     assert_eq!(events.push(b"\n\nid: 2\nda"), "id: 1\ndata: a\n\n");
     assert_eq!(events.last_id(), Some(1));
-    assert_eq!(events.take_part(), "id: 2\nda");
+    assert_eq!(events.take_partial(), "id: 2\nda");
     assert_eq!(events.push(b"id: 2\ndata: b\n\n"), "id: 2\ndata: b\n\n");
     assert_eq!(events.last_id(), Some(2));
 }
@@ -22,7 +22,7 @@
     fn pieces_make_no_difference(cuts in collection::vec(1usize..40, 0..40)) {
         let stream: String = (1..=12).map(|n| format!("id: {n}\ndata: {}\n\n", "x".repeat(n))).collect();
         let mut rest = stream.as_bytes();
-        let mut events = Events::default();
+        let mut events = EventSplitter::default();
         let mut passed = Vec::new();
         for cut in cuts {
             let (piece, later) = rest.split_at(cut.min(rest.len()));
--- a/tests/proxy_turn_away.rs
+++ b/tests/proxy_turn_away.rs
@@ -8,20 +8,20 @@
 
 use frostdyke::proxy::answer;
 use frostdyke::proxy::answer::Refusal;
-use frostdyke::proxy::turn_away::Turned;
+use frostdyke::proxy::connection_rejecter::RejectedConnection;
 use tokio::time::Instant;
 
 const BUF: usize = 32 << 10;
 
 /// A caller's end of a connection, and the box's.
-fn connect() -> (TcpStream, Turned) {
+fn connect() -> (TcpStream, RejectedConnection) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let caller =
         TcpStream::connect(listener.local_addr().expect("an address")).expect("it accepts");
     // Each write is to come at once.
     caller.set_nodelay(true).expect("a connection");
     let (stream, _) = listener.accept().expect("a connection");
-    (caller, Turned::new(stream).expect("the caller is there"))
+    (caller, RejectedConnection::new(stream).expect("the caller is there"))
 }
 
 /// Reads until the end, which is no reset.
@@ -39,15 +39,15 @@
     req
 }
 
-fn step(turned: &mut Turned) -> bool {
+fn step(turned: &mut RejectedConnection) -> bool {
     turned.step(&answer::prepared(Refusal::BoxBusy), &mut vec![0; BUF])
 }
 
 /// Takes steps until one says `goes_on` and the caller was told or not: what was written on one end of a connection may
 /// come to the other a moment later. The clock stands still, so nothing ends by itself.
-fn step_until(turned: &mut Turned, goes_on: bool, is_told: bool) {
+fn step_until(turned: &mut RejectedConnection, goes_on: bool, is_told: bool) {
     for _ in 0..5_000 {
-        if step(turned) == goes_on && turned.is_told() == is_told {
+        if step(turned) == goes_on && turned.is_answered() == is_told {
             return;
         }
         std::thread::sleep(Duration::from_millis(1));
@@ -82,7 +82,7 @@
     let req = request(3 * BUF);
     let (first, rest) = req.split_at(BUF / 2);
     assert!(step(&mut turned), "nothing has come");
-    assert!(!turned.is_told());
+    assert!(!turned.is_answered());
     tokio::time::advance(Duration::from_millis(8)).await;
     caller.write_all(first).expect("room");
     step_until(&mut turned, true, true);
@@ -144,7 +144,7 @@
         }
         tokio::time::advance(Duration::from_millis(8)).await;
     }
-    assert!(!turned.is_told());
+    assert!(!turned.is_answered());
     // Each look costs a call.
     assert!(looks < 10, "{looks}");
     let took = began.elapsed().as_millis();
