--- a/src/placement/engine.rs
+++ b/src/placement/engine.rs
@@ -16,7 +16,7 @@
 use crate::placement::tuning::Tuning;
 use crate::proxy::dialect::Part;
 use crate::proxy::dialect::Prompt;
-use crate::proxy::table::EngineLimits;
+use crate::proxy::routing_table::EngineLimits;
 
 /// A request whose end isn't heard of is forgotten after this: longer than any is held.
 const FORGOTTEN_AFTER: Duration = Duration::from_secs(20);
--- a/src/placement/fleet.rs
+++ b/src/placement/fleet.rs
@@ -31,7 +31,7 @@
 use crate::placement::upstream::Health;
 use crate::placement::upstream::Upstream;
 use crate::proxy::dialect::Listed;
-use crate::proxy::table::EngineLimits;
+use crate::proxy::routing_table::EngineLimits;
 
 /// All upstreams that this box knows.
 #[derive(Debug)]
--- a/src/proxy/admission.rs
+++ b/src/proxy/admission.rs
@@ -14,8 +14,8 @@
 use crate::proxy::dialect::Head;
 use crate::proxy::hub::Hub;
 use crate::proxy::request::Run;
-use crate::proxy::table::Route;
-use crate::proxy::table::Table;
+use crate::proxy::routing_table::Route;
+use crate::proxy::routing_table::RoutingTable;
 use crate::web;
 use crate::web::BodyFault;
 
@@ -52,14 +52,18 @@
         sends: 0,
         begun_at: None,
         breaks: 0,
-        in_flight: hub.enter(),
-        start: Some(hub.start()),
+        in_flight: hub.track_request(),
+        start: Some(hub.track_unsent()),
         stream: None,
         first_token: None,
     })
 }
 
-fn workspace(table: &Table, route: &Route, head: &Head) -> Result<Option<WorkspaceName>, Refusal> {
+fn workspace(
+    table: &RoutingTable,
+    route: &Route,
+    head: &Head,
+) -> Result<Option<WorkspaceName>, Refusal> {
     if !table.has_keys() {
         return Ok(None);
     }
--- a/src/proxy/asking.rs
+++ b/src/proxy/asking.rs
@@ -28,10 +28,10 @@
 use crate::placement::upstream;
 use crate::proxy::dialect::Prompt;
 use crate::proxy::hub::Hub;
-use crate::proxy::message::Answer;
-use crate::proxy::message::Ask;
 use crate::proxy::message::Message;
-use crate::proxy::message::Used;
+use crate::proxy::message::PlacementRequest;
+use crate::proxy::message::PlacementResponse;
+use crate::proxy::message::ShareUsage;
 use crate::proxy::notices;
 use crate::proxy::pace;
 
@@ -174,18 +174,18 @@
 
 /// Places a request by what this box believes, and tells all others.
 fn place_for_all(hub: &Hub, wish: Wish<'_>) -> Decided {
-    let role = Role::Peer { boxes: hub.peers().known(), draw: hub.peers().own_draw("") };
+    let role = Role::Peer { boxes: hub.peers().known_count(), draw: hub.peers().own_draw("") };
     let decision = hub.admit(Wish { is_last: true, purpose: Purpose::Place, role, ..wish });
     match &decision {
-        Ok(choice) => hub.peers().tell(&told(&wish, choice)),
+        Ok(choice) => hub.peers().broadcast(&told(&wish, choice)),
         Err(_) => {
             if let Some(workspace) = wish.workspace.cloned() {
                 let tokens = wish.prompt.charge();
-                hub.peers().tell(&Message::Refused { workspace, tokens });
+                hub.peers().broadcast(&Message::Refused { workspace, tokens });
             }
         }
     }
-    Decided { decision, by: hub.peers().me(), role, request: wish.request }
+    Decided { decision, by: hub.peers().own_ip(), role, request: wish.request }
 }
 
 /// Places a request though nobody who keeps the models answers: by what little this box knows.
@@ -196,14 +196,14 @@
         // The count is told by the way of shares.
         tell_keepers(hub, &choice.upstream, &told(&Wish { workspace: None, ..wish }, choice));
     }
-    Decided { decision, by: hub.peers().me(), role, request: wish.request }
+    Decided { decision, by: hub.peers().own_ip(), role, request: wish.request }
 }
 
 /// Has a request placed in a group of engines; nothing if nobody who keeps its models answers.
 async fn place_in(hub: &Arc<Hub>, wish: Wish<'_>, group: Group, owned: Owned) -> Option<Decided> {
     for ip in owned.keepers() {
         let role = owned.role(ip);
-        if ip == hub.peers().me() {
+        if ip == hub.peers().own_ip() {
             let decision = hub.admit(Wish { role, ..wish });
             if let Ok(choice) = &decision {
                 tell_other_keeper(hub, &wish, choice, owned);
@@ -214,7 +214,7 @@
             continue;
         }
         let request = asked_as(wish.request, ip);
-        let question = Message::Ask(question(hub, &Wish { request, ..wish }, group));
+        let question = Message::PlacementRequest(question(hub, &Wish { request, ..wish }, group));
         match ask(hub, ip, request, &question).await {
             Some(Ok(choice)) if is_behind(hub, ip, &choice, wish.side) => {
                 notices::resend(hub, &choice.upstream, ip);
@@ -242,7 +242,7 @@
 /// Takes a request back from boxes that may have placed it.
 pub fn withdraw(hub: &Hub, request: u64, from: impl Iterator<Item = IpAddr>) {
     hub.withdraw(request);
-    hub.peers().tell_some(from, &Message::Withdrawn { request });
+    hub.peers().send_batched(from, &Message::Withdrawn { request });
 }
 
 /// Finds an engine outside of a group that keeps some of a prompt: the one to which it belonged before
@@ -256,8 +256,8 @@
     looked.decision.err()?.source
 }
 
-fn question(hub: &Hub, wish: &Wish<'_>, group: Group) -> Ask {
-    Ask {
+fn question(hub: &Hub, wish: &Wish<'_>, group: Group) -> PlacementRequest {
+    PlacementRequest {
         request: wish.request,
         group,
         service: ServiceName::from(wish.service),
@@ -302,7 +302,7 @@
     let asking = hub.asking();
     let mut answer = asking.expect(request);
     let _pending = Pending { asking, request };
-    hub.peers().tell_now(ip, question);
+    hub.peers().send_now(ip, question);
     let due = Instant::now() + ANSWER_TIMEOUT;
     if let Ok(answer) = tokio::time::timeout_at(due, &mut answer).await {
         return answer.ok();
@@ -314,7 +314,7 @@
 }
 
 /// Places a request that another box asks for.
-pub fn answer(hub: &Hub, ask: &Ask, from: IpAddr) {
+pub fn answer(hub: &Hub, ask: &PlacementRequest, from: IpAddr) {
     let prompt = Prompt::from(&ask.prompt);
     let owned = hub.peers().owners().of(ask.group);
     let wish = Wish {
@@ -332,7 +332,7 @@
         source: ask.source,
         purpose: ask.purpose,
         is_last: ask.is_last,
-        role: owned.map_or(Role::Stranger, |owned| owned.role(hub.peers().me())),
+        role: owned.map_or(Role::Stranger, |owned| owned.role(hub.peers().own_ip())),
     };
     let result = hub.admit(wish);
     let request = ask.request;
@@ -341,12 +341,12 @@
     {
         tell_other_keeper(hub, &wish, choice, owned);
     }
-    hub.peers().tell_now(from, &Message::Answer(Answer { request, result }));
+    hub.peers().send_now(from, &Message::PlacementResponse(PlacementResponse { request, result }));
 }
 
 /// Takes in an owner's answer. Where nobody waits for it any more, the request isn't sent.
-pub fn answered(hub: &Hub, answer: Answer, from: IpAddr) {
-    let Answer { request, result } = answer;
+pub fn answered(hub: &Hub, answer: PlacementResponse, from: IpAddr) {
+    let PlacementResponse { request, result } = answer;
     let upstream = result.as_ref().ok().map(|choice| choice.upstream.clone());
     let waiting = hub.asking().take(request);
     if waiting.is_some_and(|tx| tx.send(result).is_ok()) {
@@ -361,7 +361,7 @@
 /// of these are told by the way of shares.
 fn tell_other_keeper(hub: &Hub, wish: &Wish<'_>, choice: &Choice, owned: Owned) {
     let message = told(&Wish { workspace: None, ..*wish }, choice);
-    hub.peers().tell_some(owned.keepers(), &message);
+    hub.peers().send_batched(owned.keepers(), &message);
 }
 
 fn told(wish: &Wish<'_>, choice: &Choice) -> Message {
@@ -387,10 +387,13 @@
         if owners.is_none() || own.is_empty() {
             continue;
         }
-        let used: Vec<Used> =
-            own.into_iter().map(|(workspace, tokens)| Used { workspace, tokens }).collect();
+        let used: Vec<ShareUsage> =
+            own.into_iter().map(|(workspace, tokens)| ShareUsage { workspace, tokens }).collect();
         for used in used.chunks(USED_MAX) {
-            hub.peers().tell_some(owners.keepers().iter().copied(), &Message::Used(used.to_vec()));
+            hub.peers().send_batched(
+                owners.keepers().iter().copied(),
+                &Message::ShareUsage(used.to_vec()),
+            );
         }
     }
 }
@@ -398,17 +401,17 @@
 /// Whether this box keeps the model of an engine; each does in a small fleet.
 pub fn keeps(hub: &Hub, name: &UpstreamName) -> bool {
     let owned = hub.peers().owners().of_hash(upstream::hash(name));
-    owned.is_none_or(|owned| owned.keepers().any(|ip| ip == hub.peers().me()))
+    owned.is_none_or(|owned| owned.keepers().any(|ip| ip == hub.peers().own_ip()))
 }
 
 /// Tells those who keep the model of an engine; all boxes in a small fleet.
 pub fn tell_keepers(hub: &Hub, name: &UpstreamName, message: &Message) {
     let owners = hub.peers().owners();
     if owners.is_none() {
-        hub.peers().tell(message);
+        hub.peers().broadcast(message);
         return;
     }
     if let Some(owned) = owners.of_hash(upstream::hash(name)) {
-        hub.peers().tell_some(owned.keepers(), message);
+        hub.peers().send_batched(owned.keepers(), message);
     }
 }
--- a/src/proxy/side.rs
+++ b/src/proxy/box_api.rs
@@ -53,7 +53,7 @@
 
 /// Why another box can't be asked.
 #[derive(Debug, thiserror::Error)]
-pub enum AskError {
+pub enum FetchError {
     /// It gives no whole answer in time.
     #[error(transparent)]
     NoAnswer(#[from] ask::Error),
@@ -77,41 +77,41 @@
 }
 
 /// Asks another box what it knows and this one doesn't.
-pub async fn ask(addr: SocketAddr, hub: &Hub) -> Result<Snapshot, AskError> {
+pub async fn fetch_difference(addr: SocketAddr, hub: &Hub) -> Result<Snapshot, FetchError> {
     let (version, digests) = hub.read(|view| (view.version(), view.digests(hub.now())));
     let path = format!("{DIFFERENCE_PATH}/{version}/{digests}");
-    Ok(postcard::from_bytes(&ask_for(addr, &path).await?)?)
+    Ok(postcard::from_bytes(&fetch(addr, &path).await?)?)
 }
 
 /// Asks another box for the changes that this one may have missed; nothing if that one doesn't know them
 /// any more.
-pub async fn ask_changes(addr: SocketAddr, hub: &Hub) -> Result<Option<Snapshot>, AskError> {
+pub async fn fetch_changes(addr: SocketAddr, hub: &Hub) -> Result<Option<Snapshot>, FetchError> {
     let (version, revision) = hub.read(|view| (view.version(), view.revision()));
-    match ask_for(addr, &format!("{CHANGES_PATH}/{version}/{revision}")).await {
+    match fetch(addr, &format!("{CHANGES_PATH}/{version}/{revision}")).await {
         Ok(buf) => Ok(Some(postcard::from_bytes(&buf)?)),
-        Err(AskError::Status(StatusCode::GONE)) => Ok(None),
+        Err(FetchError::Status(StatusCode::GONE)) => Ok(None),
         Err(e) => Err(e),
     }
 }
 
 /// Asks another box what it has learned of engines, or of those of one group.
-pub async fn ask_learned(addr: SocketAddr, group: Option<Group>) -> Result<Learned, AskError> {
+pub async fn fetch_learned(addr: SocketAddr, group: Option<Group>) -> Result<Learned, FetchError> {
     let path = match group {
         Some(group) => format!("{LEARNED_PATH}/{group}"),
         None => LEARNED_PATH.to_owned(),
     };
-    Ok(postcard::from_bytes(&ask_for(addr, &path).await?)?)
+    Ok(postcard::from_bytes(&fetch(addr, &path).await?)?)
 }
 
 /// Asks another box which requests it holds back.
-pub async fn ask_held(addr: SocketAddr) -> Result<Vec<Suspect>, AskError> {
-    Ok(postcard::from_bytes(&ask_for(addr, HELD_PATH).await?)?)
+pub async fn fetch_held(addr: SocketAddr) -> Result<Vec<Suspect>, FetchError> {
+    Ok(postcard::from_bytes(&fetch(addr, HELD_PATH).await?)?)
 }
 
-async fn ask_for(addr: SocketAddr, path: &str) -> Result<Bytes, AskError> {
+async fn fetch(addr: SocketAddr, path: &str) -> Result<Bytes, FetchError> {
     let (status, body) = Asker::new(addr).get(path, ASK_TIMEOUT).await?;
     if status != StatusCode::OK {
-        return Err(AskError::Status(status));
+        return Err(FetchError::Status(status));
     }
     Ok(body)
 }
@@ -148,7 +148,7 @@
         let now = self.hub.now();
         if let Some(asked) = path.strip_prefix(CHANGES_PATH) {
             let (version, revision) = two(asked)?;
-            let changes = self.hub.read(|view| view.since(version, revision, now));
+            let changes = self.hub.read(|view| view.changes_since(version, revision, now));
             return Some(changes.map_or_else(|| empty(StatusCode::GONE), |all| packed(&all)));
         }
         let (version, digests) = two(path.strip_prefix(DIFFERENCE_PATH)?)?;
--- a/src/proxy/dialect.rs
+++ b/src/proxy/dialect.rs
@@ -24,7 +24,7 @@
 use crate::names::UpstreamName;
 use crate::names::VersionName;
 use crate::names::ZoneName;
-use crate::proxy::table::Table;
+use crate::proxy::routing_table::RoutingTable;
 
 /// What the head of a caller's request says.
 #[derive(Clone, Debug)]
@@ -173,7 +173,7 @@
 #[derive(Clone, Debug)]
 pub enum News {
     /// A configuration.
-    Configured(Arc<Table>),
+    Configured(Arc<RoutingTable>),
     /// A configuration that can't be read; the one in force stays.
     BadConfiguration(String),
     /// All upstreams that there are.
--- a/src/proxy/figures.rs
+++ b/src/proxy/figures.rs
@@ -105,9 +105,9 @@
         gauge("frostdyke_proxy_streams_max", |hub| hub.streams_max() as u64);
         gauge("frostdyke_proxy_turned_away", |hub| hub.turned_away() as u64);
         gauge("frostdyke_proxy_connections", |hub| hub.connections() as u64);
-        gauge("frostdyke_boxes_alive", |hub| hub.peers().live() as u64 + 1);
+        gauge("frostdyke_boxes_alive", |hub| hub.peers().live_count() as u64 + 1);
         gauge("frostdyke_groups_kept", |hub| {
-            hub.peers().owners().kept_by(hub.peers().me()).count() as u64
+            hub.peers().owners().kept_by(hub.peers().own_ip()).count() as u64
         });
         gauge("frostdyke_configuration_version", Hub::version);
         gauge("frostdyke_store_reached", |hub| u64::from(hub.read(View::reaches_store)));
--- a/src/proxy/front.rs
+++ b/src/proxy/front.rs
@@ -29,8 +29,8 @@
 use crate::proxy::hub::Hub;
 use crate::proxy::link;
 use crate::proxy::request;
+use crate::proxy::routing_table::Limits;
 use crate::proxy::stream::Body;
-use crate::proxy::table::Limits;
 use crate::proxy::turn_away::TurnAway;
 
 /// Pause after a failure to accept a connection.
@@ -77,14 +77,14 @@
         if taken % TAKEN_AT_ONCE == 0 {
             tokio::task::yield_now().await;
         }
-        let Some(entered) = door.enter(hub.starts(), hub.now()) else {
-            hub.turn_away();
+        let Some(entered) = door.enter(hub.unsent(), hub.now()) else {
+            hub.count_turned_away();
             away.turn_away(stream);
             continue;
         };
         let (hub, stopping) = (hub.clone(), stopping.clone());
         tokio::spawn(async move {
-            let connected = hub.connected();
+            let connected = hub.track_connection();
             serve_connection(stream, entered, hub, stopping).await;
             drop((connected, permit));
         });
@@ -167,7 +167,7 @@
         Stop::No | Stop::Begun => request::serve(hub.clone(), req).await,
     };
     // The caller's next connection leads to another box.
-    if *stopping.borrow() != Stop::No || hub.sends_away() {
+    if *stopping.borrow() != Stop::No || hub.should_close_connections() {
         resp.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     Ok(resp)
--- a/src/proxy/gossip.rs
+++ b/src/proxy/gossip.rs
@@ -16,15 +16,15 @@
 use crate::fleet::members::Heard;
 use crate::fleet::standing::Standing;
 use crate::proxy::asking;
+use crate::proxy::box_api;
 use crate::proxy::hub::Hub;
 use crate::proxy::intake;
 use crate::proxy::message::Message;
 use crate::proxy::pace;
-use crate::proxy::peers::DATAGRAM_MAX;
-use crate::proxy::peers::State;
+use crate::proxy::peers::DATAGRAM_MAX_BYTES;
+use crate::proxy::peers::OwnState;
 use crate::proxy::plain;
 use crate::proxy::rollouts;
-use crate::proxy::side;
 use crate::proxy::view::View;
 
 /// Datagrams taken in before others get their turn.
@@ -59,7 +59,7 @@
 
 async fn listen(hub: Arc<Hub>) {
     let socket = hub.peers().socket.clone();
-    let mut buf = [0; DATAGRAM_MAX];
+    let mut buf = [0; DATAGRAM_MAX_BYTES];
     loop {
         let (len, from) = match socket.recv_from(&mut buf).await {
             Ok(received) => received,
@@ -88,9 +88,9 @@
         };
         buf = rest;
         match message {
-            Message::Beat(beat) => hear(hub, &beat),
-            Message::Ask(ask) => asking::answer(hub, &ask, from.ip()),
-            Message::AskPlain(ask) => plain::answer(hub, &ask, from.ip()),
+            Message::Heartbeat(beat) => hear(hub, &beat),
+            Message::PlacementRequest(ask) => asking::answer(hub, &ask, from.ip()),
+            Message::PlainPlacementRequest(ask) => plain::answer(hub, &ask, from.ip()),
             message => intake::message(hub, message, from.ip()),
         }
     }
@@ -114,26 +114,26 @@
     if hub.read(|view| view.evacuated().revision) < record.evacuated.revision {
         hub.change(|view, now| view.evacuate(&record.evacuated, now));
     }
-    rollouts::hear(hub, &record.rollouts);
+    rollouts::merge_reports(hub, &record.rollouts);
     if hub.version() < record.version {
-        peers.behind.notify_one();
+        peers.newer_configuration.notify_one();
     }
     if !greet.is_empty() {
-        peers.greet(state(hub), &greet);
+        peers.send_heartbeat_to(state(hub), &greet);
     }
 }
 
 /// Tells what is news of other boxes, if anything is; to be called every [`NEWS_EVERY`].
 ///
 /// [`NEWS_EVERY`]: crate::fleet::members::NEWS_EVERY
-pub fn tell_news(hub: &Hub) {
-    hub.peers().tell_news(|| state(hub));
+pub fn send_gossip(hub: &Hub) {
+    hub.peers().send_gossip(|| state(hub));
 }
 
-fn state(hub: &Hub) -> State {
+fn state(hub: &Hub) -> OwnState {
     let held = hub.suspects().read(|quarantine| quarantine.digest(hub.now()));
-    let rollouts = rollouts::told(hub);
-    hub.read(|view| State {
+    let rollouts = rollouts::own_reports(hub);
+    hub.read(|view| OwnState {
         version: view.version(),
         sees_store: view.reaches_store(),
         is_warm: hub.is_warm(),
@@ -153,9 +153,10 @@
             info!(hub.log(), "box silent"; "ip" => %ip);
             hub.fleet(|fleet| fleet.forget_sender(ip));
         }
-        peers.beat(state(&hub));
+        peers.send_heartbeats(state(&hub));
         // Whichever comes first.
-        let _ = tokio::time::timeout_at(pace::next(BEAT), peers.announced.notified()).await;
+        let _ =
+            tokio::time::timeout_at(pace::next(BEAT), peers.heartbeat_requested.notified()).await;
     }
 }
 
@@ -167,7 +168,7 @@
     loop {
         // Whichever comes first. Many boxes hear of a configuration at once; they don't ask at once.
         let due = pace::next(ASK_AFTER);
-        if tokio::time::timeout_at(due, hub.peers().behind.notified()).await.is_ok() {
+        if tokio::time::timeout_at(due, hub.peers().newer_configuration.notified()).await.is_ok() {
             let part = rand::rng().random_range(0.0..1.0);
             tokio::time::sleep(ASK_SPREAD.mul_f64(part)).await;
         }
@@ -184,7 +185,7 @@
             (None, Standing::Behind(all)) if !was_asked || !is_known => {
                 let Some(addr) = all.into_iter().choose(&mut rand::rng()) else { continue };
                 asked_at = Some(Instant::now());
-                ask_changes(&hub, addr).await;
+                fetch_changes(&hub, addr).await;
             }
             (None, _) => {}
         }
@@ -193,30 +194,30 @@
 
 /// A box with a newer configuration, and how this one stands to those that see the store.
 fn missing(hub: &Hub, is_small: bool) -> (Option<SocketAddr>, Standing) {
-    let State { version, sees_store, upstreams, revision, .. } = state(hub);
+    let OwnState { version, sees_store, upstreams, revision, .. } = state(hub);
     let peers = hub.peers();
     let standing = if sees_store {
         Standing::Level
     } else if is_small {
-        peers.with_store().map_or(Standing::Level, Standing::Apart)
+        peers.box_with_store().map_or(Standing::Level, Standing::Apart)
     } else {
         peers.standing(revision, upstreams)
     };
-    (peers.ahead_of(version), standing)
+    (peers.box_with_newer_configuration(version), standing)
 }
 
 /// Asks another box for all that differs.
 async fn ask(hub: &Hub, addr: SocketAddr) {
-    match side::ask(addr, hub).await {
-        Ok(snapshot) => hub.take_over(snapshot),
+    match box_api::fetch_difference(addr, hub).await {
+        Ok(snapshot) => hub.apply_snapshot(snapshot),
         Err(e) => debug!(hub.log(), "box not asked"; "addr" => %addr, "error" => %e),
     }
 }
 
 /// Asks another box for what has changed, or for all that differs if it doesn't know that any more.
-async fn ask_changes(hub: &Hub, addr: SocketAddr) {
-    match side::ask_changes(addr, hub).await {
-        Ok(Some(changes)) => hub.take_over(changes),
+async fn fetch_changes(hub: &Hub, addr: SocketAddr) {
+    match box_api::fetch_changes(addr, hub).await {
+        Ok(Some(changes)) => hub.apply_snapshot(changes),
         Ok(None) => ask(hub, addr).await,
         Err(e) => debug!(hub.log(), "box not asked"; "addr" => %addr, "error" => %e),
     }
--- a/src/proxy/history.rs
+++ b/src/proxy/history.rs
@@ -45,7 +45,7 @@
 
     /// Notes that the list is whole up to a revision. It may have been whole up to a later one. What lies between an
     /// era of the store and the next one isn't known.
-    pub fn up_to(&mut self, revision: Revision) {
+    pub fn complete_up_to(&mut self, revision: Revision) {
         if self.revision.is_none() || self.revision.era < revision.era {
             self.floor = revision;
         }
@@ -56,7 +56,7 @@
 
     /// The upstreams that have changed since a revision, those that are gone included; nothing if that
     /// isn't known any more.
-    pub fn since(&self, revision: Revision) -> Option<impl Iterator<Item = &UpstreamName>> {
+    pub fn changes_since(&self, revision: Revision) -> Option<impl Iterator<Item = &UpstreamName>> {
         let is_news = move |stamp: &Stamp| stamp.revision.is_none_or(|r| revision < r);
         let is_known = !revision.is_none() && self.floor <= revision;
         is_known.then(|| self.changed.iter().filter(move |(_, s)| is_news(s)).map(|(name, _)| name))
--- a/src/proxy/hub.rs
+++ b/src/proxy/hub.rs
@@ -39,10 +39,10 @@
 use crate::proxy::peers::Peers;
 use crate::proxy::placed::InFlight;
 use crate::proxy::rollouts::RolloutState;
+use crate::proxy::routing_table::RoutingTable;
 use crate::proxy::settings::Settings;
 use crate::proxy::suspects;
 use crate::proxy::suspects::Suspects;
-use crate::proxy::table::Table;
 use crate::proxy::view::Change;
 use crate::proxy::view::Snapshot;
 use crate::proxy::view::View;
@@ -138,7 +138,7 @@
     }
 
     /// Counts a request until the guard is dropped.
-    pub fn enter(&self) -> InFlight {
+    pub fn track_request(&self) -> InFlight {
         InFlight::new(self.in_flight.clone())
     }
 
@@ -168,7 +168,7 @@
     }
 
     /// The configuration in force.
-    pub fn table(&self) -> Option<Arc<Table>> {
+    pub fn table(&self) -> Option<Arc<RoutingTable>> {
         self.read(|view| view.table().cloned())
     }
 
@@ -189,7 +189,7 @@
 
     /// Counts a stream until the guard is dropped, unless there are as many as this box can pass
     /// on.
-    pub fn enter_stream(&self) -> Option<InFlight> {
+    pub fn try_track_stream(&self) -> Option<InFlight> {
         (self.streams() < self.streams_max()).then(|| InFlight::new(self.streams.clone()))
     }
 
@@ -205,17 +205,17 @@
     }
 
     /// Counts a request until the guard is dropped, when it has been sent.
-    pub fn start(&self) -> InFlight {
+    pub fn track_unsent(&self) -> InFlight {
         InFlight::new(self.starts.clone())
     }
 
     /// Requests that have come and not been sent yet.
-    pub fn starts(&self) -> usize {
+    pub fn unsent(&self) -> usize {
         self.starts.load(Ordering::Relaxed)
     }
 
     /// Notes that a caller is turned away.
-    pub fn turn_away(&self) {
+    pub fn count_turned_away(&self) {
         self.turned_away.fetch_add(1, Ordering::Relaxed);
     }
 
@@ -225,7 +225,7 @@
     }
 
     /// Counts a caller's connection until the guard is dropped.
-    pub fn connected(&self) -> InFlight {
+    pub fn track_connection(&self) -> InFlight {
         InFlight::new(self.connections.clone())
     }
 
@@ -242,7 +242,7 @@
     /// Whether callers should come back on new connections, which the balancer may lead elsewhere: more
     /// of their connections are open than this box needs. Those of a full box are kept: callers use them
     /// again, and only what is beyond them goes to other boxes.
-    pub fn sends_away(&self) -> bool {
+    pub fn should_close_connections(&self) -> bool {
         self.connections_max / 2 < self.connections()
     }
 
@@ -277,7 +277,7 @@
     pub fn warm_up(&self, learned: &Learned) {
         self.fleet(|fleet| fleet.take_over(learned));
         self.change(|view, now| {
-            learned.draining.iter().for_each(|draining| _ = view.drain(draining, now));
+            learned.draining.iter().for_each(|draining| _ = view.apply_draining(draining, now));
         });
         self.warm.store(true, Ordering::Relaxed);
         let parts: usize = learned.kept.iter().map(|k| k.parts.len()).sum();
@@ -299,14 +299,14 @@
         let sees_store = inner.view.reaches_store();
         drop(inner);
         for change in changes {
-            self.announce(&change, sees_store);
+            self.report_change(&change, sees_store);
         }
         result
     }
 
     /// Takes over what another box knows.
-    pub fn take_over(&self, snapshot: Snapshot) {
-        self.change(|view, now| view.take_over(snapshot, now));
+    pub fn apply_snapshot(&self, snapshot: Snapshot) {
+        self.change(|view, now| view.apply_snapshot(snapshot, now));
     }
 
     /// Chooses an upstream of a plain service.
@@ -372,8 +372,8 @@
     }
 
     /// Takes a repeat out of the budget; false when it is used up.
-    pub fn may_repeat(&self, service: &ServiceName) -> bool {
-        let (now, boxes) = (self.now(), self.peers.live() + 1);
+    pub fn try_take_retry(&self, service: &ServiceName) -> bool {
+        let (now, boxes) = (self.now(), self.peers.live_count() + 1);
         let mut inner = self.inner.lock().expect("no panic under lock");
         let allowed = inner.budget.repeat(service, boxes, now);
         drop(inner);
@@ -383,10 +383,15 @@
 
     /// How many connections to an upstream this box may have, where it takes so many from all;
     /// `is_placed` for a request that the upstream's owner has placed.
-    pub fn allowed(&self, upstream: &UpstreamName, connections: u32, is_placed: bool) -> Allowed {
+    pub fn connections_allowed(
+        &self,
+        upstream: &UpstreamName,
+        connections: u32,
+        is_placed: bool,
+    ) -> Allowed {
         let placed_max = self.read(|view| view.fleet().placed_max(upstream));
         let draw = self.peers.own_draw(upstream);
-        let boxes = self.peers.known();
+        let boxes = self.peers.known_count();
         Allowed::new(Sharing { connections, placed_max, boxes, draw }, is_placed)
     }
 
@@ -397,12 +402,12 @@
     }
 
     /// Notes that it is time to connect to an upstream.
-    pub fn look(&self) {
+    pub fn request_probe(&self) {
         self.look.notify_one();
     }
 
     /// Waits until it is time to connect to an upstream.
-    pub async fn looking(&self) {
+    pub async fn probe_requested(&self) {
         self.look.notified().await;
     }
 
@@ -411,7 +416,7 @@
         f(self.inner.lock().expect("no panic under lock").view.fleet_mut())
     }
 
-    fn announce(&self, change: &Change, sees_store: bool) {
+    fn report_change(&self, change: &Change, sees_store: bool) {
         match change {
             Change::Configured(version) => info!(self.log, "configured"; "version" => version),
             Change::Listed(count) => info!(self.log, "upstreams listed"; "count" => count),
@@ -422,24 +427,24 @@
             Change::Leaving(name) => {
                 info!(self.log, "upstream leaving"; "name" => name.as_str());
             }
-            Change::Told(name) => {
+            Change::ReportedLeaving(name) => {
                 info!(self.log, "upstream said to be leaving"; "name" => name.as_str());
             }
             Change::Gone(name) => {
                 info!(self.log, "upstream gone"; "name" => name.as_str());
-                suspects::gone(self, name);
+                suspects::entry_removed(self, name);
             }
             Change::Evacuated(evacuated) => {
                 let zones: Vec<&str> = evacuated.zones.iter().map(|zone| zone.as_str()).collect();
                 info!(self.log, "zones evacuated"; "zones" => zones.join(","),
                     "revision" => %evacuated.revision);
                 // A sign of life tells it on, whether or not this box sees the store.
-                self.peers.announce();
+                self.peers.request_heartbeat();
             }
-            Change::Restored(era) => {
+            Change::StoreRestored(era) => {
                 warn!(self.log, "store came back from an older copy"; "era" => era);
                 self.figures.store_restored();
-                self.suspects.keep_again();
+                self.suspects.persist_again();
             }
             Change::Restarted(name, addr, born) => {
                 let cut = self.links.cut(*addr, *born);
@@ -457,20 +462,20 @@
         }
         match change {
             Change::Leaving(name) => {
-                self.peers.tell_followers(&Message::Leaving { upstream: name.clone() });
+                self.peers.send_to_followers(&Message::Leaving { upstream: name.clone() });
             }
             Change::Gone(name) => {
-                self.peers.tell_followers(&Message::Gone { upstream: name.clone() });
+                self.peers.send_to_followers(&Message::Gone { upstream: name.clone() });
             }
             Change::Upstream(listed) => {
-                self.peers.tell_followers(&Message::Listed(listed.clone()));
+                self.peers.send_to_followers(&Message::Listed(listed.clone()));
             }
-            Change::Configured(_) => self.peers.announce(),
+            Change::Configured(_) => self.peers.request_heartbeat(),
             Change::Listed(_)
-            | Change::Told(_)
+            | Change::ReportedLeaving(_)
             | Change::Missing(_)
             | Change::Evacuated(_)
-            | Change::Restored(_)
+            | Change::StoreRestored(_)
             | Change::Restarted(..) => {}
         }
     }
--- a/src/proxy/intake.rs
+++ b/src/proxy/intake.rs
@@ -30,24 +30,24 @@
         News::BadConfiguration(fault) => {
             warn!(hub.log(), "configuration refused"; "fault" => fault);
         }
-        News::Listed(all) => hub.change(|view, now| view.list(all, now)),
-        News::Changed(listed) => hub.change(|view, now| view.set(listed, now)),
-        News::Gone(name) => hub.change(|view, now| view.gone(&name, now)),
-        News::UpTo(revision) => hub.change(|view, _| view.up_to(revision)),
+        News::Listed(all) => hub.change(|view, now| view.set_upstreams(all, now)),
+        News::Changed(listed) => hub.change(|view, now| view.set_upstream(listed, now)),
+        News::Gone(name) => hub.change(|view, now| view.entry_removed(&name, now)),
+        News::UpTo(revision) => hub.change(|view, _| view.complete_up_to(revision)),
         News::Evacuated(all) => hub.change(|view, now| view.evacuate(&all, now)),
         News::Ordered { orders, revision } => hub.change(|view, now| {
             let evacuated = view.evacuated().after(&orders, revision);
             view.evacuate(&evacuated, now);
         }),
-        News::Rollouts(all, revision) => rollouts::hear_all(hub, &all, revision),
-        News::Rollout(entry) => rollouts::hear_store(hub, &entry),
+        News::Rollouts(all, revision) => rollouts::apply_list(hub, &all, revision),
+        News::Rollout(entry) => rollouts::apply_entry(hub, &entry),
         News::BadRollout { service, fault } => {
             warn!(hub.log(), "order of a roll-out refused";
                 "service" => service.as_ref().map(|s| s.as_str()), "fault" => fault);
             hub.metrics().rollout_refused();
         }
         News::BadEntry { name, fault } => bad_entry(hub, name.as_ref(), &fault),
-        News::InEra(era) => hub.change(|view, now| view.in_era(era, now)),
+        News::InEra(era) => hub.change(|view, now| view.enter_era(era, now)),
         News::Lost(cause) => {
             if hub.read(View::reaches_store) {
                 warn!(hub.log(), "store lost"; "cause" => cause);
@@ -67,7 +67,8 @@
 
 /// Notes an entry that can't be read, and what is wrong with it.
 fn bad_entry(hub: &Hub, name: Option<&UpstreamName>, fault: &str) {
-    let is_news = name.is_none_or(|name| hub.change(|view, now| view.unreadable(name, fault, now)));
+    let is_news =
+        name.is_none_or(|name| hub.change(|view, now| view.mark_unreadable(name, fault, now)));
     if is_news {
         warn!(hub.log(), "entry refused"; "name" => name.map(|n| n.as_str()), "fault" => fault);
         hub.metrics().entry_refused();
@@ -100,7 +101,7 @@
         Message::Refused { workspace, tokens } => {
             hub.shares(|shares| _ = shares.add(&workspace, Tokens::refused(tokens), now));
         }
-        Message::First { upstream, request, took_ms } => {
+        Message::FirstToken { upstream, request, took_ms } => {
             let took = Duration::from_millis(took_ms.into());
             hub.fleet(|fleet| fleet.first(&upstream, request, Some(took), now));
         }
@@ -111,35 +112,37 @@
         Message::Unreachable { upstream } => {
             if hub.fleet(|fleet| fleet.doubt(&upstream, false, now)) {
                 info!(hub.log(), "upstream said to be unreachable"; "name" => upstream.as_str());
-                hub.look();
+                hub.request_probe();
             }
         }
         Message::Leaving { upstream } => {
-            hub.change(|view, now| view.told_leaving(&upstream, now));
+            hub.change(|view, now| view.reported_leaving(&upstream, now));
         }
         Message::Draining(draining) => notices::receive(hub, &draining, sender),
-        Message::Listed(listed) => hub.change(|view, now| view.told_listed(listed, now)),
-        Message::Gone { upstream } => hub.change(|view, now| view.told_gone(&upstream, now)),
-        Message::Answer(answer) => asking::answered(hub, answer, sender),
-        Message::Used(all) => hub.shares(|shares| {
+        Message::Listed(listed) => hub.change(|view, now| view.reported_listed(listed, now)),
+        Message::Gone { upstream } => hub.change(|view, now| view.reported_gone(&upstream, now)),
+        Message::PlacementResponse(answer) => asking::answered(hub, answer, sender),
+        Message::ShareUsage(all) => hub.shares(|shares| {
             for used in &all {
                 shares.add(&used.workspace, used.tokens, now);
             }
         }),
         Message::Observed { service, target, all } => {
-            hub.rollouts().observe(&service, &target, &all);
+            hub.rollouts().add_reports(&service, &target, &all);
         }
-        Message::Suspects(all) => suspects::hear(hub, &all),
-        Message::Cleared { content } => suspects::cleared(hub, &content),
+        Message::Suspects(all) => suspects::merge_reports(hub, &all),
+        Message::SuspectCleared { fingerprint } => suspects::clear(hub, &fingerprint),
         // Taken in by the peers.
-        Message::Beat(_) | Message::Ask(_) | Message::AskPlain(_) => {}
+        Message::Heartbeat(_)
+        | Message::PlacementRequest(_)
+        | Message::PlainPlacementRequest(_) => {}
     }
 }
 
 /// Whether this box owns the model of an engine; nothing where nobody owns anything.
 fn owns(hub: &Hub, upstream: &UpstreamName) -> Option<bool> {
     let owned = hub.peers().owners().of_hash(upstream::hash(upstream));
-    owned.map(|owned| owned.owner == hub.peers().me())
+    owned.map(|owned| owned.owner == hub.peers().own_ip())
 }
 
 /// Counts what another box has placed that believes the fleet small, and tells all. The owner of the engine counts
--- a/src/proxy/link.rs
+++ b/src/proxy/link.rs
@@ -32,7 +32,7 @@
 use tokio::task::AbortHandle;
 
 use crate::clock::Clock;
-use crate::proxy::notices::Withheld;
+use crate::proxy::notices::WithholdReason;
 use crate::util;
 
 /// How long connecting may take: some round trips within a region, and one lost packet's less.
@@ -101,7 +101,7 @@
     Restarted,
     /// The upstream gets nothing any more.
     #[error("withheld: {}", .0.code())]
-    Withheld(Withheld),
+    Withheld(WithholdReason),
 }
 
 impl Error {
@@ -360,7 +360,7 @@
         allowed: Allowed,
         once: bool,
         req: Request<Full<Bytes>>,
-        withheld: impl FnOnce() -> Option<Withheld>,
+        withheld: impl FnOnce() -> Option<WithholdReason>,
     ) -> Result<Response<AnswerBody>, Error> {
         let mut conn = match self.take(addr, once) {
             Some(conn) => conn,
--- a/src/proxy/look.rs
+++ b/src/proxy/look.rs
@@ -27,7 +27,7 @@
     let now = hub.now();
     if hub.fleet(|fleet| fleet.doubt(upstream, true, now)) {
         info!(hub.log(), "upstream in doubt"; "name" => upstream.as_str());
-        hub.look();
+        hub.request_probe();
     }
 }
 
@@ -35,7 +35,7 @@
 pub async fn run(hub: Arc<Hub>) {
     loop {
         tokio::select! {
-            () = hub.looking() => {}
+            () = hub.probe_requested() => {}
             () = pace::wait(LOOK_INTERVAL) => {}
         }
         let now = hub.now();
@@ -50,7 +50,7 @@
     if let Err(e) = hub.links().warm(addr).await {
         let now = hub.now();
         if e.is_refused() {
-            suspects::refuses(&hub, &name);
+            suspects::connection_refused(&hub, &name);
         }
         if hub.fleet(|fleet| fleet.not_reached(&name, now)) {
             info!(hub.log(), "upstream unreachable"; "name" => name.as_str(),
@@ -58,12 +58,12 @@
             let message = Message::Unreachable { upstream: name.clone() };
             match hub.read(|view| view.fleet().is_engine(&name)) {
                 true => asking::tell_keepers(&hub, &name, &message),
-                false => hub.peers().tell(&message),
+                false => hub.peers().broadcast(&message),
             }
         }
         return;
     }
-    suspects::answers(&hub, &name);
+    suspects::upstream_answered(&hub, &name);
     let was_away = hub.read(|view| view.fleet().was_away(&name));
     if was_away {
         note_start(&hub, &name, addr).await;
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -8,6 +8,7 @@
 pub mod answer;
 pub mod ask;
 pub mod asking;
+pub mod box_api;
 pub mod budget;
 pub mod capacity;
 pub mod dialect;
@@ -31,11 +32,10 @@
 pub mod pump;
 pub mod request;
 pub mod rollouts;
+pub mod routing_table;
 pub mod settings;
-pub mod side;
 pub mod stream;
 pub mod suspects;
-pub mod table;
 pub mod turn_away;
 pub mod view;
 pub mod warm;
@@ -174,16 +174,16 @@
     tokio::spawn(asking::tell_shares(hub.clone()));
     tokio::spawn(rollouts::run(hub.clone(), around.rollouts));
     tokio::spawn(suspects::catch_up(hub.clone()));
-    tokio::spawn(suspects::keep(hub.clone(), around.records.clone()));
+    tokio::spawn(suspects::persist(hub.clone(), around.records.clone()));
     if !cfg.is_first_start {
-        tokio::spawn(suspects::recall(hub.clone(), around.records));
+        tokio::spawn(suspects::load_persisted(hub.clone(), around.records));
     }
     due.send_replace(hub.peers().is_store_due());
     tokio::spawn(tick(hub.clone(), due));
     tokio::spawn(look::run(hub.clone()));
     tokio::spawn(reload(hub.clone(), path));
-    tokio::spawn(side::serve_ready(ready, hub.clone(), stopping.clone()));
-    tokio::spawn(side::serve_peers(peer_port, hub.clone()));
+    tokio::spawn(box_api::serve_ready(ready, hub.clone(), stopping.clone()));
+    tokio::spawn(box_api::serve_peers(peer_port, hub.clone()));
     tokio::spawn(front::serve(callers, Door::new(cfg.cores), hub.clone(), stopping));
 
     signals.next().await;
@@ -234,17 +234,17 @@
                 "streams_max" => hub.streams_max(), "in_flight" => hub.in_flight(),
                 "turned_away" => turned_away);
         }
-        gossip::tell_news(&hub);
+        gossip::send_gossip(&hub);
         hub.change(view::View::tick);
         hub.suspects().tick(hub.now());
         let engines = hub.read(|view| view.fleet().engine_count());
         if hub.peers().refresh(engines) {
             let owners = hub.peers().owners();
-            let now_kept = owners.kept_by(hub.peers().me()).map(|(group, _)| group).collect();
+            let now_kept = owners.kept_by(hub.peers().own_ip()).map(|(group, _)| group).collect();
             hold_cold(&hub, &now_kept, &kept);
             kept = now_kept;
-            info!(hub.log(), "owners"; "boxes" => hub.peers().live() + 1, "engines" => engines,
-                "kept" => owners.kept_by(hub.peers().me()).count());
+            info!(hub.log(), "owners"; "boxes" => hub.peers().live_count() + 1, "engines" => engines,
+                "kept" => owners.kept_by(hub.peers().own_ip()).count());
         }
         let is_due = hub.peers().is_store_due();
         if store_due.send_if_modified(|was| std::mem::replace(was, is_due) != is_due) {
--- a/src/proxy/notices.rs
+++ b/src/proxy/notices.rs
@@ -24,7 +24,7 @@
 
 /// An answer in which an upstream says something of itself.
 #[derive(Clone, Copy, Debug)]
-pub struct Said<'a> {
+pub struct ReceivedNotice<'a> {
     /// The upstream.
     pub upstream: &'a UpstreamName,
     /// The incarnation that was asked, as far as it was known.
@@ -39,37 +39,37 @@
 
 /// Why a request isn't sent to an upstream that was chosen for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Withheld {
+pub enum WithholdReason {
     /// It drains, is gone, or its zone is evacuated.
     Closed,
     /// This box backs off from it, or starts slowly after that.
     Backoff,
 }
 
-impl Withheld {
+impl WithholdReason {
     /// The reason as a word for logs and metrics.
     pub fn code(self) -> &'static str {
         match self {
-            Withheld::Closed => "closed",
-            Withheld::Backoff => "backoff",
+            WithholdReason::Closed => "closed",
+            WithholdReason::Backoff => "backoff",
         }
     }
 }
 
 /// Why an upstream doesn't get a request that is placed there; nothing if it does.
-pub fn withheld(hub: &Hub, placed: &Placed) -> Option<Withheld> {
+pub fn reason_to_withhold(hub: &Hub, placed: &Placed) -> Option<WithholdReason> {
     let (upstream, now) = (placed.upstream(), hub.now());
     hub.read(|view| {
         if view.is_barred(upstream) {
-            return Some(Withheld::Closed);
+            return Some(WithholdReason::Closed);
         }
         let may_send = view.fleet().may_send(upstream, placed.trial(), now);
-        (!may_send).then_some(Withheld::Backoff)
+        (!may_send).then_some(WithholdReason::Backoff)
     })
 }
 
 /// Applies what an upstream says of itself.
-pub fn apply(hub: &Hub, said: Said<'_>) {
+pub fn apply(hub: &Hub, said: ReceivedNotice<'_>) {
     if said.notice == Notice::default() {
         return;
     }
@@ -82,7 +82,7 @@
     }
 }
 
-fn back_off(hub: &Hub, said: Said<'_>, length: Duration) {
+fn back_off(hub: &Hub, said: ReceivedNotice<'_>, length: Duration) {
     let now = hub.now();
     let (is_new, was_on) = hub.fleet(|fleet| {
         let was_on = fleet.was_backing_off(said.upstream, said.sent);
@@ -97,14 +97,14 @@
     }
 }
 
-fn drain(hub: &Hub, said: Said<'_>) {
+fn drain(hub: &Hub, said: ReceivedNotice<'_>) {
     let upstream = said.upstream.clone();
     let noted = hub.read(|view| view.draining().noted_at(&upstream));
     if noted.is_some_and(|noted| noted < said.sent) {
         hub.metrics().reached_anyway("draining");
     }
     let draining = Draining { upstream, born: said.born, said_at: util::unix_millis() };
-    if !hub.change(|view, now| view.drain(&draining, now)) {
+    if !hub.change(|view, now| view.apply_draining(&draining, now)) {
         return;
     }
     info!(hub.log(), "upstream draining"; "name" => said.upstream.as_str(), "born" => said.born,
@@ -114,14 +114,14 @@
 
 /// Applies what another box has read in an answer.
 pub fn receive(hub: &Hub, draining: &Draining, from: IpAddr) {
-    if !hub.change(|view, now| view.drain(draining, now)) {
+    if !hub.change(|view, now| view.apply_draining(draining, now)) {
         return;
     }
     info!(hub.log(), "upstream draining"; "name" => draining.upstream.as_str(),
         "born" => draining.born, "by" => %from);
     let owned = owned(hub, &draining.upstream);
-    if owned.is_some_and(|owned| owned.owner == hub.peers().me()) {
-        hub.peers().tell(&Message::Draining(draining.clone()));
+    if owned.is_some_and(|owned| owned.owner == hub.peers().own_ip()) {
+        hub.peers().broadcast(&Message::Draining(draining.clone()));
     }
 }
 
@@ -129,9 +129,9 @@
     let owned = owned(hub, &draining.upstream);
     let message = Message::Draining(draining);
     match owned {
-        None => hub.peers().tell_at_once(&message),
-        Some(owned) if owned.owner == hub.peers().me() => hub.peers().tell(&message),
-        Some(owned) => owned.keepers().for_each(|ip| hub.peers().tell_now(ip, &message)),
+        None => hub.peers().broadcast_now(&message),
+        Some(owned) if owned.owner == hub.peers().own_ip() => hub.peers().broadcast(&message),
+        Some(owned) => owned.keepers().for_each(|ip| hub.peers().send_now(ip, &message)),
     }
 }
 
@@ -142,7 +142,7 @@
     answer: impl Future<Output = Reported<T>>,
 ) -> Result<T, NotAsked> {
     if hub.is_backing_off(upstream) {
-        hub.metrics().withheld(Withheld::Backoff.code());
+        hub.metrics().withheld(WithholdReason::Backoff.code());
         return Err(NotAsked("this box backs off from it".to_owned()));
     }
     let (sent, born) = (hub.now(), hub.read(|view| view.fleet().get(upstream)?.born));
@@ -150,7 +150,7 @@
     if let Some(other) = name.filter(|name| name != upstream) {
         return Err(NotAsked(format!("{} answers in its place", other.as_str())));
     }
-    apply(hub, Said { upstream, born, request: "", sent, notice });
+    apply(hub, ReceivedNotice { upstream, born, request: "", sent, notice });
     content
 }
 
@@ -158,7 +158,7 @@
 pub fn resend(hub: &Hub, upstream: &UpstreamName, ip: IpAddr) {
     let said = hub.read(|view| view.draining().get(upstream).cloned());
     if let Some(draining) = said {
-        hub.peers().tell_now(ip, &Message::Draining(draining));
+        hub.peers().send_now(ip, &Message::Draining(draining));
     }
 }
 
--- a/src/proxy/peers.rs
+++ b/src/proxy/peers.rs
@@ -40,7 +40,7 @@
 use crate::util;
 
 /// Largest datagram, in bytes: fits an Ethernet frame.
-pub(super) const DATAGRAM_MAX: usize = 1400;
+pub(super) const DATAGRAM_MAX_BYTES: usize = 1400;
 
 /// What is told to all waits for more for this long a box that hears it, so that the cost of telling
 /// grows with the number of boxes and not with that times the requests.
@@ -66,7 +66,7 @@
 
 /// What a box says of itself that changes.
 #[derive(Clone, Debug)]
-pub(super) struct State {
+pub(super) struct OwnState {
     pub(super) version: u64,
     pub(super) sees_store: bool,
     pub(super) is_warm: bool,
@@ -95,10 +95,10 @@
     told_later: Notify,
     to_some: Mutex<BTreeMap<IpAddr, Vec<u8>>>,
     told_some: Notify,
-    pub(super) announced: Notify,
+    pub(super) heartbeat_requested: Notify,
     is_first_start: bool,
     /// Woken when another box is ahead.
-    pub(super) behind: Notify,
+    pub(super) newer_configuration: Notify,
 }
 
 /// What is worked out of the members now and then, since it is asked for with each request.
@@ -140,14 +140,14 @@
             told_later: Notify::new(),
             to_some: Mutex::default(),
             told_some: Notify::new(),
-            announced: Notify::new(),
+            heartbeat_requested: Notify::new(),
             is_first_start: cfg.is_first_start,
-            behind: Notify::new(),
+            newer_configuration: Notify::new(),
         }
     }
 
     /// This box's address.
-    pub fn me(&self) -> IpAddr {
+    pub fn own_ip(&self) -> IpAddr {
         self.me.ip()
     }
 
@@ -163,12 +163,12 @@
     }
 
     /// How many others are alive.
-    pub fn live(&self) -> usize {
+    pub fn live_count(&self) -> usize {
         self.seen.lock().expect("no panic under lock").live
     }
 
     /// How many boxes have been heard of lately, this one and those that are silent now included.
-    pub fn known(&self) -> usize {
+    pub fn known_count(&self) -> usize {
         self.seen.lock().expect("no panic under lock").known
     }
 
@@ -207,10 +207,10 @@
 
     /// Tells all boxes that are alive: at once where there are few, else together with what else
     /// is told within a moment, since each datagram costs each box a call.
-    pub fn tell(&self, message: &Message) {
+    pub fn broadcast(&self, message: &Message) {
         let Ok(mut buf) = postcard::to_stdvec(message) else { return };
         let mut pending = self.to_all.lock().expect("no panic under lock");
-        if DATAGRAM_MAX < pending.buf.len() + buf.len() {
+        if DATAGRAM_MAX_BYTES < pending.buf.len() + buf.len() {
             self.send_to_live(&std::mem::take(&mut pending.buf));
         }
         if message.can_wait() {
@@ -226,14 +226,14 @@
 
     /// Tells all boxes that are alive, and waits for nothing: for what is rare, and must be known before the next request
     /// comes.
-    pub fn tell_at_once(&self, message: &Message) {
+    pub fn broadcast_now(&self, message: &Message) {
         if let Ok(buf) = postcard::to_stdvec(message) {
             self.send_to_live(&buf);
         }
     }
 
     /// Tells single boxes, together with what else they are told within a moment.
-    pub fn tell_some(&self, to: impl Iterator<Item = IpAddr>, message: &Message) {
+    pub fn send_batched(&self, to: impl Iterator<Item = IpAddr>, message: &Message) {
         let Ok(buf) = postcard::to_stdvec(message) else { return };
         let mut pending = self.to_some.lock().expect("no panic under lock");
         if pending.is_empty() {
@@ -241,7 +241,7 @@
         }
         for ip in to.filter(|ip| *ip != self.me.ip()) {
             let waiting = pending.entry(ip).or_default();
-            if DATAGRAM_MAX < waiting.len() + buf.len() {
+            if DATAGRAM_MAX_BYTES < waiting.len() + buf.len() {
                 self.send(&std::mem::take(waiting), ip);
             }
             waiting.extend_from_slice(&buf);
@@ -250,18 +250,18 @@
 
     /// Tells the boxes for which this one watches the store: all in a small fleet, else those of its
     /// zone.
-    pub fn tell_followers(&self, message: &Message) {
+    pub fn send_to_followers(&self, message: &Message) {
         if self.owners().is_none() {
-            self.tell(message);
+            self.broadcast(message);
             return;
         }
         let zone = self.members(|members| members.zone(&self.zone, self.now()));
-        self.tell_some(zone.into_iter(), message);
+        self.send_batched(zone.into_iter(), message);
     }
 
     /// Has a sign of life given at once, since what this box says of itself has changed.
-    pub fn announce(&self) {
-        self.announced.notify_one();
+    pub fn request_heartbeat(&self) {
+        self.heartbeat_requested.notify_one();
     }
 
     /// Whether this box is to watch the store.
@@ -279,14 +279,14 @@
             me: self.me.ip(),
             cores: self.cores,
             zone: &zone,
-            alive: self.live() + 1,
+            alive: self.live_count() + 1,
             age: now,
             is_first_start: self.is_first_start,
         })
     }
 
     /// Tells one box at once.
-    pub fn tell_now(&self, to: IpAddr, message: &Message) {
+    pub fn send_now(&self, to: IpAddr, message: &Message) {
         if let Ok(buf) = postcard::to_stdvec(message) {
             self.send(&buf, to);
         }
@@ -298,12 +298,12 @@
             tokio::select! {
                 () = self.told.notified() => {}
                 () = self.told_later.notified() => {
-                    let most = (LATER_PER_BOX * self.live() as u32).min(LATER_MAX);
+                    let most = (LATER_PER_BOX * self.live_count() as u32).min(LATER_MAX);
                     // Whichever comes first.
                     let _ = tokio::time::timeout(most, self.told.notified()).await;
                 }
             }
-            let delay = DELAY_PER_BOX * self.live() as u32;
+            let delay = DELAY_PER_BOX * self.live_count() as u32;
             if DELAY_MIN <= delay {
                 tokio::time::sleep(delay.min(DELAY_MAX)).await;
             }
@@ -331,7 +331,7 @@
     }
 
     /// Gives the boxes that are due a sign of life.
-    pub(super) fn beat(&self, state: State) {
+    pub(super) fn send_heartbeats(&self, state: OwnState) {
         let now = self.now();
         let (to, ages) = self.members(|members| {
             let mut rng = rand::rng();
@@ -339,11 +339,11 @@
             let zone = state.sees_store.then_some(&self.zone);
             (members.targets(zone, now, &mut rng), members.ages(now, &mut rng))
         });
-        self.give_sign(state, ages, &to);
+        self.send_heartbeat(state, ages, &to);
     }
 
     /// Tells what is news of other boxes, if anything is.
-    pub(super) fn tell_news(&self, state: impl FnOnce() -> State) {
+    pub(super) fn send_gossip(&self, state: impl FnOnce() -> OwnState) {
         let now = self.now();
         let news: Vec<(Vec<IpAddr>, Vec<Age>)> = self.members(|members| {
             let take = || members.news(now, &mut rand::rng());
@@ -356,24 +356,32 @@
         let call = Call { asks: false, tells: true };
         for (to, ages) in news {
             let to = to.into_iter().map(|ip| (ip, call)).collect();
-            self.give_sign(state.clone(), ages, &to);
+            self.send_heartbeat(state.clone(), ages, &to);
         }
     }
 
     /// Gives some boxes a sign of life at once.
-    pub(super) fn greet(&self, state: State, to: &BTreeSet<IpAddr>) {
+    pub(super) fn send_heartbeat_to(&self, state: OwnState, to: &BTreeSet<IpAddr>) {
         let now = self.now();
         let (to, ages) = self.members(|members| {
             let call = |ip| Call { asks: members.record(ip).is_none(), tells: true };
             let to: BTreeMap<IpAddr, Call> = to.iter().map(|ip| (*ip, call(*ip))).collect();
             (to, members.greeting_ages(now, &mut rand::rng()))
         });
-        self.give_sign(state, ages, &to);
+        self.send_heartbeat(state, ages, &to);
     }
 
-    fn give_sign(&self, state: State, ages: Vec<Age>, to: &BTreeMap<IpAddr, Call>) {
-        let State { version, sees_store, is_warm, upstreams, revision, evacuated, held, rollouts } =
-            state;
+    fn send_heartbeat(&self, state: OwnState, ages: Vec<Age>, to: &BTreeMap<IpAddr, Call>) {
+        let OwnState {
+            version,
+            sees_store,
+            is_warm,
+            upstreams,
+            revision,
+            evacuated,
+            held,
+            rollouts,
+        } = state;
         let record = Record {
             name: self.name.clone(),
             zone: self.zone.clone(),
@@ -401,14 +409,16 @@
                     continue;
                 }
                 beat.asks = asks;
-                let Ok(buf) = postcard::to_stdvec(&Message::Beat(beat.clone())) else { continue };
+                let Ok(buf) = postcard::to_stdvec(&Message::Heartbeat(beat.clone())) else {
+                    continue;
+                };
                 to.for_each(|ip| self.send(&buf, ip));
             }
         }
     }
 
     fn send(&self, buf: &[u8], to: IpAddr) {
-        if DATAGRAM_MAX < buf.len() {
+        if DATAGRAM_MAX_BYTES < buf.len() {
             return;
         }
         // What can't be sent now is lost, as any datagram may be.
@@ -416,22 +426,22 @@
     }
 
     /// A box that has a newer configuration than `version`, preferably one that sees the store.
-    pub(super) fn ahead_of(&self, version: u64) -> Option<SocketAddr> {
+    pub(super) fn box_with_newer_configuration(&self, version: u64) -> Option<SocketAddr> {
         self.pick(|r| (version < r.version).then_some((r.sees_store, r.version)))
     }
 
     /// A box that knows what engines keep.
-    pub fn warm(&self) -> Option<SocketAddr> {
+    pub fn warm_box(&self) -> Option<SocketAddr> {
         self.pick(|r| r.is_warm.then_some(()))
     }
 
     /// A box that sees the store.
-    pub(super) fn with_store(&self) -> Option<SocketAddr> {
+    pub(super) fn box_with_store(&self) -> Option<SocketAddr> {
         self.pick(|r| r.sees_store.then_some(()))
     }
 
     /// A box that has just said that it holds other requests back than those of this digest.
-    pub(super) fn with_other_held(&self, own: u64) -> Option<SocketAddr> {
+    pub(super) fn box_with_other_held(&self, own: u64) -> Option<SocketAddr> {
         let now = self.now();
         let is_other = |r: &Record| r.held != 0 && r.held != own;
         self.members(|members| {
@@ -442,7 +452,7 @@
     }
 
     /// What those others say that are alive of a service's roll-out, each by its last word.
-    pub(super) fn rollouts_told(&self, service: &str) -> Vec<Option<Told>> {
+    pub(super) fn reported_rollouts(&self, service: &str) -> Vec<Option<Told>> {
         let now = self.now();
         let told = |(_, member): (IpAddr, &Member)| {
             let record = member.record.as_ref()?;
--- a/src/proxy/placed.rs
+++ b/src/proxy/placed.rs
@@ -23,7 +23,7 @@
 use crate::proxy::message::Message;
 use crate::proxy::plain;
 use crate::proxy::request::Run;
-use crate::proxy::rollouts::Mark;
+use crate::proxy::rollouts::JudgedResponse;
 
 /// Counts a request while it is served.
 #[derive(Debug)]
@@ -66,7 +66,7 @@
     born: Option<u64>,
     version: Option<VersionName>,
     /// By what the answer is judged, where a version is rolled out.
-    mark: Option<Mark>,
+    judged_response: Option<JudgedResponse>,
     /// When the first piece came.
     first_at: Mutex<Option<Duration>>,
     /// Whom it is charged to, and how much.
@@ -90,9 +90,9 @@
             let (born, version) = listed.unzip();
             (fleet.enter_trial(&choice.upstream, now), born, version)
         });
-        let mark = version
+        let judged_response = version
             .as_ref()
-            .and_then(|version| hub.rollouts().mark(service, version, &run.route.name));
+            .and_then(|version| hub.rollouts().judged_response(service, version, &run.route.name));
         let charge = run.head.prompt.as_ref().map(Prompt::charge);
         Placed {
             hub: hub.clone(),
@@ -104,7 +104,7 @@
             is_model: run.head.prompt.is_some(),
             born: born.flatten(),
             version,
-            mark,
+            judged_response,
             first_at: Mutex::default(),
             charged: workspace.clone().zip(charge),
             begun: AtomicBool::new(false),
@@ -148,12 +148,12 @@
     pub fn paced(&self, pieces: u32) {
         let first_at = *self.first_at.lock().expect("no panic under lock");
         let took = first_at.map(|at| self.hub.now().saturating_sub(at));
-        self.found(took.filter(|_| 1 < pieces).map(|took| Mark::pace(took, pieces - 1)));
+        self.found(took.filter(|_| 1 < pieces).map(|took| JudgedResponse::pace(took, pieces - 1)));
     }
 
     fn found(&self, finding: Option<Finding>) {
-        if let (Some(mark), Some(finding)) = (&self.mark, finding) {
-            self.hub.rollouts().note(mark, finding);
+        if let (Some(judged_response), Some(finding)) = (&self.judged_response, finding) {
+            self.hub.rollouts().record_outcome(judged_response, finding);
         }
     }
 
@@ -165,11 +165,11 @@
         let now = self.hub.now();
         let took = now.saturating_sub(self.sent);
         *self.first_at.lock().expect("no panic under lock") = Some(now);
-        self.found(Some(Mark::first(took)));
+        self.found(Some(JudgedResponse::first(took)));
         self.hub.fleet(|fleet| fleet.first(&self.upstream, self.request, Some(took), now));
         let (upstream, request) = (self.upstream.clone(), self.request);
         let took_ms = u32::try_from(took.as_millis()).unwrap_or(u32::MAX);
-        let message = Message::First { upstream, request, took_ms };
+        let message = Message::FirstToken { upstream, request, took_ms };
         self.tell(&message);
         if !self.is_model {
             return None;
@@ -227,7 +227,7 @@
             return;
         }
         if self.health.is_none() && !self.begun.load(Ordering::Relaxed) {
-            self.found(Mark::awaited(now.saturating_sub(self.sent)));
+            self.found(JudgedResponse::awaited(now.saturating_sub(self.sent)));
         }
         self.hub.fleet(|fleet| fleet.end(&self.upstream, self.request));
         let (upstream, request) = (self.upstream.clone(), self.request);
--- a/src/proxy/placing.rs
+++ b/src/proxy/placing.rs
@@ -64,8 +64,8 @@
     fn side(&self) -> Side {
         let (rollouts, now) = (self.hub.rollouts(), self.hub.now());
         match &self.begun_at {
-            Some(version) => rollouts.side_of(&self.service, version, now),
-            None => rollouts.side(&self.service, &self.head.id, now),
+            Some(version) => rollouts.version_filter_for(&self.service, version, now),
+            None => rollouts.version_filter(&self.service, &self.head.id, now),
         }
     }
 
@@ -130,7 +130,7 @@
             may_go_on: false,
         };
         let decision = self.hub.choose(wanted).map_err(denial);
-        Decided { decision, by: self.hub.peers().me(), role: Role::Stranger, request }
+        Decided { decision, by: self.hub.peers().own_ip(), role: Role::Stranger, request }
     }
 
     /// Upstreams that are out of the question: tried, or this box backs off from them.
--- a/src/proxy/plain.rs
+++ b/src/proxy/plain.rs
@@ -24,13 +24,13 @@
 use crate::proxy::asking::Decision;
 use crate::proxy::dialect::Prompt;
 use crate::proxy::hub::Hub;
-use crate::proxy::message::Answer;
 use crate::proxy::message::Message;
+use crate::proxy::message::PlacementResponse;
 use crate::proxy::notices;
 
 /// A request that the owner of a plain service is to place.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AskPlain {
+pub struct PlainPlacementRequest {
     /// Names the send.
     pub request: u64,
     /// The service.
@@ -56,9 +56,9 @@
 
 /// Places a request, or says why it isn't placed; nothing if nobody who counts answers.
 pub async fn place(hub: &Arc<Hub>, wish: Wish<'_>) -> Option<Decided> {
-    let (me, request) = (hub.peers().me(), wish.request);
+    let (me, request) = (hub.peers().own_ip(), wish.request);
     if hub.peers().owners().is_none() {
-        let role = Role::Peer { boxes: hub.peers().known(), draw: hub.peers().own_draw("") };
+        let role = Role::Peer { boxes: hub.peers().known_count(), draw: hub.peers().own_draw("") };
         return Some(Decided { decision: place_for_all(hub, wish), by: me, role, request });
     }
     let owned = owned(hub, wish.service)?;
@@ -71,7 +71,7 @@
             continue;
         }
         let request = asking::asked_as(wish.request, ip);
-        let question = Message::AskPlain(question(&Wish { request, ..wish }));
+        let question = Message::PlainPlacementRequest(question(&Wish { request, ..wish }));
         match asking::ask(hub, ip, request, &question).await {
             Some(Ok(choice)) if asking::is_behind(hub, ip, &choice, wish.side) => {
                 notices::resend(hub, &choice.upstream, ip);
@@ -93,7 +93,7 @@
 }
 
 /// Places a request that another box asks for.
-pub fn answer(hub: &Hub, ask: &AskPlain, from: IpAddr) {
+pub fn answer(hub: &Hub, ask: &PlainPlacementRequest, from: IpAddr) {
     let wish = Wish {
         request: ask.request,
         service: &ask.service,
@@ -109,14 +109,17 @@
         Some(owned) => place_here(hub, wish, owned),
         None => hub.admit_plain(wish),
     };
-    hub.peers().tell_now(from, &Message::Answer(Answer { request: ask.request, result }));
+    hub.peers().send_now(
+        from,
+        &Message::PlacementResponse(PlacementResponse { request: ask.request, result }),
+    );
 }
 
 /// Tells those who count the upstreams of a plain service; all boxes in a small fleet.
 pub fn tell(hub: &Hub, service: &str, message: &Message) {
     match owned(hub, service) {
-        Some(owned) => hub.peers().tell_some(owned.keepers(), message),
-        None => hub.peers().tell(message),
+        Some(owned) => hub.peers().send_batched(owned.keepers(), message),
+        None => hub.peers().broadcast(message),
     }
 }
 
@@ -125,7 +128,7 @@
     let placed = hub.admit_plain(wish);
     if let Ok(choice) = &placed {
         let message = told(&Wish { workspace: None, ..wish }, choice);
-        hub.peers().tell_some(owned.keepers(), &message);
+        hub.peers().send_batched(owned.keepers(), &message);
     }
     placed
 }
@@ -133,13 +136,13 @@
 fn place_for_all(hub: &Hub, wish: Wish<'_>) -> Decision {
     let placed = hub.admit_plain(wish);
     if let Ok(choice) = &placed {
-        hub.peers().tell(&told(&wish, choice));
+        hub.peers().broadcast(&told(&wish, choice));
     }
     placed
 }
 
-fn question(wish: &Wish<'_>) -> AskPlain {
-    AskPlain {
+fn question(wish: &Wish<'_>) -> PlainPlacementRequest {
+    PlainPlacementRequest {
         request: wish.request,
         service: ServiceName::from(wish.service),
         workspace: wish.workspace.cloned(),
--- a/src/proxy/pump.rs
+++ b/src/proxy/pump.rs
@@ -26,9 +26,9 @@
 use crate::proxy::request;
 use crate::proxy::request::Reply;
 use crate::proxy::request::Run;
+use crate::proxy::routing_table::Repeat;
 use crate::proxy::stream::Body;
 use crate::proxy::stream::Events;
-use crate::proxy::table::Repeat;
 use crate::util;
 
 /// Why a stream ended.
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -37,19 +37,19 @@
 use crate::proxy::link::AnswerBody;
 use crate::proxy::look;
 use crate::proxy::notices;
-use crate::proxy::notices::Said;
+use crate::proxy::notices::ReceivedNotice;
 use crate::proxy::placed::FirstToken;
 use crate::proxy::placed::InFlight;
 use crate::proxy::placed::Placed;
 use crate::proxy::placing::NO_UPSTREAM_RETRY;
 use crate::proxy::placing::OVERLOAD_RETRY_MIN;
 use crate::proxy::pump;
+use crate::proxy::routing_table::Repeat;
+use crate::proxy::routing_table::Route;
 use crate::proxy::stream;
 use crate::proxy::stream::Body;
 use crate::proxy::suspects;
-use crate::proxy::suspects::Break;
-use crate::proxy::table::Repeat;
-use crate::proxy::table::Route;
+use crate::proxy::suspects::BrokenRequest;
 use crate::util;
 use crate::web;
 use crate::web::BodyFault;
@@ -162,7 +162,7 @@
         Err(cause) => return run.refuse(cause),
     }
     if run.route.streaming {
-        run.stream = hub.enter_stream();
+        run.stream = hub.try_track_stream();
         if run.stream.is_none() {
             return run.refuse(Refusal::BoxBusy);
         }
@@ -241,7 +241,7 @@
                     }
                 }
                 Sent::NotRun => {
-                    if !self.may_repeat() {
+                    if !self.try_take_retry() {
                         let retry_after = self.resumes_in().unwrap_or(OVERLOAD_RETRY_MIN);
                         return earlier.give_up(Refusal::Overloaded { retry_after });
                     }
@@ -251,7 +251,7 @@
                         self.route.repeat != Repeat::Never && self.sends < self.route.max_upstreams;
                     earlier.may_have_run = true;
                     earlier.reply = reply.or(earlier.reply);
-                    if !repeatable || !self.may_repeat() {
+                    if !repeatable || !self.try_take_retry() {
                         return earlier.give_up(Refusal::Broken);
                     }
                 }
@@ -286,9 +286,10 @@
         } else if !self.may_be_known() {
             return None;
         }
-        let content = self.fingerprint();
-        let retry_after = suspects::held_for(&self.hub, &content);
-        let is_doubtful = self.breaks != 0 && suspects.would_be_too_many(&content, self.hub.now());
+        let fingerprint = self.fingerprint();
+        let retry_after = suspects::hold_time(&self.hub, &fingerprint);
+        let is_doubtful =
+            self.breaks != 0 && suspects.would_reach_crash_limit(&fingerprint, self.hub.now());
         let retry_after = retry_after.or(is_doubtful.then_some(NO_UPSTREAM_RETRY));
         retry_after.map(|retry_after| Refusal::EndsUpstreams { retry_after })
     }
@@ -306,27 +307,31 @@
         if !is_sure && self.hub.read(|view| view.fleet().is_open(&upstream)) {
             placed.failed();
         }
-        let start = suspects::start_of(&upstream, placed.born());
+        let instance = suspects::instance_id(&upstream, placed.born());
         self.breaks += 1;
         look::unreachable(&self.hub, &upstream);
         placed.close(Some(Health::Broken));
         // One that leaves ends by itself.
         if is_sure || self.hub.read(|view| view.fleet().is_open(&upstream)) {
-            let content = self.fingerprint();
-            suspects::broke_off(&self.hub, Break { upstream, start, content }, is_sure);
+            let fingerprint = self.fingerprint();
+            suspects::connection_broken(
+                &self.hub,
+                BrokenRequest { upstream, instance, fingerprint },
+                is_sure,
+            );
         }
     }
 
     /// Notes that the request has ended well.
     pub fn ended_well(&self) {
         if self.may_be_known() {
-            suspects::ended_well(&self.hub, &self.fingerprint());
+            suspects::request_succeeded(&self.hub, &self.fingerprint());
         }
     }
 
     /// Whether the request may be sent once more, by number and by the budget.
-    pub fn may_repeat(&self) -> bool {
-        self.sends < SENDS_MAX && self.hub.may_repeat(&self.service)
+    pub fn try_take_retry(&self) -> bool {
+        self.sends < SENDS_MAX && self.hub.try_take_retry(&self.service)
     }
 
     /// Sends the request to an upstream, from the event after `resume_after` on if that is given.
@@ -337,8 +342,9 @@
         let began = Instant::now();
         let once = self.route.repeat == Repeat::Never;
         let links = self.hub.links().clone();
-        let allowed = self.hub.allowed(&choice.upstream, self.connections_max, choice.is_counted);
-        let withheld = || notices::withheld(&self.hub, &placed);
+        let allowed =
+            self.hub.connections_allowed(&choice.upstream, self.connections_max, choice.is_counted);
+        let withheld = || notices::reason_to_withhold(&self.hub, &placed);
         let answer = links.send(choice.addr, allowed, once, req, withheld).await;
         let mut resp = match answer {
             Ok(resp) => resp,
@@ -367,7 +373,7 @@
         if resp.body_mut().prove(verdict.proves(status)) && !verdict.misdirected {
             let (upstream, born, sent) = (placed.upstream(), placed.born(), placed.sent());
             let (request, notice) = (&self.head.id, verdict.notice);
-            notices::apply(&self.hub, Said { upstream, born, request, sent, notice });
+            notices::apply(&self.hub, ReceivedNotice { upstream, born, request, sent, notice });
         }
         self.judge(resp, placed, verdict, began)
     }
@@ -436,7 +442,7 @@
         while repeatable
             && !self.left().is_zero()
             && self.holds_back().await.is_none()
-            && self.may_repeat()
+            && self.try_take_retry()
         {
             let (choice, placed) = self.place().await.ok()?;
             match self.send(&choice, placed, after.or(self.head.resume_after)).await {
--- a/src/proxy/rollouts.rs
+++ b/src/proxy/rollouts.rs
@@ -77,7 +77,7 @@
 
 /// An answer that is to be judged.
 #[derive(Clone, Debug)]
-pub struct Mark {
+pub struct JudgedResponse {
     service: ServiceName,
     target: VersionName,
     is_target: bool,
@@ -101,7 +101,7 @@
     }
 
     /// Which engines of a service the request of this id goes to.
-    pub fn side(&self, service: &str, id: &str, now: Duration) -> Side {
+    pub fn version_filter(&self, service: &str, id: &str, now: Duration) -> Side {
         if !self.is_any() {
             return Side::Any;
         }
@@ -110,7 +110,7 @@
     }
 
     /// The engines that may go on with an answer that one of this version has begun.
-    pub fn side_of(&self, service: &str, begun: &VersionName, now: Duration) -> Side {
+    pub fn version_filter_for(&self, service: &str, begun: &VersionName, now: Duration) -> Side {
         if !self.is_any() {
             return Side::Any;
         }
@@ -129,13 +129,18 @@
     }
 
     /// By what an answer is judged that an upstream of this version gives; nothing where none is.
-    pub fn mark(&self, service: &ServiceName, version: &VersionName, route: &str) -> Option<Mark> {
+    pub fn judged_response(
+        &self,
+        service: &ServiceName,
+        version: &VersionName,
+        route: &str,
+    ) -> Option<JudgedResponse> {
         if !self.is_any() {
             return None;
         }
         let order =
             self.with(|inner| inner.rollouts.under_way(service).map(|(order, _)| order.clone()))?;
-        Some(Mark {
+        Some(JudgedResponse {
             service: service.clone(),
             is_target: order.target == *version,
             target: order.target,
@@ -144,8 +149,8 @@
     }
 
     /// Notes what became of an answer.
-    pub fn note(&self, mark: &Mark, finding: Finding) {
-        let Mark { ref service, ref target, is_target, route } = *mark;
+    pub fn record_outcome(&self, judged_response: &JudgedResponse, finding: Finding) {
+        let JudgedResponse { ref service, ref target, is_target, route } = *judged_response;
         self.with(|inner| {
             let evidence = inner.evidence(service, target);
             if evidence.untold.len() < UNTOLD_MAX {
@@ -155,7 +160,7 @@
     }
 
     /// Takes in what became of answers at another box.
-    pub fn observe(&self, service: &ServiceName, target: &VersionName, all: &[Observed]) {
+    pub fn add_reports(&self, service: &ServiceName, target: &VersionName, all: &[Observed]) {
         self.with(|inner| {
             let is_current = |t: &&VersionName| *t == target;
             let order = inner.rollouts.under_way(service).map(|(order, _)| &order.target);
@@ -179,7 +184,7 @@
 }
 
 /// Takes in what another box says with a sign of life.
-pub fn hear(hub: &Hub, all: &[Told]) {
+pub fn merge_reports(hub: &Hub, all: &[Told]) {
     if all.is_empty() {
         return;
     }
@@ -188,19 +193,19 @@
 }
 
 /// Takes in what the store says of one order.
-pub fn hear_store(hub: &Hub, entry: &Entry) {
+pub fn apply_entry(hub: &Hub, entry: &Entry) {
     let now = hub.now();
     change(hub, |rollouts| rollouts.hear_store(entry, now));
 }
 
 /// Takes in all orders that the store holds.
-pub fn hear_all(hub: &Hub, all: &[Entry], revision: Revision) {
+pub fn apply_list(hub: &Hub, all: &[Entry], revision: Revision) {
     let now = hub.now();
     change(hub, |rollouts| rollouts.hear_all(all, revision, now));
 }
 
 /// What this box says with its signs of life.
-pub fn told(hub: &Hub) -> Vec<Told> {
+pub fn own_reports(hub: &Hub) -> Vec<Told> {
     let state = hub.rollouts();
     if !state.is_any() {
         return Vec::new();
@@ -229,7 +234,7 @@
     for (service, stage) in stages(hub) {
         info!(hub.log(), "roll-out"; "service" => service.as_str(), "stage" => ?stage);
     }
-    hub.peers().announce();
+    hub.peers().request_heartbeat();
 }
 
 fn stages(hub: &Hub) -> Vec<(ServiceName, Stage)> {
@@ -270,8 +275,8 @@
     });
     let Some(target) = target else { return };
     let keepers = plain::owned(hub, service);
-    if keepers.is_none_or(|owned| owned.keepers().any(|ip| ip == hub.peers().me())) {
-        hub.rollouts().observe(service, &target, &untold);
+    if keepers.is_none_or(|owned| owned.keepers().any(|ip| ip == hub.peers().own_ip())) {
+        hub.rollouts().add_reports(service, &target, &untold);
     }
     for all in untold.chunks(TOLD_MAX) {
         let (service, target) = (service.clone(), target.clone());
@@ -287,7 +292,7 @@
 /// Both hear the same, and the stage is the greater of what they find, so neither waits for the other.
 fn is_judge(hub: &Hub, service: &ServiceName) -> bool {
     match plain::owned(hub, service) {
-        Some(owned) => owned.keepers().any(|ip| ip == hub.peers().me()),
+        Some(owned) => owned.keepers().any(|ip| ip == hub.peers().own_ip()),
         None => hub.peers().rank_for(service.as_bytes()) < JUDGES,
     }
 }
@@ -362,12 +367,12 @@
 
 /// Whether no box that lives has a request at the old engines, or sends any there.
 fn has_moved(hub: &Hub, service: &ServiceName, target: &VersionName) -> bool {
-    let own = told(hub).into_iter().find(|told| told.service == *service);
-    let others = hub.peers().rollouts_told(service);
+    let own = own_reports(hub).into_iter().find(|told| told.service == *service);
+    let others = hub.peers().reported_rollouts(service);
     others.iter().chain([&own]).all(|told| told.as_ref().is_some_and(|t| t.has_moved(target)))
 }
 
-impl Mark {
+impl JudgedResponse {
     /// What became of an answer whose first piece came, or had not come, after this time.
     pub fn first(took: Duration) -> Finding {
         Finding::First(step(took.as_secs_f64() * 1e3))
@@ -380,6 +385,6 @@
 
     /// What became of an answer that never began, if its request has waited long enough to say anything.
     pub fn awaited(took: Duration) -> Option<Finding> {
-        (AWAITED_MIN <= took).then(|| Mark::first(took))
+        (AWAITED_MIN <= took).then(|| JudgedResponse::first(took))
     }
 }
--- a/src/proxy/table.rs
+++ b/src/proxy/routing_table.rs
@@ -13,7 +13,7 @@
 
 /// One version of the configuration.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Table {
+pub struct RoutingTable {
     /// Versions rise; a table is never replaced by one with a lower version.
     pub version: u64,
     /// Routes by host; of each host's, the longest prefix first.
@@ -120,7 +120,7 @@
     }
 }
 
-impl Table {
+impl RoutingTable {
     /// A table of these parts. `keys` is nothing where requests carry no keys.
     pub fn new(
         version: u64,
@@ -128,7 +128,7 @@
         services: HashMap<ServiceName, Service>,
         keys: Option<HashMap<String, Workspace>>,
         limits: Limits,
-    ) -> Table {
+    ) -> RoutingTable {
         let mut by_host: HashMap<String, Vec<Route>> = HashMap::new();
         for route in routes {
             by_host.entry(route.host.clone()).or_default().push(route);
@@ -136,7 +136,7 @@
         for routes in by_host.values_mut() {
             routes.sort_by_key(|r| std::cmp::Reverse(r.prefix.len()));
         }
-        Table { version, routes: by_host, services, keys, limits }
+        RoutingTable { version, routes: by_host, services, keys, limits }
     }
 
     /// The route of a request: of its host's, the one with the longest prefix of the path.
--- a/src/proxy/suspects.rs
+++ b/src/proxy/suspects.rs
@@ -25,12 +25,12 @@
 use crate::fleet::quarantine::Suspect;
 use crate::fleet::quarantine::Verdict;
 use crate::names::UpstreamName;
+use crate::proxy::box_api;
 use crate::proxy::dialect::NotKept;
 use crate::proxy::dialect::Records;
 use crate::proxy::hub::Hub;
 use crate::proxy::message::Message;
 use crate::proxy::pace;
-use crate::proxy::side;
 
 /// How long a request that broke off waits for a word on its upstream: three heartbeats in which an entry lapses, and
 /// some time to hear of it.
@@ -70,7 +70,7 @@
 const LOOK_EVERY: Duration = Duration::from_millis(500);
 
 /// A start of an upstream as all boxes name it.
-pub fn start_of(name: &UpstreamName, born: Option<u64>) -> u64 {
+pub fn instance_id(name: &UpstreamName, born: Option<u64>) -> u64 {
     xxh3_64_with_seed(name.as_bytes(), born.unwrap_or_default())
 }
 
@@ -78,20 +78,20 @@
 #[derive(Clone, Debug)]
 struct Waiting {
     at: Duration,
-    broken: Break,
+    broken: BrokenRequest,
     /// Whether the upstream has answered since: only a newer start says that it had ended.
     is_answered: bool,
 }
 
 /// A request that broke off.
 #[derive(Clone, Debug)]
-pub struct Break {
+pub struct BrokenRequest {
     /// The upstream.
     pub upstream: UpstreamName,
-    /// Which start of it; see [`start_of`].
-    pub start: u64,
+    /// Which start of it; see [`instance_id`].
+    pub instance: u64,
     /// The request.
-    pub content: Fingerprint,
+    pub fingerprint: Fingerprint,
 }
 
 /// What is known of requests that may end upstreams.
@@ -118,15 +118,19 @@
 
 impl Inner {
     /// Breaks of a request that nobody has explained yet.
-    fn unexplained(&self, content: &Fingerprint, now: Duration) -> usize {
+    fn unexplained(&self, fingerprint: &Fingerprint, now: Duration) -> usize {
         let is_of = |w: &&Waiting| {
-            w.broken.content == *content && !w.is_answered && now < w.at + DOUBTED_FOR
+            w.broken.fingerprint == *fingerprint && !w.is_answered && now < w.at + DOUBTED_FOR
         };
         self.waiting.iter().filter(is_of).count()
     }
 
     /// Takes what broke off at an upstream; where it has answered since, only if that was a newer start.
-    fn take_waiting(&mut self, upstream: &UpstreamName, is_newer_start: bool) -> Vec<Break> {
+    fn take_waiting(
+        &mut self,
+        upstream: &UpstreamName,
+        is_newer_start: bool,
+    ) -> Vec<BrokenRequest> {
         let mut taken = Vec::new();
         self.waiting.retain(|w| {
             let is_of = w.broken.upstream == *upstream && (is_newer_start || !w.is_answered);
@@ -150,12 +154,12 @@
     }
 
     /// Takes the right to try a request that is on trial; false while another try may be under way.
-    fn take_try(&self, content: &Fingerprint, now: Duration) -> bool {
+    fn take_try(&self, fingerprint: &Fingerprint, now: Duration) -> bool {
         self.with(|inner| {
             inner.tried.retain(|_, at| now < *at + TRY_EVERY);
-            let is_free = !inner.tried.contains_key(content);
+            let is_free = !inner.tried.contains_key(fingerprint);
             if is_free {
-                inner.tried.insert(*content, now);
+                inner.tried.insert(*fingerprint, now);
             }
             is_free
         })
@@ -163,9 +167,10 @@
 
     /// Whether one more end of an upstream would be one too many, if the breaks that this box has just seen are such
     /// ends.
-    pub fn would_be_too_many(&self, content: &Fingerprint, now: Duration) -> bool {
+    pub fn would_reach_crash_limit(&self, fingerprint: &Fingerprint, now: Duration) -> bool {
         self.with(|inner| {
-            CRASHES_MAX <= inner.quarantine.crashes(content) + inner.unexplained(content, now)
+            CRASHES_MAX
+                <= inner.quarantine.crashes(fingerprint) + inner.unexplained(fingerprint, now)
         })
     }
 
@@ -180,7 +185,7 @@
     }
 
     /// The store has come back from an older copy, which may lack what this box kept.
-    pub fn keep_again(&self) {
+    pub fn persist_again(&self) {
         let kept = self.with(|inner| std::mem::take(&mut inner.kept));
         self.to_keep(kept.into_iter().collect());
     }
@@ -198,22 +203,22 @@
 }
 
 /// For how long a request is held back; nothing if it may be sent.
-pub fn held_for(hub: &Hub, content: &Fingerprint) -> Option<Duration> {
+pub fn hold_time(hub: &Hub, fingerprint: &Fingerprint) -> Option<Duration> {
     let now = hub.now();
-    match hub.suspects().read(|quarantine| quarantine.verdict(content, now)) {
+    match hub.suspects().read(|quarantine| quarantine.verdict(fingerprint, now)) {
         Verdict::Free => None,
         Verdict::Held(left) => Some(left),
         // One box tries for all, so that no more than one upstream ends by it.
         Verdict::OnTrial => {
-            let may_try = hub.peers().is_first_for(content.as_bytes())
-                && hub.suspects().take_try(content, now);
+            let may_try = hub.peers().is_first_for(fingerprint.as_bytes())
+                && hub.suspects().take_try(fingerprint, now);
             (!may_try).then_some(TRY_EVERY)
         }
     }
 }
 
 /// A request broke off. `is_sure` if its upstream has ended for sure.
-pub fn broke_off(hub: &Hub, broken: Break, is_sure: bool) {
+pub fn connection_broken(hub: &Hub, broken: BrokenRequest, is_sure: bool) {
     let now = hub.now();
     let has_ended = hub.suspects().with(|inner| {
         if is_sure || inner.ended.contains_key(&broken.upstream) {
@@ -226,19 +231,19 @@
         false
     });
     if has_ended {
-        suspect(hub, &broken.upstream, vec![(broken.content, broken.start)]);
+        suspect(hub, &broken.upstream, vec![(broken.fingerprint, broken.instance)]);
     }
 }
 
 /// An upstream refuses connections, so it has ended.
-pub fn refuses(hub: &Hub, name: &UpstreamName) {
+pub fn connection_refused(hub: &Hub, name: &UpstreamName) {
     let now = hub.now();
     hub.suspects().with(|inner| _ = inner.ended.insert(name.clone(), now));
     suspect_waiting(hub, name, false);
 }
 
 /// An upstream's entry is gone, so it has ended.
-pub fn gone(hub: &Hub, name: &UpstreamName) {
+pub fn entry_removed(hub: &Hub, name: &UpstreamName) {
     hub.suspects().with(|inner| _ = inner.ended.remove(name));
     suspect_waiting(hub, name, false);
 }
@@ -250,7 +255,7 @@
 }
 
 /// An upstream answers, so what broke off there was only a connection, unless it proves to be a newer start.
-pub fn answers(hub: &Hub, name: &UpstreamName) {
+pub fn upstream_answered(hub: &Hub, name: &UpstreamName) {
     hub.suspects().with(|inner| {
         inner.ended.remove(name);
         let of_it = inner.waiting.iter_mut().filter(|w| w.broken.upstream == *name);
@@ -259,17 +264,17 @@
 }
 
 /// A request has ended well.
-pub fn ended_well(hub: &Hub, content: &Fingerprint) {
-    if hub.suspects().with(|inner| inner.quarantine.clear(content)) {
-        debug!(hub.log(), "suspect cleared"; "content" => %content);
-        hub.peers().tell(&Message::Cleared { content: *content });
+pub fn request_succeeded(hub: &Hub, fingerprint: &Fingerprint) {
+    if hub.suspects().with(|inner| inner.quarantine.clear(fingerprint)) {
+        debug!(hub.log(), "suspect cleared"; "content" => %fingerprint);
+        hub.peers().broadcast(&Message::SuspectCleared { fingerprint: *fingerprint });
     }
 }
 
 fn suspect_waiting(hub: &Hub, name: &UpstreamName, is_newer_start: bool) {
     let taken = hub.suspects().with(|inner| inner.take_waiting(name, is_newer_start));
     if !taken.is_empty() {
-        suspect(hub, name, taken.into_iter().map(|b| (b.content, b.start)).collect());
+        suspect(hub, name, taken.into_iter().map(|b| (b.fingerprint, b.instance)).collect());
     }
 }
 
@@ -281,29 +286,29 @@
     info!(hub.log(), "upstream ended"; "name" => name.as_str(), "requests" => crashes.len());
     let (mut held, told) = hub.suspects().with(|Inner { quarantine, .. }| {
         let mut held = Vec::new();
-        for (content, start) in &crashes {
-            if let Some(hold) = quarantine.crashed(*content, *start, now) {
-                held.push((*content, hold));
+        for (fingerprint, start) in &crashes {
+            if let Some(hold) = quarantine.crashed(*fingerprint, *start, now) {
+                held.push((*fingerprint, hold));
             }
         }
-        let told = crashes.iter().filter_map(|(content, _)| quarantine.told(content, now));
+        let told = crashes.iter().filter_map(|(fingerprint, _)| quarantine.told(fingerprint, now));
         (held, told.collect::<Vec<Suspect>>())
     });
     for chunk in told.chunks(TOLD_MAX) {
         // The next end is the last that is allowed, or was; a datagram may be lost.
         let copies = if chunk.iter().any(|s| 1 < s.crashes.len()) { 2 } else { 1 };
         let message = Message::Suspects(chunk.to_vec());
-        (0..copies).for_each(|_| hub.peers().tell_at_once(&message));
+        (0..copies).for_each(|_| hub.peers().broadcast_now(&message));
     }
-    held.iter().for_each(|(content, hold)| tell_hold(hub, content, *hold, "seen"));
+    held.iter().for_each(|(fingerprint, hold)| tell_hold(hub, fingerprint, *hold, "seen"));
     held.retain(|(_, hold)| *hold == Hold::Firm);
     if !held.is_empty() {
-        hub.suspects().to_keep(held.into_iter().map(|(content, _)| content).collect());
+        hub.suspects().to_keep(held.into_iter().map(|(fingerprint, _)| fingerprint).collect());
     }
 }
 
 /// Takes in what another box tells.
-pub fn hear(hub: &Hub, all: &[Suspect]) {
+pub fn merge_reports(hub: &Hub, all: &[Suspect]) {
     let now = hub.now();
     for suspect in all {
         if let Some(hold) = hub.suspects().with(|inner| inner.quarantine.hear(suspect, now)) {
@@ -313,12 +318,12 @@
 }
 
 /// Another box says that a request has ended well.
-pub fn cleared(hub: &Hub, content: &Fingerprint) {
-    hub.suspects().with(|inner| inner.quarantine.clear(content));
+pub fn clear(hub: &Hub, fingerprint: &Fingerprint) {
+    hub.suspects().with(|inner| inner.quarantine.clear(fingerprint));
 }
 
-fn tell_hold(hub: &Hub, content: &Fingerprint, hold: Hold, by: &'static str) {
-    warn!(hub.log(), "request held back"; "content" => %content, "by" => by,
+fn tell_hold(hub: &Hub, fingerprint: &Fingerprint, hold: Hold, by: &'static str) {
+    warn!(hub.log(), "request held back"; "content" => %fingerprint, "by" => by,
         "until_tried" => hold == Hold::ForNow, "upstreams_ended" => CRASHES_MAX);
     hub.metrics().held_back(by);
 }
@@ -329,9 +334,9 @@
     loop {
         pace::wait(LOOK_EVERY).await;
         let own = hub.suspects().read(|quarantine| quarantine.digest(hub.now()));
-        let Some(addr) = hub.peers().with_other_held(own) else { continue };
-        match side::ask_held(addr).await {
-            Ok(all) => hear(&hub, &all),
+        let Some(addr) = hub.peers().box_with_other_held(own) else { continue };
+        match box_api::fetch_held(addr).await {
+            Ok(all) => merge_reports(&hub, &all),
             Err(e) => debug!(hub.log(), "box not asked"; "addr" => %addr, "error" => %e),
         }
     }
@@ -339,21 +344,21 @@
 
 /// Keeps in the store what this box holds back by its own sight, until the process ends: all boxes may lose their memory
 /// at once.
-pub async fn keep(hub: Arc<Hub>, records: Arc<dyn Records>) {
+pub async fn persist(hub: Arc<Hub>, records: Arc<dyn Records>) {
     let mut pause = KEEP_AGAIN;
     loop {
-        let Some(content) = hub.suspects().with(|inner| inner.unkept.front().copied()) else {
+        let Some(fingerprint) = hub.suspects().with(|inner| inner.unkept.front().copied()) else {
             hub.suspects().to_keep.notified().await;
             continue;
         };
-        let told = hub.suspects().read(|quarantine| quarantine.told(&content, hub.now()));
+        let told = hub.suspects().read(|quarantine| quarantine.told(&fingerprint, hub.now()));
         let kept = match &told {
             Some(suspect) => records.keep(suspect).await,
             // Nothing is held against it any more.
             None => Ok(()),
         };
         if let Err(e) = kept {
-            info!(hub.log(), "request not kept"; "content" => %content, "error" => %e);
+            info!(hub.log(), "request not kept"; "content" => %fingerprint, "error" => %e);
             if let NotKept::Away(_) = e {
                 tokio::time::sleep(pause).await;
                 pause = (pause * 2).min(KEEP_AGAIN_MAX);
@@ -362,9 +367,9 @@
         }
         pause = KEEP_AGAIN;
         hub.suspects().with(|inner| {
-            inner.unkept.retain(|unkept| *unkept != content);
+            inner.unkept.retain(|unkept| *unkept != fingerprint);
             if inner.kept.len() < KEPT_MAX {
-                inner.kept.insert(content);
+                inner.kept.insert(fingerprint);
             }
         });
     }
@@ -372,7 +377,7 @@
 
 /// Asks the store for what other boxes kept before this one started, if it is one of those that ask the store at all;
 /// the others are told.
-pub async fn recall(hub: Arc<Hub>, records: Arc<dyn Records>) {
+pub async fn load_persisted(hub: Arc<Hub>, records: Arc<dyn Records>) {
     let mut recalls = 0;
     for _ in 0..RECALL_TRIES {
         if hub.peers().is_store_due() {
@@ -394,15 +399,15 @@
 }
 
 async fn take_kept(hub: &Hub, records: &dyn Records, all: &[Suspect]) {
-    hear(hub, all);
-    for Suspect { content, .. } in all {
-        let verdict = hub.suspects().read(|known| known.verdict(content, hub.now()));
+    merge_reports(hub, all);
+    for Suspect { content: fingerprint, .. } in all {
+        let verdict = hub.suspects().read(|known| known.verdict(fingerprint, hub.now()));
         if verdict != Verdict::Free {
             continue;
         }
         // It was long ago. Another box may do the same at the same time.
-        if let Err(e) = records.forget(content).await {
-            debug!(hub.log(), "request not forgotten"; "content" => %content, "error" => %e);
+        if let Err(e) = records.forget(fingerprint).await {
+            debug!(hub.log(), "request not forgotten"; "content" => %fingerprint, "error" => %e);
         }
     }
 }
--- a/src/proxy/view.rs
+++ b/src/proxy/view.rs
@@ -23,8 +23,8 @@
 use crate::proxy::digests;
 use crate::proxy::digests::Digests;
 use crate::proxy::history::History;
-use crate::proxy::table::EngineLimits;
-use crate::proxy::table::Table;
+use crate::proxy::routing_table::EngineLimits;
+use crate::proxy::routing_table::RoutingTable;
 
 /// Entries that lapse while the store is away come back by themselves within about two seconds of
 /// its return; one that is missing after this is gone.
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Snapshot {
     /// The configuration in force; nothing if whoever asks has it.
-    pub table: Option<Arc<Table>>,
+    pub table: Option<Arc<RoutingTable>>,
     /// All upstreams in use or leaving that are in these buckets.
     pub upstreams: Vec<Listed>,
     /// The buckets of upstreams that are told of; all if nothing is given.
@@ -56,7 +56,8 @@
     /// The revision of the store up to which the sender's list is whole.
     pub revision: Revision,
     /// Whether the sender sees the store, so that there are no others.
-    pub is_sure: bool,
+    #[serde(rename = "is_sure")]
+    pub is_complete: bool,
 }
 
 /// A change of what is believed, for the log and for the other boxes.
@@ -71,7 +72,7 @@
     /// An upstream leaves: it gets no new work.
     Leaving(UpstreamName),
     /// Another box says that an upstream leaves or is gone.
-    Told(UpstreamName),
+    ReportedLeaving(UpstreamName),
     /// An upstream is gone.
     Gone(UpstreamName),
     /// An upstream's entry is missing; it is kept until it is sure to be gone.
@@ -79,7 +80,7 @@
     /// Other zones are evacuated than before.
     Evacuated(Evacuated),
     /// The store has come back from an older copy, and counts this era.
-    Restored(u64),
+    StoreRestored(u64),
     /// An upstream of this name and address has started anew, by its own clock at this time in milliseconds since
     /// 1970.
     Restarted(UpstreamName, SocketAddr, u64),
@@ -97,7 +98,7 @@
 /// What this box knows.
 #[derive(Debug)]
 pub struct View {
-    table: Option<Arc<Table>>,
+    table: Option<Arc<RoutingTable>>,
     fleet: Fleet,
     history: History,
     /// Upstreams whose entries may have lapsed while the store was away.
@@ -152,7 +153,7 @@
     }
 
     /// The configuration in force.
-    pub fn table(&self) -> Option<&Arc<Table>> {
+    pub fn table(&self) -> Option<&Arc<RoutingTable>> {
         self.table.as_ref()
     }
 
@@ -203,7 +204,7 @@
 
     /// The store counts this era in what it tells from now on. If that is a new one, it has come back from an older
     /// copy: what is missing there isn't gone, and what is there may be.
-    pub fn in_era(&mut self, era: u64, now: Duration) {
+    pub fn enter_era(&mut self, era: u64, now: Duration) {
         let known = self.era.max(self.revision().era);
         self.era = self.era.max(era);
         if era <= known || !self.listed_once {
@@ -211,29 +212,29 @@
         }
         self.grace_until = self.grace_until.max(now + LAPSE_GRACE);
         self.returns_until = now + RETURN_GRACE;
-        self.changes.push(Change::Restored(era));
+        self.changes.push(Change::StoreRestored(era));
     }
 
     /// An upstream's entry can't be read, so it gets nothing. True where that is news.
-    pub fn unreadable(&mut self, name: &UpstreamName, fault: &str, now: Duration) -> bool {
+    pub fn mark_unreadable(&mut self, name: &UpstreamName, fault: &str, now: Duration) -> bool {
         if self.unreadable.get(name).is_some_and(|known| known == fault) {
             return false;
         }
         self.unreadable.insert(name.clone(), fault.to_owned());
         self.returned.remove(name);
         if self.fleet.get(name).is_some() {
-            self.drop_upstream(name, now);
+            self.remove_upstream(name, now);
         }
         true
     }
 
     /// Whether requests can be served: there are a configuration and upstreams.
     pub fn is_ready(&self) -> bool {
-        self.table.is_some() && self.has_list()
+        self.table.is_some() && self.has_upstream_list()
     }
 
     /// Whether all upstreams were listed once.
-    pub fn has_list(&self) -> bool {
+    pub fn has_upstream_list(&self) -> bool {
         self.listed_once
     }
 
@@ -255,12 +256,12 @@
             buckets: None,
             gone: Vec::new(),
             revision: self.revision(),
-            is_sure: self.is_sure(),
+            is_complete: self.is_complete(),
         }
     }
 
     /// Whether there are no other upstreams than those that are listed.
-    fn is_sure(&self) -> bool {
+    fn is_complete(&self) -> bool {
         // The configuration may come before the list, and an entry that is missing may be gone.
         self.reached && self.listed_once && self.missing.is_empty()
     }
@@ -271,15 +272,21 @@
     }
 
     /// Notes that the store has told all up to a revision.
-    pub fn up_to(&mut self, revision: Revision) {
-        self.history.up_to(revision);
+    pub fn complete_up_to(&mut self, revision: Revision) {
+        self.history.complete_up_to(revision);
     }
 
     /// What another box may take over that has a configuration of this version and all changes of upstreams
     /// up to a revision; nothing if that is too long ago.
-    pub fn since(&self, version: u64, revision: Revision, now: Duration) -> Option<Snapshot> {
+    pub fn changes_since(
+        &self,
+        version: u64,
+        revision: Revision,
+        now: Duration,
+    ) -> Option<Snapshot> {
         // Nobody knows of an entry that is missing whether it is gone.
-        let changed = self.history.since(revision)?.filter(|name| !self.missing.contains(*name));
+        let changed =
+            self.history.changes_since(revision)?.filter(|name| !self.missing.contains(*name));
         let (kept, gone): (Vec<_>, Vec<_>) =
             changed.partition(|name| self.fleet.get(name).is_some());
         Some(Snapshot {
@@ -288,7 +295,7 @@
             buckets: Some(BTreeSet::new()),
             gone: gone.into_iter().cloned().collect(),
             revision: self.revision(),
-            is_sure: self.is_sure(),
+            is_complete: self.is_complete(),
         })
     }
 
@@ -301,7 +308,7 @@
         Snapshot { table: self.newer_table(version), buckets: Some(buckets), ..all }
     }
 
-    fn newer_table(&self, version: u64) -> Option<Arc<Table>> {
+    fn newer_table(&self, version: u64) -> Option<Arc<RoutingTable>> {
         self.table.clone().filter(|t| version < t.version)
     }
 
@@ -311,7 +318,7 @@
     }
 
     /// Takes over a configuration, unless it is no newer than the one in force.
-    pub fn configure(&mut self, table: Arc<Table>, now: Duration) {
+    pub fn configure(&mut self, table: Arc<RoutingTable>, now: Duration) {
         if table.version <= self.version() {
             return;
         }
@@ -330,7 +337,7 @@
     }
 
     /// Takes over the store's whole list of upstreams.
-    pub fn list(&mut self, all: Vec<Listed>, now: Duration) {
+    pub fn set_upstreams(&mut self, all: Vec<Listed>, now: Duration) {
         let names: FxHashSet<&UpstreamName> = all.iter().map(|l| &l.name).collect();
         let absent: Vec<UpstreamName> = self
             .fleet
@@ -343,17 +350,17 @@
             if is_gone && now < self.returns_until {
                 self.returned.insert(listed.name.clone(), (listed, now + RETURN_GRACE));
             } else {
-                self.set(listed, now);
+                self.set_upstream(listed, now);
             }
         }
         for name in absent {
-            self.gone(&name, now);
+            self.entry_removed(&name, now);
         }
-        self.has_listed();
+        self.mark_listed();
     }
 
     /// Notes that all upstreams are known.
-    fn has_listed(&mut self) {
+    fn mark_listed(&mut self) {
         if self.listed_once {
             return;
         }
@@ -363,7 +370,7 @@
     }
 
     /// Takes over one upstream.
-    pub fn set(&mut self, mut listed: Listed, now: Duration) {
+    pub fn set_upstream(&mut self, mut listed: Listed, now: Duration) {
         if self.is_older_start(&listed) {
             return;
         }
@@ -436,7 +443,7 @@
     }
 
     /// An entry is gone. Near trouble with the store it may only have lapsed.
-    pub fn gone(&mut self, name: &UpstreamName, now: Duration) {
+    pub fn entry_removed(&mut self, name: &UpstreamName, now: Duration) {
         self.returned.remove(name);
         self.unreadable.remove(name);
         let may_return = !self.reached || now < self.grace_until;
@@ -447,7 +454,7 @@
             }
             return;
         }
-        self.drop_upstream(name, now);
+        self.remove_upstream(name, now);
     }
 
     /// Whether this box knows that an upstream must get no requests: it leaves or is gone, or its zone
@@ -465,7 +472,7 @@
 
     /// Applies an upstream's notice that it is draining, read by this box or another one. True if other boxes may not have
     /// it: it is new, and the store doesn't list the same.
-    pub fn drain(&mut self, draining: &Draining, now: Duration) -> bool {
+    pub fn apply_draining(&mut self, draining: &Draining, now: Duration) -> bool {
         let name = &draining.upstream;
         if !self.draining.add(draining, now) {
             return false;
@@ -506,30 +513,30 @@
 
     /// Another box, which sees the store, says that an upstream leaves. None ever comes back from
     /// that, so it is believed at once.
-    pub fn told_leaving(&mut self, name: &UpstreamName, now: Duration) {
+    pub fn reported_leaving(&mut self, name: &UpstreamName, now: Duration) {
         if self.fleet.is_open(name) {
             self.fleet.leave(name);
             // The store's own word will be no news then.
             self.history.note(name, now);
-            self.changes.push(Change::Told(name.clone()));
+            self.changes.push(Change::ReportedLeaving(name.clone()));
         }
     }
 
     /// Another box, which sees the store, says that an upstream's entry is gone. It may only have
     /// lapsed, so that is believed only while this box doesn't see the store itself.
-    pub fn told_gone(&mut self, name: &UpstreamName, now: Duration) {
+    pub fn reported_gone(&mut self, name: &UpstreamName, now: Duration) {
         if !self.reached {
-            self.told_leaving(name, now);
+            self.reported_leaving(name, now);
             self.said_gone.insert(name.clone(), now);
         }
     }
 
     /// Another box, which sees the store, says that an upstream is new or has changed.
-    pub fn told_listed(&mut self, listed: Listed, now: Duration) {
+    pub fn reported_listed(&mut self, listed: Listed, now: Duration) {
         let is_leaving = self.fleet.get(&listed.name).is_some_and(|known| known.leaving);
         let is_known = is_leaving || self.dropped.contains_key(&listed.name);
         if !self.reached && (!is_known || self.is_newer_start(&listed)) {
-            self.set(listed, now);
+            self.set_upstream(listed, now);
         }
     }
 
@@ -539,7 +546,7 @@
     }
 
     /// Takes over what another box knows, while this one doesn't see the store.
-    pub fn take_over(&mut self, snapshot: Snapshot, now: Duration) {
+    pub fn apply_snapshot(&mut self, snapshot: Snapshot, now: Duration) {
         if let Some(table) = snapshot.table {
             self.configure(table, now);
         }
@@ -554,7 +561,7 @@
         if snapshot.revision < self.revision() {
             return;
         }
-        if snapshot.is_sure {
+        if snapshot.is_complete {
             let listed: BTreeSet<&UpstreamName> =
                 snapshot.upstreams.iter().map(|l| &l.name).collect();
             let buckets = snapshot.buckets.as_ref();
@@ -567,11 +574,11 @@
                 .iter()
                 .filter(|name| !listed.contains(name))
                 .chain(&snapshot.gone)
-                .for_each(|name| self.drop_upstream(name, now));
+                .for_each(|name| self.remove_upstream(name, now));
         }
         // What differs is asked for when all who see the store list it: one that is gone, or was only said to
         // be, had lapsed then.
-        let may_return = snapshot.is_sure && !is_changes;
+        let may_return = snapshot.is_complete && !is_changes;
         for listed in snapshot.upstreams {
             let is_gone = self.dropped.contains_key(&listed.name);
             let was_said_gone = self.said_gone.contains_key(&listed.name);
@@ -580,14 +587,14 @@
             let is_other = self.is_newer_start(&listed);
             let is_believed = !is_leaving && (may_return || !is_gone);
             if is_other || may_return && was_said_gone || is_believed {
-                self.set(listed, now);
+                self.set_upstream(listed, now);
             }
         }
-        if snapshot.is_sure {
-            self.history.up_to(snapshot.revision);
+        if snapshot.is_complete {
+            self.history.complete_up_to(snapshot.revision);
         }
         if is_useful {
-            self.has_listed();
+            self.mark_listed();
         }
     }
 
@@ -632,7 +639,7 @@
             return;
         }
         for name in std::mem::take(&mut self.missing) {
-            self.drop_upstream(&name, now);
+            self.remove_upstream(&name, now);
         }
     }
 
@@ -641,7 +648,7 @@
         let is_due = |(_, due): &&(Listed, Duration)| *due <= now;
         let returned: Vec<Listed> =
             self.returned.values().filter(is_due).map(|(listed, _)| listed.clone()).collect();
-        returned.into_iter().for_each(|listed| self.set(listed, now));
+        returned.into_iter().for_each(|listed| self.set_upstream(listed, now));
         let held = self.held_zones.iter().filter(|(_, until)| **until <= now);
         let over: Vec<ZoneName> = held.map(|(zone, _)| zone.clone()).collect();
         over.iter().for_each(|zone| _ = self.held_zones.remove(zone));
@@ -652,7 +659,7 @@
         self.fleet.close(self.closed());
     }
 
-    fn drop_upstream(&mut self, name: &UpstreamName, now: Duration) {
+    fn remove_upstream(&mut self, name: &UpstreamName, now: Duration) {
         self.missing.remove(name);
         self.history.note(name, now);
         let born = self.fleet.get(name).and_then(|known| known.born);
--- a/src/proxy/warm.rs
+++ b/src/proxy/warm.rs
@@ -14,12 +14,12 @@
 use crate::names::UpstreamName;
 use crate::placement::fleet::learned::Kept;
 use crate::placement::fleet::learned::Learned;
+use crate::proxy::box_api;
 use crate::proxy::dialect::Engines;
 use crate::proxy::dialect::Listed;
 use crate::proxy::hub::Hub;
 use crate::proxy::notices;
 use crate::proxy::pace;
-use crate::proxy::side;
 use crate::proxy::view::View;
 
 /// Time between looks at who could tell.
@@ -56,8 +56,8 @@
 }
 
 async fn from_others(hub: &Hub) -> Option<Learned> {
-    let addr = hub.peers().warm()?;
-    side::ask_learned(addr, None)
+    let addr = hub.peers().warm_box()?;
+    box_api::fetch_learned(addr, None)
         .await
         .inspect_err(|e| debug!(hub.log(), "box not asked"; "addr" => %addr, "error" => %e))
         .ok()
@@ -68,7 +68,7 @@
     let mut known: BTreeSet<Group> = BTreeSet::new();
     loop {
         pace::wait(SETTLE).await;
-        let me = hub.peers().me();
+        let me = hub.peers().own_ip();
         let kept: BTreeMap<Group, Owned> = hub.peers().owners().kept_by(me).collect();
         known.retain(|group| kept.contains_key(group));
         for (group, owned) in kept {
@@ -82,10 +82,10 @@
 /// Learns of the engines of a group from whoever else keeps their models. Where nobody knows of them,
 /// the owner asks the engines.
 async fn learn(hub: Arc<Hub>, engines: Arc<dyn Engines>, group: Group, owned: Owned) {
-    let me = hub.peers().me();
+    let me = hub.peers().own_ip();
     let other = owned.keepers().find(|ip| *ip != me).and_then(|ip| hub.peers().addr_of(ip));
     if let Some(addr) = other {
-        match side::ask_learned(addr, Some(group)).await {
+        match box_api::fetch_learned(addr, Some(group)).await {
             Ok(learned) if learned.kept.iter().any(|k| !k.parts.is_empty()) => {
                 hub.warm_up(&learned);
                 return;
--- a/tests/fleet_evacuated.rs
+++ b/tests/fleet_evacuated.rs
@@ -20,10 +20,10 @@
 use frostdyke::proxy::dialect::Listed;
 use frostdyke::proxy::dialect::Part;
 use frostdyke::proxy::dialect::Prompt;
-use frostdyke::proxy::table::EngineLimits;
-use frostdyke::proxy::table::Limits;
-use frostdyke::proxy::table::Service;
-use frostdyke::proxy::table::Table;
+use frostdyke::proxy::routing_table::EngineLimits;
+use frostdyke::proxy::routing_table::Limits;
+use frostdyke::proxy::routing_table::RoutingTable;
+use frostdyke::proxy::routing_table::Service;
 use frostdyke::proxy::view::Change;
 use frostdyke::proxy::view::View;
 use rand::Rng;
@@ -118,7 +118,7 @@
         EngineLimits { slots: 8, memory_tokens: 100_000, copied_per_s: 400_000, cold: Some(cold) };
     let service = Service { max_connections: 100, probe_path: String::new(), engine: Some(limits) };
     let services = [(ServiceName::from("llm"), service)].into();
-    let table = Table::new(1, Vec::new(), services, None, Limits::default());
+    let table = RoutingTable::new(1, Vec::new(), services, None, Limits::default());
     view.configure(table.into(), Duration::ZERO);
     let listed = |n: u8, name: &str| Listed {
         name: UpstreamName::from(&*format!("e{n}")),
@@ -131,7 +131,7 @@
         leaving: false,
         cold_for: Some(Duration::ZERO),
     };
-    view.list(vec![listed(1, "a"), listed(2, "b")], Duration::ZERO);
+    view.set_upstreams(vec![listed(1, "a"), listed(2, "b")], Duration::ZERO);
     view
 }
 
--- a/tests/fleet_members.rs
+++ b/tests/fleet_members.rs
@@ -112,7 +112,8 @@
         let beat = Beat { record: record(from), asks, ages };
         self.sent += 1;
         if self.is_measured {
-            let buf = postcard::to_stdvec(&Message::Beat(beat.clone())).expect("it can be encoded");
+            let buf =
+                postcard::to_stdvec(&Message::Heartbeat(beat.clone())).expect("it can be encoded");
             assert!(buf.len() <= 1400, "{} bytes fit no datagram", buf.len());
             self.bytes += buf.len();
         }
--- a/tests/fleet_placement.rs
+++ b/tests/fleet_placement.rs
@@ -25,10 +25,10 @@
 use frostdyke::proxy::dialect::Listed;
 use frostdyke::proxy::dialect::Part;
 use frostdyke::proxy::dialect::Prompt;
-use frostdyke::proxy::message::Answer;
-use frostdyke::proxy::message::Ask;
 use frostdyke::proxy::message::Message;
-use frostdyke::proxy::table::EngineLimits;
+use frostdyke::proxy::message::PlacementRequest;
+use frostdyke::proxy::message::PlacementResponse;
+use frostdyke::proxy::routing_table::EngineLimits;
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -145,7 +145,11 @@
                     let took = Duration::from_secs_f64(took);
                     fleet.first(&name(engine), request, Some(took), now);
                     let took_ms = took.as_millis() as u32;
-                    (asker, engine, Message::First { upstream: name(engine), request, took_ms })
+                    (
+                        asker,
+                        engine,
+                        Message::FirstToken { upstream: name(engine), request, took_ms },
+                    )
                 }
                 Event::End { engine, request, asker } => {
                     fleet.end(&name(engine), request);
@@ -206,7 +210,10 @@
                 outcome.tell(
                     owner,
                     1,
-                    &Message::Answer(Answer { request, result: result.clone() }),
+                    &Message::PlacementResponse(PlacementResponse {
+                        request,
+                        result: result.clone(),
+                    }),
                 );
                 // The standby hears of it, too.
                 outcome.tell(owner, 1, &ask);
@@ -267,7 +274,7 @@
 }
 
 fn ask(wish: &Wish<'_>, asker: &Candidate) -> Message {
-    Message::Ask(Ask {
+    Message::PlacementRequest(PlacementRequest {
         request: wish.request,
         group: wish.group.unwrap_or_default(),
         service: ServiceName::from(wish.service),
--- a/tests/fleet_size.rs
+++ b/tests/fleet_size.rs
@@ -22,7 +22,7 @@
 use frostdyke::proxy::dialect::Listed;
 use frostdyke::proxy::dialect::Part;
 use frostdyke::proxy::dialect::Prompt;
-use frostdyke::proxy::table::EngineLimits;
+use frostdyke::proxy::routing_table::EngineLimits;
 
 const ZONES: usize = 5;
 
--- a/tests/proxy_admit.rs
+++ b/tests/proxy_admit.rs
@@ -26,7 +26,7 @@
 use frostdyke::proxy::dialect::Listed;
 use frostdyke::proxy::dialect::Part;
 use frostdyke::proxy::dialect::Prompt;
-use frostdyke::proxy::table::EngineLimits;
+use frostdyke::proxy::routing_table::EngineLimits;
 
 const LIMITS: EngineLimits =
     EngineLimits { slots: 64, memory_tokens: 500_000, copied_per_s: 400_000, cold: None };
--- a/tests/proxy_behind.rs
+++ b/tests/proxy_behind.rs
@@ -86,8 +86,8 @@
 fn view() -> View {
     let mut view = View::new(Fleet::new(ZoneName::from("a"), Tuning::default()));
     view.store_regained(Duration::ZERO);
-    view.list((0..UPSTREAMS).map(listed).collect(), Duration::ZERO);
-    view.up_to(Revision::new(1, UPSTREAMS));
+    view.set_upstreams((0..UPSTREAMS).map(listed).collect(), Duration::ZERO);
+    view.complete_up_to(Revision::new(1, UPSTREAMS));
     view.take_changes();
     view
 }
@@ -117,11 +117,11 @@
     /// Hears of all changes up to the one of this number; gives what it tells of that.
     fn hear(&mut self, changes: u64, now: Duration) -> Vec<Change> {
         for n in self.heard..changes {
-            self.view.set(listed(UPSTREAMS + n), now);
-            self.view.gone(&name(n), now);
+            self.view.set_upstream(listed(UPSTREAMS + n), now);
+            self.view.entry_removed(&name(n), now);
         }
         self.heard = changes;
-        self.view.up_to(Revision::new(1, UPSTREAMS + 2 * changes));
+        self.view.complete_up_to(Revision::new(1, UPSTREAMS + 2 * changes));
         self.view.take_changes()
     }
 
@@ -134,8 +134,8 @@
 /// Takes in what a watcher tells.
 fn take_in(view: &mut View, change: Change, now: Duration) {
     match change {
-        Change::Upstream(listed) => view.told_listed(listed, now),
-        Change::Gone(name) => view.told_gone(&name, now),
+        Change::Upstream(listed) => view.reported_listed(listed, now),
+        Change::Gone(name) => view.reported_gone(&name, now),
         other => panic!("{other:?}"),
     }
 }
@@ -147,12 +147,12 @@
         let digests = view.digests(now);
         (digests.to_string().len(), Some(watcher.difference(version, &digests, now)))
     } else {
-        (0, watcher.since(version, view.revision(), now))
+        (0, watcher.changes_since(version, view.revision(), now))
     };
     let Some(told) = told else { return question + ask(view, watcher, true, now) };
     let packed = postcard::to_stdvec(&told).expect("it can be packed");
     let told: Snapshot = postcard::from_bytes(&packed).expect("it can be read");
-    view.take_over(told, now);
+    view.apply_snapshot(told, now);
     question + packed.len()
 }
 
--- a/tests/proxy_draining.rs
+++ b/tests/proxy_draining.rs
@@ -48,8 +48,8 @@
 fn view() -> View {
     let mut view = View::new(Fleet::new(ZoneName::from("z"), Tuning::default()));
     view.store_regained(Duration::ZERO);
-    view.list(all(), Duration::ZERO);
-    assert!(view.drain(&notice(Some(BORN)), NOW));
+    view.set_upstreams(all(), Duration::ZERO);
+    assert!(view.apply_draining(&notice(Some(BORN)), NOW));
     view.take_changes();
     view
 }
@@ -65,8 +65,8 @@
 #[test]
 fn a_listing_of_the_same_incarnation_opens_nothing() {
     let mut view = view();
-    view.set(upstream("a", BORN), NOW + SECOND);
-    view.list(all(), NOW + SECOND);
+    view.set_upstream(upstream("a", BORN), NOW + SECOND);
+    view.set_upstreams(all(), NOW + SECOND);
     assert!(!is_open(&view));
     assert!(view.take_changes().is_empty());
 }
@@ -75,18 +75,18 @@
 #[test]
 fn an_entry_that_lapsed_and_is_back_opens_nothing() {
     let mut view = view();
-    view.gone(&UpstreamName::from("a"), NOW + SECOND);
+    view.entry_removed(&UpstreamName::from("a"), NOW + SECOND);
     assert!(view.is_barred(&UpstreamName::from("a")));
     view.tick(NOW + 12 * SECOND);
-    view.set(upstream("a", BORN), NOW + 12 * SECOND);
+    view.set_upstream(upstream("a", BORN), NOW + 12 * SECOND);
     assert!(!is_open(&view));
 }
 
 #[test]
 fn a_store_that_comes_back_from_an_older_copy_opens_nothing() {
     let mut view = view();
-    view.in_era(1, NOW + SECOND);
-    view.list(all(), NOW + SECOND);
+    view.enter_era(1, NOW + SECOND);
+    view.set_upstreams(all(), NOW + SECOND);
     view.tick(NOW + 10 * SECOND);
     assert!(!is_open(&view));
 }
@@ -97,18 +97,22 @@
     let mut view = view();
     view.store_lost();
     let revision = Revision::new(1, 5);
-    let snapshot = Snapshot { upstreams: all(), revision, is_sure: true, ..Snapshot::default() };
-    view.take_over(snapshot, NOW + SECOND);
-    view.told_listed(upstream("a", BORN), NOW + SECOND);
+    let snapshot =
+        Snapshot { upstreams: all(), revision, is_complete: true, ..Snapshot::default() };
+    view.apply_snapshot(snapshot, NOW + SECOND);
+    view.reported_listed(upstream("a", BORN), NOW + SECOND);
     assert!(!is_open(&view));
 }
 
 #[test]
 fn an_incarnation_after_the_notice_is_open() {
     let mut view = view();
-    view.set(upstream("a", SAID_AT + 1), NOW + SECOND);
+    view.set_upstream(upstream("a", SAID_AT + 1), NOW + SECOND);
     assert!(is_open(&view));
-    assert!(!view.drain(&notice(Some(BORN)), NOW + SECOND), "of the earlier incarnation, late");
+    assert!(
+        !view.apply_draining(&notice(Some(BORN)), NOW + SECOND),
+        "of the earlier incarnation, late"
+    );
     assert!(is_open(&view));
 }
 
@@ -117,7 +121,7 @@
 #[test]
 fn an_uncertain_incarnation_is_open_once_the_other_one_has_ended() {
     let mut view = view();
-    view.set(upstream("a", SAID_AT - 1), NOW + SECOND);
+    view.set_upstream(upstream("a", SAID_AT - 1), NOW + SECOND);
     view.tick(NOW + 20 * SECOND);
     assert!(!is_open(&view));
     view.tick(NOW + 31 * SECOND);
@@ -128,8 +132,8 @@
 fn a_listed_incarnation_stays_open_when_the_notice_of_an_earlier_one_comes() {
     let mut view = View::new(Fleet::new(ZoneName::from("z"), Tuning::default()));
     view.store_regained(Duration::ZERO);
-    view.list(vec![upstream("a", SAID_AT + 1)], Duration::ZERO);
-    assert!(!view.drain(&notice(Some(BORN)), NOW));
+    view.set_upstreams(vec![upstream("a", SAID_AT + 1)], Duration::ZERO);
+    assert!(!view.apply_draining(&notice(Some(BORN)), NOW));
     assert!(is_open(&view));
 }
 
@@ -137,8 +141,8 @@
 #[test]
 fn a_notice_is_new_once() {
     let mut view = view();
-    assert!(!view.drain(&notice(Some(BORN)), NOW + SECOND));
-    assert!(!view.drain(&notice(None), NOW + SECOND));
+    assert!(!view.apply_draining(&notice(Some(BORN)), NOW + SECOND));
+    assert!(!view.apply_draining(&notice(None), NOW + SECOND));
 }
 
 /// All boxes have it from the store.
@@ -146,9 +150,9 @@
 fn a_notice_that_the_store_lists_is_not_new() {
     let mut view = View::new(Fleet::new(ZoneName::from("z"), Tuning::default()));
     view.store_regained(Duration::ZERO);
-    view.list(vec![Listed { leaving: true, ..upstream("a", BORN) }], Duration::ZERO);
-    assert!(!view.drain(&notice(Some(BORN)), NOW));
-    view.set(upstream("a", BORN), NOW + SECOND);
+    view.set_upstreams(vec![Listed { leaving: true, ..upstream("a", BORN) }], Duration::ZERO);
+    assert!(!view.apply_draining(&notice(Some(BORN)), NOW));
+    view.set_upstream(upstream("a", BORN), NOW + SECOND);
     assert!(!is_open(&view));
 }
 
@@ -156,10 +160,10 @@
 #[test]
 fn an_upstream_that_isnt_listed_is_barred_by_its_notice() {
     let mut view = View::new(Fleet::new(ZoneName::from("z"), Tuning::default()));
-    assert!(view.drain(&notice(None), NOW));
+    assert!(view.apply_draining(&notice(None), NOW));
     assert!(view.is_barred(&UpstreamName::from("a")));
     view.store_regained(NOW);
-    view.list(all(), NOW);
+    view.set_upstreams(all(), NOW);
     assert!(!is_open(&view));
 }
 
@@ -169,15 +173,15 @@
     let learned = view().learned(None);
     let mut started = View::new(Fleet::new(ZoneName::from("z"), Tuning::default()));
     started.store_regained(NOW);
-    started.list(all(), NOW);
-    learned.draining.iter().for_each(|draining| _ = started.drain(draining, NOW));
+    started.set_upstreams(all(), NOW);
+    learned.draining.iter().for_each(|draining| _ = started.apply_draining(draining, NOW));
     assert!(!is_open(&started));
 }
 
 #[test]
 fn what_is_long_gone_is_forgotten() {
     let mut view = view();
-    view.gone(&UpstreamName::from("a"), NOW);
+    view.entry_removed(&UpstreamName::from("a"), NOW);
     view.tick(NOW + 5 * SECOND);
     assert_eq!(view.draining().all().count(), 1);
     view.tick(NOW + 60 * SECOND);
--- a/tests/proxy_speed.rs
+++ b/tests/proxy_speed.rs
@@ -15,7 +15,7 @@
 use frostdyke::proxy::dialect::Listed;
 use frostdyke::proxy::dialect::Part;
 use frostdyke::proxy::dialect::Prompt;
-use frostdyke::proxy::table::EngineLimits;
+use frostdyke::proxy::routing_table::EngineLimits;
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
--- a/tests/proxy_view.rs
+++ b/tests/proxy_view.rs
@@ -42,7 +42,7 @@
 fn view() -> View {
     let mut view = View::new(Fleet::new(ZoneName::from("a"), Tuning::default()));
     view.store_regained(millis(0));
-    view.list(vec![upstream("a"), upstream("b")], millis(0));
+    view.set_upstreams(vec![upstream("a"), upstream("b")], millis(0));
     view.take_changes();
     view
 }
@@ -58,10 +58,10 @@
     let mut view = View::new(Fleet::new(ZoneName::from("a"), Tuning::default()));
     view.store_regained(millis(0));
     let leaving = Listed { leaving: true, ..upstream("c") };
-    view.list(vec![upstream("a"), upstream("b"), leaving], millis(0));
+    view.set_upstreams(vec![upstream("a"), upstream("b"), leaving], millis(0));
     let changes = [Change::Leaving(UpstreamName::from("c")), Change::Listed(3)];
     assert_eq!(view.take_changes(), changes);
-    view.list(vec![upstream("a"), upstream("b"), upstream("d")], millis(1_000));
+    view.set_upstreams(vec![upstream("a"), upstream("b"), upstream("d")], millis(1_000));
     let changes = [Change::Upstream(upstream("d")), Change::Gone(UpstreamName::from("c"))];
     assert_eq!(view.take_changes(), changes);
 }
@@ -72,14 +72,14 @@
 fn what_a_watcher_was_told_first_is_told_to_who_asks_it() {
     let now = millis(1_000);
     let (mut watcher, mut box_) = (view(), view());
-    watcher.up_to(Revision::new(1, 5));
-    box_.up_to(Revision::new(1, 5));
+    watcher.complete_up_to(Revision::new(1, 5));
+    box_.complete_up_to(Revision::new(1, 5));
     box_.store_left_to_others();
-    watcher.told_leaving(&UpstreamName::from("a"), now);
-    watcher.set(Listed { leaving: true, ..upstream("a") }, now);
-    watcher.up_to(Revision::new(1, 6));
-    let changes = watcher.since(0, box_.revision(), now).expect("they are known");
-    box_.take_over(changes, now);
+    watcher.reported_leaving(&UpstreamName::from("a"), now);
+    watcher.set_upstream(Listed { leaving: true, ..upstream("a") }, now);
+    watcher.complete_up_to(Revision::new(1, 6));
+    let changes = watcher.changes_since(0, box_.revision(), now).expect("they are known");
+    box_.apply_snapshot(changes, now);
     assert!(!is_open(&box_, "a"));
     assert!(is_open(&box_, "b"));
     assert_eq!(box_.revision(), Revision::new(1, 6));
@@ -91,30 +91,33 @@
 fn a_watcher_that_was_cut_off_brings_back_nothing_that_is_gone() {
     let now = millis(20_000);
     let (mut watcher, mut box_, mut late) = (view(), view(), view());
-    watcher.up_to(Revision::new(1, 5));
-    box_.up_to(Revision::new(1, 5));
-    late.up_to(Revision::new(1, 5));
+    watcher.complete_up_to(Revision::new(1, 5));
+    box_.complete_up_to(Revision::new(1, 5));
+    late.complete_up_to(Revision::new(1, 5));
     box_.store_left_to_others();
-    watcher.gone(&UpstreamName::from("a"), now);
-    watcher.up_to(Revision::new(1, 7));
-    box_.take_over(watcher.since(0, Revision::new(1, 5), now).expect("it is known"), now);
+    watcher.entry_removed(&UpstreamName::from("a"), now);
+    watcher.complete_up_to(Revision::new(1, 7));
+    box_.apply_snapshot(
+        watcher.changes_since(0, Revision::new(1, 5), now).expect("it is known"),
+        now,
+    );
     assert!(!is_open(&box_, "a"));
     late.store_lost();
     late.store_regained(now);
-    late.set(Listed { slots: 2, ..upstream("a") }, now);
-    late.gone(&UpstreamName::from("a"), now);
-    late.up_to(Revision::new(1, 8));
-    let told = late.since(0, box_.revision(), now).expect("it is known");
+    late.set_upstream(Listed { slots: 2, ..upstream("a") }, now);
+    late.entry_removed(&UpstreamName::from("a"), now);
+    late.complete_up_to(Revision::new(1, 8));
+    let told = late.changes_since(0, box_.revision(), now).expect("it is known");
     assert_eq!(told.upstreams, [], "an entry that is missing is told of neither way");
-    box_.take_over(told, now);
+    box_.apply_snapshot(told, now);
     assert!(!is_open(&box_, "a"));
     let (version, digests) = (box_.version(), box_.digests(now));
-    box_.take_over(late.difference(version, &digests, now), now);
+    box_.apply_snapshot(late.difference(version, &digests, now), now);
     assert!(!is_open(&box_, "a"), "nor by what differs");
     // One that lists it again doesn't bring it back either.
-    late.set(Listed { slots: 2, ..upstream("a") }, now);
-    late.up_to(Revision::new(1, 9));
-    box_.take_over(late.since(0, box_.revision(), now).expect("it is known"), now);
+    late.set_upstream(Listed { slots: 2, ..upstream("a") }, now);
+    late.complete_up_to(Revision::new(1, 9));
+    box_.apply_snapshot(late.changes_since(0, box_.revision(), now).expect("it is known"), now);
     assert!(!is_open(&box_, "a"));
 }
 
@@ -125,10 +128,10 @@
     let now = millis(20_000);
     let (watcher, mut box_) = (view(), view());
     box_.store_left_to_others();
-    box_.told_gone(&UpstreamName::from("a"), now);
+    box_.reported_gone(&UpstreamName::from("a"), now);
     assert!(!is_open(&box_, "a"));
     let told = watcher.difference(box_.version(), &box_.digests(now), now);
-    box_.take_over(told, now);
+    box_.apply_snapshot(told, now);
     assert!(is_open(&box_, "a"));
     box_.tick(now + millis(11_000));
     assert!(is_open(&box_, "a"), "nor is it forgotten later");
@@ -142,14 +145,14 @@
     watcher.store_regained(millis(0));
     let mut box_ = view();
     box_.store_left_to_others();
-    box_.take_over(watcher.difference(0, &box_.digests(now), now), now);
+    box_.apply_snapshot(watcher.difference(0, &box_.digests(now), now), now);
     assert_eq!(names(&box_).len(), 2);
 }
 
 #[test]
 fn an_entry_that_vanishes_while_all_is_well_is_gone_at_once() {
     let mut view = view();
-    view.gone(&UpstreamName::from("a"), millis(10_000));
+    view.entry_removed(&UpstreamName::from("a"), millis(10_000));
     assert!(!is_open(&view, "a"));
     assert!(is_open(&view, "b"));
 }
@@ -159,10 +162,10 @@
     let mut view = view();
     view.store_lost();
     view.store_regained(millis(10_000));
-    view.list(vec![upstream("b")], millis(10_000));
+    view.set_upstreams(vec![upstream("b")], millis(10_000));
     view.tick(millis(11_900));
     assert!(is_open(&view, "a"));
-    view.set(upstream("a"), millis(11_900));
+    view.set_upstream(upstream("a"), millis(11_900));
     view.tick(millis(13_000));
     assert!(is_open(&view, "a"));
 }
@@ -172,7 +175,7 @@
     let mut view = view();
     view.store_lost();
     view.store_regained(millis(10_000));
-    view.list(vec![upstream("b")], millis(10_000));
+    view.set_upstreams(vec![upstream("b")], millis(10_000));
     view.tick(millis(12_300));
     assert!(!is_open(&view, "a"));
     assert!(view.take_changes().contains(&Change::Gone(UpstreamName::from("a"))));
@@ -185,8 +188,8 @@
     let mut view = view();
     view.store_lost();
     view.store_regained(millis(10_000));
-    view.list(vec![upstream("a"), upstream("b")], millis(10_000));
-    view.gone(&UpstreamName::from("a"), millis(13_000));
+    view.set_upstreams(vec![upstream("a"), upstream("b")], millis(10_000));
+    view.entry_removed(&UpstreamName::from("a"), millis(13_000));
     assert!(!is_open(&view, "a"));
 }
 
@@ -194,7 +197,7 @@
 fn nothing_is_given_up_while_the_store_is_away() {
     let mut view = view();
     view.store_lost();
-    view.gone(&UpstreamName::from("a"), millis(10_000));
+    view.entry_removed(&UpstreamName::from("a"), millis(10_000));
     view.tick(millis(60_000));
     assert!(is_open(&view, "a"));
 }
@@ -202,14 +205,14 @@
 #[test]
 fn that_an_upstream_is_gone_is_believed_of_others_only_while_the_store_is_away() {
     let mut view = view();
-    view.told_gone(&UpstreamName::from("a"), millis(10_000));
+    view.reported_gone(&UpstreamName::from("a"), millis(10_000));
     assert!(is_open(&view, "a"));
     view.store_lost();
-    view.told_gone(&UpstreamName::from("a"), millis(10_000));
+    view.reported_gone(&UpstreamName::from("a"), millis(10_000));
     assert!(!is_open(&view, "a"));
     // An upstream that leaves stays so, whatever another box still believes.
     let upstreams = vec![upstream("a"), upstream("b"), upstream("c")];
-    view.take_over(Snapshot { upstreams, ..Snapshot::default() }, millis(10_000));
+    view.apply_snapshot(Snapshot { upstreams, ..Snapshot::default() }, millis(10_000));
     assert!(!is_open(&view, "a"));
     assert!(is_open(&view, "c"));
 }
@@ -221,11 +224,11 @@
     let mut view = view();
     assert!(view.reaches_store());
     view.take_changes();
-    view.told_leaving(&UpstreamName::from("a"), millis(10_000));
+    view.reported_leaving(&UpstreamName::from("a"), millis(10_000));
     assert!(!is_open(&view, "a"));
-    let told = vec![Change::Told(UpstreamName::from("a"))];
+    let told = vec![Change::ReportedLeaving(UpstreamName::from("a"))];
     assert_eq!(view.take_changes(), told, "it is not told again by each box that hears it");
-    view.told_leaving(&UpstreamName::from("a"), millis(10_000));
+    view.reported_leaving(&UpstreamName::from("a"), millis(10_000));
     assert_eq!(view.take_changes(), []);
 }
 
@@ -233,17 +236,17 @@
 #[test]
 fn a_box_that_is_behind_doesnt_bring_back_what_is_gone() {
     let mut view = view();
-    view.gone(&UpstreamName::from("a"), millis(13_000));
+    view.entry_removed(&UpstreamName::from("a"), millis(13_000));
     assert!(view.is_barred(&UpstreamName::from("a")));
     view.store_left_to_others();
-    view.told_listed(upstream("a"), millis(14_000));
+    view.reported_listed(upstream("a"), millis(14_000));
     let upstreams = vec![upstream("a"), upstream("b")];
-    view.take_over(Snapshot { upstreams, ..Snapshot::default() }, millis(14_000));
+    view.apply_snapshot(Snapshot { upstreams, ..Snapshot::default() }, millis(14_000));
     assert!(!is_open(&view, "a"));
     assert!(is_open(&view, "b"));
     // The store's own word goes before: an entry that lapsed for long may come back after all.
     view.store_regained(millis(15_000));
-    view.set(upstream("a"), millis(15_000));
+    view.set_upstream(upstream("a"), millis(15_000));
     assert!(is_open(&view, "a") && !view.is_barred(&UpstreamName::from("a")));
 }
 
@@ -254,7 +257,7 @@
     let cold_for = Some(millis(2_500));
     for n in 0..300 {
         let listed = Listed { cold_for, ..upstream(&format!("i-{n:010x}")) };
-        view.set(listed, millis(1_000));
+        view.set_upstream(listed, millis(1_000));
     }
     let snapshot = view.snapshot(millis(1_000));
     let packed = postcard::to_stdvec(&snapshot).expect("it can be packed");
@@ -276,8 +279,8 @@
     let now = millis(1_000);
     let listed = |n: u32| upstream(&format!("i-{n:010x}"));
     let (mut watcher, mut box_) = (view(), view());
-    (0..3_000).for_each(|n| box_.set(listed(n), now));
-    (1..3_001).for_each(|n| watcher.set(listed(n), now));
+    (0..3_000).for_each(|n| box_.set_upstream(listed(n), now));
+    (1..3_001).for_each(|n| watcher.set_upstream(listed(n), now));
     box_.store_left_to_others();
     let question = box_.digests(now);
     assert!(question.to_string().len() <= 1024);
@@ -286,7 +289,7 @@
     let packed = postcard::to_stdvec(&told).expect("it can be packed").len();
     let whole = postcard::to_stdvec(&watcher.snapshot(now)).expect("it can be packed").len();
     assert!(20 * packed < whole, "{packed} of {whole}");
-    box_.take_over(told, now);
+    box_.apply_snapshot(told, now);
     assert_eq!(names(&box_), names(&watcher));
     assert_eq!(box_.digest(), watcher.digest());
     assert_eq!(watcher.difference(0, &box_.digests(now), now).upstreams, []);
@@ -312,12 +315,12 @@
     let now = millis(1_000);
     let watcher = view();
     let mut box_ = View::new(Fleet::new(ZoneName::from("a"), Tuning::default()));
-    ["a", "b"].iter().for_each(|name| box_.told_listed(upstream(name), now));
+    ["a", "b"].iter().for_each(|name| box_.reported_listed(upstream(name), now));
     let told = watcher.difference(0, &box_.digests(now), now);
     assert_eq!(told.upstreams, []);
-    box_.take_over(told, now);
+    box_.apply_snapshot(told, now);
     assert_eq!(names(&box_), names(&watcher));
-    assert!(box_.has_list());
+    assert!(box_.has_upstream_list());
 }
 
 proptest! {
@@ -329,11 +332,11 @@
     ) {
         let now = millis(1_000);
         let (mut watcher, mut box_) = (view(), view());
-        there.iter().for_each(|n| watcher.set(upstream(&format!("u{n}")), now));
-        here.iter().for_each(|n| box_.set(upstream(&format!("u{n}")), now));
+        there.iter().for_each(|n| watcher.set_upstream(upstream(&format!("u{n}")), now));
+        here.iter().for_each(|n| box_.set_upstream(upstream(&format!("u{n}")), now));
         box_.store_left_to_others();
         let told = watcher.difference(0, &box_.digests(now), now);
-        box_.take_over(told, now);
+        box_.apply_snapshot(told, now);
         prop_assert_eq!(names(&box_), names(&watcher));
     }
 
@@ -354,13 +357,13 @@
 #[test]
 fn a_copy_of_the_store_neither_takes_away_nor_brings_back_at_once() {
     let mut view = view();
-    view.in_era(1, millis(0));
-    view.set(upstream("c"), millis(10_000));
-    view.gone(&UpstreamName::from("c"), millis(10_100));
-    view.up_to(Revision::new(1, 9));
-    view.in_era(2, millis(12_000));
-    view.list(vec![upstream("a"), upstream("c")], millis(12_000));
-    view.up_to(Revision::new(2, 5));
+    view.enter_era(1, millis(0));
+    view.set_upstream(upstream("c"), millis(10_000));
+    view.entry_removed(&UpstreamName::from("c"), millis(10_100));
+    view.complete_up_to(Revision::new(1, 9));
+    view.enter_era(2, millis(12_000));
+    view.set_upstreams(vec![upstream("a"), upstream("c")], millis(12_000));
+    view.complete_up_to(Revision::new(2, 5));
     for ms in [12_000, 14_000] {
         view.tick(millis(ms));
         assert_eq!(
@@ -380,14 +383,14 @@
 #[test]
 fn what_lives_is_back_as_soon_as_it_is_written_again() {
     let mut view = view();
-    view.in_era(1, millis(0));
-    view.gone(&UpstreamName::from("b"), millis(10_000));
-    view.in_era(2, millis(12_000));
-    view.list(vec![upstream("a"), upstream("b")], millis(12_000));
+    view.enter_era(1, millis(0));
+    view.entry_removed(&UpstreamName::from("b"), millis(10_000));
+    view.enter_era(2, millis(12_000));
+    view.set_upstreams(vec![upstream("a"), upstream("b")], millis(12_000));
     assert!(!is_open(&view, "b"));
-    view.set(upstream("b"), millis(12_400));
+    view.set_upstream(upstream("b"), millis(12_400));
     assert!(is_open(&view, "b"));
-    view.gone(&UpstreamName::from("b"), millis(20_000));
+    view.entry_removed(&UpstreamName::from("b"), millis(20_000));
     view.tick(millis(21_000));
     assert!(!is_open(&view, "b"));
 }
@@ -396,20 +399,23 @@
 #[test]
 fn what_is_told_of_an_earlier_era_is_behind() {
     let mut watcher = view();
-    watcher.up_to(Revision::new(1, 90));
+    watcher.complete_up_to(Revision::new(1, 90));
     let stale = watcher.snapshot(millis(100));
     let mut other = View::new(Fleet::new(ZoneName::from("a"), Tuning::default()));
-    other.take_over(stale.clone(), millis(200));
+    other.apply_snapshot(stale.clone(), millis(200));
     assert_eq!(other.revision(), Revision::new(1, 90));
-    watcher.in_era(2, millis(300));
-    watcher.list(vec![upstream("a"), upstream("b"), upstream("c")], millis(300));
-    watcher.up_to(Revision::new(2, 40));
+    watcher.enter_era(2, millis(300));
+    watcher.set_upstreams(vec![upstream("a"), upstream("b"), upstream("c")], millis(300));
+    watcher.complete_up_to(Revision::new(2, 40));
     // What changed since isn't known over a return; what differs is.
-    assert!(watcher.since(0, other.revision(), millis(400)).is_none());
-    other.take_over(watcher.difference(0, &other.digests(millis(400)), millis(400)), millis(400));
+    assert!(watcher.changes_since(0, other.revision(), millis(400)).is_none());
+    other.apply_snapshot(
+        watcher.difference(0, &other.digests(millis(400)), millis(400)),
+        millis(400),
+    );
     assert!(is_open(&other, "c"));
     assert_eq!(other.revision(), Revision::new(2, 40));
-    other.take_over(stale, millis(500));
+    other.apply_snapshot(stale, millis(500));
     assert!(is_open(&other, "c"));
     assert_eq!(other.revision(), Revision::new(2, 40));
 }
@@ -417,15 +423,15 @@
 #[test]
 fn an_era_is_news_once_and_two_in_succession_are_one() {
     let mut view = view();
-    view.in_era(4, millis(0));
-    view.in_era(5, millis(10));
-    view.in_era(7, millis(20));
-    view.in_era(7, millis(30));
-    view.in_era(6, millis(40));
-    assert_eq!(view.take_changes(), [4, 5, 7].map(Change::Restored));
+    view.enter_era(4, millis(0));
+    view.enter_era(5, millis(10));
+    view.enter_era(7, millis(20));
+    view.enter_era(7, millis(30));
+    view.enter_era(6, millis(40));
+    assert_eq!(view.take_changes(), [4, 5, 7].map(Change::StoreRestored));
     let mut fresh = View::new(Fleet::new(ZoneName::from("a"), Tuning::default()));
-    fresh.in_era(7, millis(0));
-    fresh.list(vec![upstream("a")], millis(0));
+    fresh.enter_era(7, millis(0));
+    fresh.set_upstreams(vec![upstream("a")], millis(0));
     assert_eq!(fresh.take_changes(), [Change::Listed(1)]);
 }
 
@@ -454,25 +460,25 @@
 fn another_start_of_a_name_is_another_upstream() {
     let mut view = view();
     let name = UpstreamName::from("c");
-    view.set(born("c", 100), millis(0));
-    view.set(Listed { leaving: true, ..born("c", 100) }, millis(10));
-    view.set(born("c", 100), millis(20));
+    view.set_upstream(born("c", 100), millis(0));
+    view.set_upstream(Listed { leaving: true, ..born("c", 100) }, millis(10));
+    view.set_upstream(born("c", 100), millis(20));
     assert!(!is_open(&view, "c"), "no start returns from leaving");
     view.take_changes();
-    view.set(born("c", 200), millis(30));
+    view.set_upstream(born("c", 200), millis(30));
     assert!(is_open(&view, "c"));
     let addr = upstream("c").addr;
     let restarted = Change::Restarted(name.clone(), addr, 200);
     assert_eq!(view.take_changes(), [restarted, Change::Upstream(born("c", 200))]);
-    view.set(born("c", 100), millis(40));
-    view.told_listed(born("c", 100), millis(40));
+    view.set_upstream(born("c", 100), millis(40));
+    view.reported_listed(born("c", 100), millis(40));
     assert_eq!(view.take_changes(), []);
     // Gone, and back by another start that another box tells of.
-    view.gone(&name, millis(5_000));
+    view.entry_removed(&name, millis(5_000));
     view.store_lost();
-    view.told_listed(born("c", 200), millis(5_100));
+    view.reported_listed(born("c", 200), millis(5_100));
     assert!(!is_open(&view, "c"));
-    view.told_listed(born("c", 300), millis(5_200));
+    view.reported_listed(born("c", 300), millis(5_200));
     assert!(is_open(&view, "c"));
 }
 
@@ -480,13 +486,13 @@
 fn an_entry_that_cant_be_read_is_news_once_a_change() {
     let mut view = view();
     let name = UpstreamName::from("a");
-    assert!(view.unreadable(&name, "one", millis(0)));
-    assert!(!view.unreadable(&name, "one", millis(1)));
-    assert!(view.unreadable(&name, "another", millis(2)));
+    assert!(view.mark_unreadable(&name, "one", millis(0)));
+    assert!(!view.mark_unreadable(&name, "one", millis(1)));
+    assert!(view.mark_unreadable(&name, "another", millis(2)));
     assert!(!is_open(&view, "a") && is_open(&view, "b"));
-    view.set(upstream("a"), millis(3));
+    view.set_upstream(upstream("a"), millis(3));
     assert!(is_open(&view, "a"));
-    assert!(view.unreadable(&name, "one", millis(4)));
+    assert!(view.mark_unreadable(&name, "one", millis(4)));
 }
 
 /// A box that doesn't see the store hears that an upstream is gone which it doesn't list, and then that it is there.
@@ -494,8 +500,8 @@
 fn one_that_was_said_to_be_gone_before_it_was_known_stays() {
     let mut view = view();
     view.store_lost();
-    view.told_gone(&UpstreamName::from("c"), millis(0));
-    view.told_listed(upstream("c"), millis(100));
+    view.reported_gone(&UpstreamName::from("c"), millis(0));
+    view.reported_listed(upstream("c"), millis(100));
     assert!(is_open(&view, "c"));
     view.tick(millis(11_000));
     assert!(is_open(&view, "c"));
