--- a/src/proxy/admission.rs
+++ b/src/proxy/admission.rs
@@ -14,8 +14,8 @@
 use crate::proxy::dialect::Head;
 use crate::proxy::hub::Hub;
 use crate::proxy::request::RequestContext;
-use crate::proxy::table::Route;
-use crate::proxy::table::Table;
+use crate::proxy::routing_table::Route;
+use crate::proxy::routing_table::RoutingTable;
 use crate::web;
 use crate::web::BodyFault;
 
@@ -52,14 +52,18 @@
         sends: 0,
         response_version: None,
         broken_sends: 0,
-        in_flight_guard: hub.enter(),
-        unsent_guard: Some(hub.start()),
+        in_flight_guard: hub.track_request(),
+        unsent_guard: Some(hub.track_unsent()),
         stream_guard: None,
         first_token: None,
     })
 }
 
-fn workspace(table: &Table, route: &Route, head: &Head) -> Result<Option<WorkspaceName>, Refusal> {
+fn workspace(
+    table: &RoutingTable,
+    route: &Route,
+    head: &Head,
+) -> Result<Option<WorkspaceName>, Refusal> {
     if !table.has_keys() {
         return Ok(None);
     }
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -30,7 +30,7 @@
 use crate::proxy::hub::Hub;
 use crate::proxy::request;
 use crate::proxy::response_body::Body;
-use crate::proxy::table::Limits;
+use crate::proxy::routing_table::Limits;
 use crate::proxy::upstream_connections;
 
 /// Pause after a failure to accept a connection.
@@ -77,14 +77,14 @@
         if taken % TAKEN_AT_ONCE == 0 {
             tokio::task::yield_now().await;
         }
-        let Some(entered) = limiter.try_admit(hub.starts(), hub.now()) else {
-            hub.turn_away();
+        let Some(entered) = limiter.try_admit(hub.unsent(), hub.now()) else {
+            hub.count_turned_away();
             away.turn_away(stream);
             continue;
         };
         let (hub, stopping) = (hub.clone(), stopping.clone());
         tokio::spawn(async move {
-            let connected = hub.connected();
+            let connected = hub.track_connection();
             serve_connection(stream, entered, hub, stopping).await;
             drop((connected, permit));
         });
@@ -167,7 +167,7 @@
         ShutdownPhase::Running | ShutdownPhase::Closing => request::serve(hub.clone(), req).await,
     };
     // The caller's next connection leads to another box.
-    if *stopping.borrow() != ShutdownPhase::Running || hub.sends_away() {
+    if *stopping.borrow() != ShutdownPhase::Running || hub.should_close_connections() {
         resp.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     Ok(resp)
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -35,7 +35,7 @@
 use crate::proxy::hub::Hub;
 use crate::proxy::look;
 use crate::proxy::notices;
-use crate::proxy::notices::Said;
+use crate::proxy::notices::ReceivedNotice;
 use crate::proxy::placed::FirstToken;
 use crate::proxy::placed::InFlight;
 use crate::proxy::placed::Placed;
@@ -43,11 +43,11 @@
 use crate::proxy::placing::OVERLOAD_RETRY_MIN;
 use crate::proxy::response_body;
 use crate::proxy::response_body::Body;
+use crate::proxy::routing_table::Repeat;
+use crate::proxy::routing_table::Route;
 use crate::proxy::stream_relay;
 use crate::proxy::suspects;
-use crate::proxy::suspects::Break;
-use crate::proxy::table::Repeat;
-use crate::proxy::table::Route;
+use crate::proxy::suspects::BrokenRequest;
 use crate::proxy::upstream_connections;
 use crate::proxy::upstream_connections::UpstreamBody;
 use crate::util;
@@ -162,7 +162,7 @@
         Err(cause) => return run.refuse(cause),
     }
     if run.route.streaming {
-        run.stream_guard = hub.enter_stream();
+        run.stream_guard = hub.try_track_stream();
         if run.stream_guard.is_none() {
             return run.refuse(Refusal::BoxBusy);
         }
@@ -241,7 +241,7 @@
                     }
                 }
                 Sent::NotRun => {
-                    if !self.may_repeat() {
+                    if !self.try_take_retry() {
                         let retry_after = self.resumes_in().unwrap_or(OVERLOAD_RETRY_MIN);
                         return earlier.give_up(Refusal::Overloaded { retry_after });
                     }
@@ -251,7 +251,7 @@
                         self.route.repeat != Repeat::Never && self.sends < self.route.max_upstreams;
                     earlier.may_have_run = true;
                     earlier.reply = reply.or(earlier.reply);
-                    if !repeatable || !self.may_repeat() {
+                    if !repeatable || !self.try_take_retry() {
                         return earlier.give_up(Refusal::Broken);
                     }
                 }
@@ -286,10 +286,10 @@
         } else if !self.may_be_known() {
             return None;
         }
-        let content = self.fingerprint();
-        let retry_after = suspects::held_for(&self.hub, &content);
-        let is_doubtful =
-            self.broken_sends != 0 && suspects.would_be_too_many(&content, self.hub.now());
+        let fingerprint = self.fingerprint();
+        let retry_after = suspects::hold_time(&self.hub, &fingerprint);
+        let is_doubtful = self.broken_sends != 0
+            && suspects.would_reach_crash_limit(&fingerprint, self.hub.now());
         let retry_after = retry_after.or(is_doubtful.then_some(NO_UPSTREAM_RETRY));
         retry_after.map(|retry_after| Refusal::EndsUpstreams { retry_after })
     }
@@ -307,27 +307,31 @@
         if !is_sure && self.hub.read(|view| view.fleet().is_open(&upstream)) {
             placed.failed();
         }
-        let start = suspects::start_of(&upstream, placed.born());
+        let instance = suspects::instance_id(&upstream, placed.born());
         self.broken_sends += 1;
         look::unreachable(&self.hub, &upstream);
         placed.close(Some(Health::Broken));
         // One that leaves ends by itself.
         if is_sure || self.hub.read(|view| view.fleet().is_open(&upstream)) {
-            let content = self.fingerprint();
-            suspects::broke_off(&self.hub, Break { upstream, start, content }, is_sure);
+            let fingerprint = self.fingerprint();
+            suspects::connection_broken(
+                &self.hub,
+                BrokenRequest { upstream, instance, fingerprint },
+                is_sure,
+            );
         }
     }
 
     /// Notes that the request has ended well.
     pub fn record_success(&self) {
         if self.may_be_known() {
-            suspects::ended_well(&self.hub, &self.fingerprint());
+            suspects::request_succeeded(&self.hub, &self.fingerprint());
         }
     }
 
     /// Whether the request may be sent once more, by number and by the budget.
-    pub fn may_repeat(&self) -> bool {
-        self.sends < SENDS_MAX && self.hub.may_repeat(&self.service)
+    pub fn try_take_retry(&self) -> bool {
+        self.sends < SENDS_MAX && self.hub.try_take_retry(&self.service)
     }
 
     /// Sends the request to an upstream, from the event after `resume_after` on if that is given.
@@ -340,7 +344,7 @@
         let upstream_connections = self.hub.upstream_connections().clone();
         let connection_quota =
             self.hub.connection_quota(&choice.upstream, self.connections_max, choice.is_counted);
-        let withheld = || notices::withheld(&self.hub, &placed);
+        let withheld = || notices::reason_to_withhold(&self.hub, &placed);
         let answer =
             upstream_connections.send(choice.addr, connection_quota, once, req, withheld).await;
         let mut resp = match answer {
@@ -372,7 +376,7 @@
         if resp.body_mut().prove(verdict.proves(status)) && !verdict.misdirected {
             let (upstream, born, sent) = (placed.upstream(), placed.born(), placed.sent());
             let (request, notice) = (&self.head.id, verdict.notice);
-            notices::apply(&self.hub, Said { upstream, born, request, sent, notice });
+            notices::apply(&self.hub, ReceivedNotice { upstream, born, request, sent, notice });
         }
         self.judge(resp, placed, verdict, began)
     }
@@ -441,7 +445,7 @@
         while repeatable
             && !self.left().is_zero()
             && self.holds_back().await.is_none()
-            && self.may_repeat()
+            && self.try_take_retry()
         {
             let (choice, placed) = self.place().await.ok()?;
             match self.send(&choice, placed, after.or(self.head.resume_after)).await {
--- a/src/proxy/stream_relay.rs
+++ b/src/proxy/stream_relay.rs
@@ -26,7 +26,7 @@
 use crate::proxy::request::UpstreamResponse;
 use crate::proxy::response_body::Body;
 use crate::proxy::response_body::EventSplitter;
-use crate::proxy::table::Repeat;
+use crate::proxy::routing_table::Repeat;
 use crate::proxy::upstream_connections;
 use crate::proxy::upstream_connections::UpstreamBody;
 use crate::util;
