--- a/benches/fingerprint.rs
+++ b/benches/fingerprint.rs
@@ -1,7 +1,7 @@
 //! What it costs to know a request again: the hint that each request is looked up by while any is suspect, and the
 //! fingerprint of those whose hint is known. `cargo bench --bench fingerprint`.
 
-use frostdyke::fleet::fingerprint::Content;
+use frostdyke::fleet::fingerprint::RequestContent;
 use frostdyke::fleet::quarantine::Quarantine;
 
 const LENGTHS: [usize; 3] = [1_000, 60_000, 1_000_000];
@@ -10,9 +10,9 @@
     divan::main();
 }
 
-fn content(body: &[u8]) -> Content<'_> {
+fn content(body: &[u8]) -> RequestContent<'_> {
     let (method, host, target, workspace) = ("POST", "h.example", "/route/2f", Some("workspace"));
-    Content { method, host, target, workspace, body }
+    RequestContent { method, host, target, workspace, body }
 }
 
 #[divan::bench(args = LENGTHS)]
@@ -20,9 +20,9 @@
     let body = vec![1; len];
     let mut known = Quarantine::default();
     for n in 0..8000u32 {
-        known.crashed(content(&n.to_le_bytes()).fingerprint(), 1, std::time::Duration::ZERO);
+        known.record_crash(content(&n.to_le_bytes()).fingerprint(), 1, std::time::Duration::ZERO);
     }
-    bencher.bench(|| known.may_know(content(&body).hint()));
+    bencher.bench(|| known.may_contain(content(&body).quick_hash()));
 }
 
 #[divan::bench(args = LENGTHS)]
--- a/src/claims/writer.rs
+++ b/src/claims/writer.rs
@@ -47,7 +47,7 @@
 const LAZY_MAX: usize = 20_000;
 
 /// One commit in so many goes to an object with overdue news, however many claims wait.
-const NEWS_EVERY: u64 = 4;
+const GOSSIP_INTERVAL: u64 = 4;
 
 /// Called with the verdict on a claim.
 pub type Answer = Box<dyn FnOnce(Verdict) + Send>;
@@ -207,7 +207,7 @@
             places.max_by_key(|(_, waiting)| waited(waiting)).map(|(place, _)| *place)
         };
         self.turns += 1;
-        match self.turns.is_multiple_of(NEWS_EVERY) {
+        match self.turns.is_multiple_of(GOSSIP_INTERVAL) {
             true => overdue().or_else(claimed),
             false => claimed().or_else(overdue),
         }
--- a/src/fleet/draining.rs
+++ b/src/fleet/draining.rs
@@ -20,32 +20,32 @@
 
 /// The notice of an upstream that it is draining.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Draining {
+pub struct DrainNotice {
     /// The upstream.
     pub upstream: UpstreamName,
     /// When the incarnation that was asked was started, in milliseconds since 1970 by its own clock; nothing if that isn't
     /// known.
     pub born: Option<u64>,
     /// When it answered, in milliseconds since 1970 by the clock of the box that asked it.
-    pub said_at: u64,
+    pub answered_at_ms: u64,
 }
 
 #[derive(Clone, Debug)]
 struct Mark {
-    draining: Draining,
+    draining: DrainNotice,
     noted_at: Duration,
     listed_at: Duration,
 }
 
 /// The upstreams that have said that they are draining.
 #[derive(Clone, Debug, Default)]
-pub struct Marks {
+pub struct DrainNotices {
     by_name: BTreeMap<UpstreamName, Mark>,
 }
 
-impl Marks {
+impl DrainNotices {
     /// Adds a notice. True unless there is one of this incarnation or a newer one.
-    pub fn add(&mut self, draining: &Draining, now: Duration) -> bool {
+    pub fn add(&mut self, draining: &DrainNotice, now: Duration) -> bool {
         let known = self.by_name.get(&draining.upstream);
         if known.is_some_and(|mark| draining.born <= mark.draining.born) {
             return false;
@@ -61,12 +61,12 @@
     }
 
     /// An upstream's notice, of whichever incarnation.
-    pub fn get(&self, name: &UpstreamName) -> Option<&Draining> {
+    pub fn get(&self, name: &UpstreamName) -> Option<&DrainNotice> {
         self.by_name.get(name).map(|mark| &mark.draining)
     }
 
     /// Whether the incarnation of an upstream that is listed drains; removes the notice of an earlier one.
-    pub fn covers(&mut self, name: &UpstreamName, born: Option<u64>, now: Duration) -> bool {
+    pub fn is_draining(&mut self, name: &UpstreamName, born: Option<u64>, now: Duration) -> bool {
         let Some(mark) = self.by_name.get_mut(name) else { return false };
         if mark.is_of_earlier_incarnation(born, now) {
             self.by_name.remove(name);
@@ -84,12 +84,12 @@
     }
 
     /// All notices that are kept.
-    pub fn all(&self) -> impl Iterator<Item = &Draining> {
+    pub fn iter(&self) -> impl Iterator<Item = &DrainNotice> {
         self.by_name.values().map(|mark| &mark.draining)
     }
 
     /// Forgets upstreams that have not been listed for long.
-    pub fn tick(&mut self, now: Duration, is_listed: impl Fn(&UpstreamName) -> bool) {
+    pub fn expire(&mut self, now: Duration, is_listed: impl Fn(&UpstreamName) -> bool) {
         self.by_name.retain(|name, mark| {
             if is_listed(name) {
                 mark.listed_at = now;
@@ -101,7 +101,7 @@
 
 impl Mark {
     fn is_of_earlier_incarnation(&self, born: Option<u64>, now: Duration) -> bool {
-        let has_begun_after = born.is_some_and(|born| self.draining.said_at < born);
+        let has_begun_after = born.is_some_and(|born| self.draining.answered_at_ms < born);
         has_begun_after || (self.is_newer(born) && self.noted_at + ENDS_WITHIN <= now)
     }
 
--- a/src/fleet/evacuated.rs
+++ b/src/fleet/evacuated.rs
@@ -14,25 +14,25 @@
 
 /// What the operator orders.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum EvacuationOrder {
     /// Nothing more is to be sent to the engines of a zone.
     Evacuate(ZoneName),
     /// A zone's engines may be sent requests again.
-    TakeBack(ZoneName),
+    Revoke(ZoneName),
 }
 
 /// The zones that are evacuated, as of a revision of the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Evacuated {
+pub struct EvacuatedZones {
     /// The store's revision; the default where nothing has been heard.
     pub revision: Revision,
     /// The zones.
     pub zones: BTreeSet<ZoneName>,
 }
 
-impl Evacuated {
+impl EvacuatedZones {
     /// Takes over what is known as of a later revision. True where the zones are others.
-    pub fn merge(&mut self, other: &Evacuated) -> bool {
+    pub fn merge(&mut self, other: &EvacuatedZones) -> bool {
         if other.revision <= self.revision {
             return false;
         }
@@ -45,14 +45,14 @@
     }
 
     /// The same after these orders, in turn, as of `revision`.
-    pub fn after(&self, orders: &[Order], revision: Revision) -> Evacuated {
+    pub fn with_orders(&self, orders: &[EvacuationOrder], revision: Revision) -> EvacuatedZones {
         let mut zones = self.zones.clone();
         for order in orders {
             match order {
-                Order::Evacuate(zone) => zones.insert(zone.clone()),
-                Order::TakeBack(zone) => zones.remove(zone),
+                EvacuationOrder::Evacuate(zone) => zones.insert(zone.clone()),
+                EvacuationOrder::Revoke(zone) => zones.remove(zone),
             };
         }
-        Evacuated { revision, zones }
+        EvacuatedZones { revision, zones }
     }
 }
--- a/src/fleet/fingerprint.rs
+++ b/src/fleet/fingerprint.rs
@@ -15,7 +15,7 @@
 /// nobody's request is taken for another workspace's. Its id, its deadline and other headers differ from try to try. A
 /// request without a body has an empty one; one that came in chunks is the same as one that came with a length.
 #[derive(Clone, Copy, Debug)]
-pub struct Content<'a> {
+pub struct RequestContent<'a> {
     /// The method.
     pub method: &'a str,
     /// The host that was asked.
@@ -28,10 +28,10 @@
     pub body: &'a [u8],
 }
 
-impl Content<'_> {
+impl RequestContent<'_> {
     /// A number that the same request always has, and others may have, too: it is worked out in no time, whatever the
     /// length of the body.
-    pub fn hint(&self) -> u32 {
+    pub fn quick_hash(&self) -> u32 {
         let mut hash = Xxh3::new();
         self.head().iter().for_each(|part| hash.update(part));
         hash.update(&self.body.len().to_le_bytes());
@@ -48,7 +48,7 @@
         hash.update(self.body);
         let mut digest = [0; DIGEST_LEN];
         digest.copy_from_slice(&hash.finalize()[..DIGEST_LEN]);
-        Fingerprint { hint: self.hint(), digest }
+        Fingerprint { quick_hash: self.quick_hash(), digest }
     }
 
     fn head(&self) -> [&[u8]; 4] {
@@ -57,17 +57,17 @@
     }
 }
 
-/// Names what a request asks for. Those of one hint stand together in order.
+/// Names what a request asks for. Those of one quick_hash stand together in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint {
-    hint: u32,
+    quick_hash: u32,
     digest: [u8; DIGEST_LEN],
 }
 
 impl Fingerprint {
-    /// See [`Content::hint`].
-    pub fn hint(&self) -> u32 {
-        self.hint
+    /// See [`RequestContent::quick_hash`].
+    pub fn quick_hash(&self) -> u32 {
+        self.quick_hash
     }
 
     /// The bytes that tell it from others.
@@ -75,21 +75,21 @@
         &self.digest
     }
 
-    /// The fingerprint of this hint and text, as [`fmt::Display`] writes it; nothing if it is none.
-    pub fn parse(hint: u32, text: &str) -> Option<Fingerprint> {
+    /// The fingerprint of this quick_hash and text, as [`fmt::Display`] writes it; nothing if it is none.
+    pub fn parse(quick_hash: u32, text: &str) -> Option<Fingerprint> {
         let mut digest = [0; DIGEST_LEN];
         hex::decode_to_slice(text, &mut digest).ok()?;
-        Some(Fingerprint { hint, digest })
+        Some(Fingerprint { quick_hash, digest })
     }
 
-    /// The first of all that may have a hint.
-    pub(super) fn first_of(hint: u32) -> Fingerprint {
-        Fingerprint { hint, digest: [0; DIGEST_LEN] }
+    /// The first of all that may have a quick_hash.
+    pub(super) fn first_of(quick_hash: u32) -> Fingerprint {
+        Fingerprint { quick_hash, digest: [0; DIGEST_LEN] }
     }
 
     /// The last of them.
-    pub(super) fn last_of(hint: u32) -> Fingerprint {
-        Fingerprint { hint, digest: [u8::MAX; DIGEST_LEN] }
+    pub(super) fn last_of(quick_hash: u32) -> Fingerprint {
+        Fingerprint { quick_hash, digest: [u8::MAX; DIGEST_LEN] }
     }
 }
 
--- a/src/fleet/members/member.rs
+++ b/src/fleet/members/member.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use crate::fleet::members::AGE_UNIT;
-use crate::fleet::members::Age;
+use crate::fleet::members::BoxReport;
 use crate::fleet::members::FORGOTTEN_AFTER;
-use crate::fleet::members::Record;
+use crate::fleet::members::LivenessUpdate;
 use crate::fleet::members::SILENT_AFTER;
 use crate::fleet::members::STANDS_AFTER;
 use crate::names::ZoneName;
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug)]
 pub struct Member {
     /// What it said of itself last; nothing while only others have told of it.
-    pub record: Option<Record>,
+    pub report: Option<BoxReport>,
     /// When it was alive last, as far as known.
     alive_at: Option<Duration>,
     /// When it was asked in vain, if it hasn't been alive since.
@@ -51,7 +51,7 @@
 impl Member {
     pub(super) fn unheard(now: Duration) -> Member {
         Member {
-            record: None,
+            report: None,
             alive_at: None,
             doubted_at: None,
             known_at: now,
@@ -64,7 +64,7 @@
 
     /// Whether neither it nor anybody else has told of it.
     pub(super) fn is_unheard_of(&self) -> bool {
-        self.record.is_none() && self.alive_at.is_none()
+        self.report.is_none() && self.alive_at.is_none()
     }
 
     pub(super) fn is_live(&self, by: JudgedBy, now: Duration) -> bool {
@@ -87,17 +87,17 @@
     }
 
     pub(super) fn is_of(&self, zone: &ZoneName) -> bool {
-        self.record.as_ref().is_some_and(|r| r.zone == *zone)
+        self.report.as_ref().is_some_and(|r| r.zone == *zone)
     }
 
     /// Its last word, and how old that is.
-    pub fn word(&self, now: Duration) -> Option<(&Record, Duration)> {
-        Some((self.record.as_ref()?, now.saturating_sub(self.said_at)))
+    pub fn report_with_age(&self, now: Duration) -> Option<(&BoxReport, Duration)> {
+        Some((self.report.as_ref()?, now.saturating_sub(self.said_at)))
     }
 
     /// Takes in its own word.
-    pub(super) fn said(&mut self, record: &Record, now: Duration) {
-        self.record = Some(record.clone());
+    pub(super) fn said(&mut self, report: &BoxReport, now: Duration) {
+        self.report = Some(report.clone());
         self.said_at = now;
         self.was_alive(now);
         self.counts_as_live = true;
@@ -128,19 +128,21 @@
     }
 
     /// What is told of it as news, once.
-    pub(super) fn tell(&mut self, ip: IpAddr, now: Duration) -> Option<Age> {
+    pub(super) fn tell(&mut self, ip: IpAddr, now: Duration) -> Option<LivenessUpdate> {
         self.news -= 1;
         match self.doubted_at {
-            Some(at) => Some(Age { ip, tenths: tenths(at, now), is_doubt: true }),
+            Some(at) => {
+                Some(LivenessUpdate { ip, age_tenths_s: tenths(at, now), is_suspicion: true })
+            }
             None => self.age(ip, now),
         }
     }
 
     /// What is known of it, for who has missed the news.
-    pub(super) fn known(&self, ip: IpAddr, now: Duration) -> Option<Age> {
+    pub(super) fn known(&self, ip: IpAddr, now: Duration) -> Option<LivenessUpdate> {
         match self.doubted_at {
             Some(at) if now < at + DOUBTS_TOLD_FOR => {
-                Some(Age { ip, tenths: tenths(at, now), is_doubt: true })
+                Some(LivenessUpdate { ip, age_tenths_s: tenths(at, now), is_suspicion: true })
             }
             Some(_) => None,
             None => self.age(ip, now),
@@ -148,8 +150,8 @@
     }
 
     /// How long ago it was alive.
-    fn age(&self, ip: IpAddr, now: Duration) -> Option<Age> {
-        Some(Age { ip, tenths: tenths(self.alive_at?, now), is_doubt: false })
+    fn age(&self, ip: IpAddr, now: Duration) -> Option<LivenessUpdate> {
+        Some(LivenessUpdate { ip, age_tenths_s: tenths(self.alive_at?, now), is_suspicion: false })
     }
 }
 
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -2,7 +2,6 @@
 //! owns the model of which engines. Nothing here does input or output; time is a parameter.
 
 pub mod draining;
-pub mod duty;
 pub mod evacuated;
 pub mod fingerprint;
 pub mod members;
@@ -10,4 +9,5 @@
 pub mod quarantine;
 pub mod revision;
 pub mod rollout;
-pub mod standing;
+pub mod store_watch;
+pub mod sync_state;
--- a/src/fleet/owners.rs
+++ b/src/fleet/owners.rs
@@ -33,30 +33,30 @@
 
 /// Fleets of up to so many boxes tell all of them everything: each decides by itself then, and
 /// nobody waits for an answer.
-pub const TELL_ALL_MAX: usize = 16;
+pub const BROADCAST_BOXES_MAX: usize = 16;
 
 /// Engines whose hashes begin with the same bits.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Group {
+pub struct EngineGroup {
     bits: u32,
     prefix: u64,
 }
 
-impl Group {
+impl EngineGroup {
     /// The group of a hash among `1 << bits` groups.
-    pub fn of(hash: u64, bits: u32) -> Group {
-        Group { bits, prefix: hash.checked_shr(u64::BITS - bits).unwrap_or(0) }
+    pub fn from_hash(hash: u64, bits: u32) -> EngineGroup {
+        EngineGroup { bits, prefix: hash.checked_shr(u64::BITS - bits).unwrap_or(0) }
     }
 
     /// Whether a hash belongs to it.
-    pub fn has(self, hash: u64) -> bool {
-        Group::of(hash, self.bits) == self
+    pub fn contains(self, hash: u64) -> bool {
+        EngineGroup::from_hash(hash, self.bits) == self
     }
 
     /// The hashes that belong to it.
-    pub fn hashes(self) -> RangeInclusive<u64> {
+    pub fn hash_range(self) -> RangeInclusive<u64> {
         if self.bits == 0 {
             return 0..=u64::MAX;
         }
@@ -70,18 +70,18 @@
     }
 }
 
-impl fmt::Display for Group {
+impl fmt::Display for EngineGroup {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}-{}", self.bits, self.prefix)
     }
 }
 
-impl FromStr for Group {
+impl FromStr for EngineGroup {
     type Err = ParseIntError;
 
-    fn from_str(s: &str) -> Result<Group, ParseIntError> {
+    fn from_str(s: &str) -> Result<EngineGroup, ParseIntError> {
         let (bits, prefix) = s.split_once('-').unwrap_or((s, ""));
-        Ok(Group { bits: bits.parse()?, prefix: prefix.parse()? })
+        Ok(EngineGroup { bits: bits.parse()?, prefix: prefix.parse()? })
     }
 }
 
@@ -98,14 +98,14 @@
 
 /// The boxes that keep a group's models.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Owned {
+pub struct GroupOwners {
     /// Who decides.
     pub owner: IpAddr,
     /// Who takes over.
     pub standby: Option<IpAddr>,
 }
 
-impl Owned {
+impl GroupOwners {
     /// By what right a box decides what goes to the group's engines.
     pub fn role(self, ip: IpAddr) -> Role {
         if self.owner == ip {
@@ -115,65 +115,65 @@
     }
 
     /// The owner, then the standby.
-    pub fn keepers(self) -> impl Iterator<Item = IpAddr> {
+    pub fn boxes(self) -> impl Iterator<Item = IpAddr> {
         std::iter::once(self.owner).chain(self.standby)
     }
 }
 
 /// Who owns which group, as one box sees it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Owners {
+pub struct OwnerTable {
     bits: u32,
     /// By the groups' prefixes; empty where all boxes are told everything.
-    groups: Vec<Owned>,
+    groups: Vec<GroupOwners>,
 }
 
-impl Owners {
+impl OwnerTable {
     /// Owners among `boxes`, this one included, of so many engines.
-    pub fn new(boxes: &[Candidate], engines: usize) -> Owners {
-        if boxes.len() <= TELL_ALL_MAX {
-            return Owners::default();
+    pub fn new(boxes: &[Candidate], engines: usize) -> OwnerTable {
+        if boxes.len() <= BROADCAST_BOXES_MAX {
+            return OwnerTable::default();
         }
         let most = boxes.iter().map(|b| b.cores).fold(0.0, f64::max);
         let able = boxes.iter().filter(|b| is_large(b.cores, most));
         let able: Vec<(u64, &Candidate)> =
             able.map(|b| (xxh3_64(b.ip.to_string().as_bytes()), b)).collect();
         let bits = bits(engines);
-        let group = |prefix| owned(Group { bits, prefix }, &able);
-        Owners { bits, groups: (0..1 << bits).filter_map(group).collect() }
+        let group = |prefix| owned(EngineGroup { bits, prefix }, &able);
+        OwnerTable { bits, groups: (0..1 << bits).filter_map(group).collect() }
     }
 
     /// Whether all boxes are told everything, and nothing is owned.
-    pub fn is_none(&self) -> bool {
+    pub fn is_empty(&self) -> bool {
         self.groups.is_empty()
     }
 
     /// The group of an upstream by the hash of its name.
-    pub fn group(&self, hash: u64) -> Group {
-        Group::of(hash, self.bits)
+    pub fn group(&self, hash: u64) -> EngineGroup {
+        EngineGroup::from_hash(hash, self.bits)
     }
 
     /// Who keeps the models of a group.
-    pub fn of(&self, group: Group) -> Option<Owned> {
+    pub fn owners_of(&self, group: EngineGroup) -> Option<GroupOwners> {
         self.groups.get(usize::try_from(group.prefix).ok()?).copied()
     }
 
     /// The groups whose models `me` keeps, and with whom.
-    pub fn kept_by(&self, me: IpAddr) -> impl Iterator<Item = (Group, Owned)> {
+    pub fn groups_of(&self, me: IpAddr) -> impl Iterator<Item = (EngineGroup, GroupOwners)> {
         let bits = self.bits;
         let groups = self.groups.iter().enumerate();
-        let groups = groups.map(move |(n, owned)| (Group { bits, prefix: n as u64 }, *owned));
-        groups.filter(move |(_, owned)| owned.keepers().any(|ip| ip == me))
+        let groups = groups.map(move |(n, owned)| (EngineGroup { bits, prefix: n as u64 }, *owned));
+        groups.filter(move |(_, owned)| owned.boxes().any(|ip| ip == me))
     }
 
     /// Who keeps the model of an upstream, by the hash of its name.
-    pub fn of_hash(&self, hash: u64) -> Option<Owned> {
-        self.of(self.group(hash))
+    pub fn owners_of_hash(&self, hash: u64) -> Option<GroupOwners> {
+        self.owners_of(self.group(hash))
     }
 
     /// All boxes that keep models.
-    pub fn keepers(&self) -> BTreeSet<IpAddr> {
-        self.groups.iter().flat_map(|owned| owned.keepers()).collect()
+    pub fn all_boxes(&self) -> BTreeSet<IpAddr> {
+        self.groups.iter().flat_map(|owned| owned.boxes()).collect()
     }
 }
 
@@ -190,11 +190,11 @@
 
 /// The owner comes first by rendezvous hashing. The standby is the next one of another zone, which a
 /// cut doesn't take away with it.
-fn owned(group: Group, able: &[(u64, &Candidate)]) -> Option<Owned> {
+fn owned(group: EngineGroup, able: &[(u64, &Candidate)]) -> Option<GroupOwners> {
     let rank = |(hash, b): &&(u64, &Candidate)| (group.rank(*hash), b.ip);
     let (_, owner) = able.iter().max_by_key(rank)?;
     let others = || able.iter().filter(|(_, b)| b.ip != owner.ip);
     let abroad = others().filter(|(_, b)| b.zone != owner.zone).max_by_key(rank);
     let standby = abroad.or_else(|| others().max_by_key(rank)).map(|(_, b)| b.ip);
-    Some(Owned { owner: owner.ip, standby })
+    Some(GroupOwners { owner: owner.ip, standby })
 }
--- a/src/fleet/rollout.rs
+++ b/src/fleet/rollout.rs
@@ -5,7 +5,7 @@
 //! share of the whole fleet's requests that a new version gets is bounded without counting them anywhere. Two boxes, the
 //! judges, compare the versions and raise the stage; what is final is written to the store under a condition.
 
-pub mod judge;
+pub mod regression;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -43,11 +43,11 @@
 
 /// What the operator orders.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Order {
+pub struct RolloutOrder {
     /// The version whose engines are to get the service's traffic.
     pub target: VersionName,
     /// By when, from the order on.
-    pub within: Duration,
+    pub time_limit: Duration,
 }
 
 /// How far a roll-out has come; later ones are greater.
@@ -85,20 +85,20 @@
 
 /// What the store says of a service's roll-out.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Entry {
+pub struct RolloutEntry {
     /// The service.
     pub service: ServiceName,
     /// The revision of the store as of which that is known.
     pub revision: Revision,
     /// The order; nothing if there is none any more.
-    pub order: Option<Order>,
+    pub order: Option<RolloutOrder>,
     /// Its end, if it has ended.
     pub outcome: Option<Outcome>,
 }
 
 /// Which engines of a service a request may go to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Side {
+pub enum VersionFilter {
     /// Any.
     #[default]
     Any,
@@ -110,26 +110,26 @@
 
 /// How far a service's roll-out has come, as boxes tell it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Told {
+pub struct RolloutReport {
     /// The service.
     pub service: ServiceName,
     /// The revision as of which the order is known.
     pub revision: Revision,
     /// The order; nothing if it was taken back.
-    pub order: Option<Order>,
+    pub order: Option<RolloutOrder>,
     /// How far it has come.
     pub stage: Stage,
     /// Time since the order, in milliseconds.
     pub age_ms: u32,
     /// Requests of the sender that run at engines of other versions.
-    pub running: u32,
+    pub running_on_others: u32,
 }
 
-impl Told {
+impl RolloutReport {
     /// Whether its sender sends nothing more to engines of other versions than this one, and has nothing there.
     pub fn has_moved(&self, target: &str) -> bool {
         let is_same = self.order.as_ref().is_some_and(|order| &*order.target == target);
-        is_same && Stage::Moved <= self.stage && self.running == 0
+        is_same && Stage::Moved <= self.stage && self.running_on_others == 0
     }
 }
 
@@ -137,7 +137,7 @@
 #[derive(Clone, Debug, PartialEq)]
 struct Rollout {
     revision: Revision,
-    order: Option<Order>,
+    order: Option<RolloutOrder>,
     stage: Stage,
     /// When it was ordered, as far as any box knows.
     since: Duration,
@@ -151,17 +151,17 @@
     /// Whether it says anything of what gets requests.
     fn is_in_force(&self, now: Duration) -> bool {
         let Some(order) = &self.order else { return false };
-        self.stage < Stage::Reverted || self.age(now) < order.within + ENDED_FOR
+        self.stage < Stage::Reverted || self.age(now) < order.time_limit + ENDED_FOR
     }
 }
 
 /// What a judge knows of a roll-out beside its order.
 #[derive(Clone, Copy, Debug)]
-pub struct Situation {
+pub struct StageInputs {
     /// Answers of the new version so far on the busy route where it has given fewest.
-    pub answers: u64,
+    pub min_responses: u64,
     /// Whether these say that it is worse.
-    pub is_bad: bool,
+    pub has_regressed: bool,
     /// Slots of the open engines of the new version, and of the others.
     pub slots: (u64, u64),
 }
@@ -186,22 +186,22 @@
     }
 
     /// Takes in what the store says. True if anything has changed by it.
-    pub fn hear_store(&mut self, entry: &Entry, now: Duration) -> bool {
+    pub fn apply_entry(&mut self, entry: &RolloutEntry, now: Duration) -> bool {
         let stage = entry.outcome.map_or(Stage::Canary, Outcome::stage);
-        let within = entry.order.as_ref().map_or(Duration::ZERO, |order| order.within);
+        let time_limit = entry.order.as_ref().map_or(Duration::ZERO, |order| order.time_limit);
         // When one was ordered that had ended before it was heard of isn't known. The old engines stop at once; the new ones
         // may still be listed for a while.
         let age = match entry.outcome {
             None => Duration::ZERO,
-            Some(Outcome::Reverted) => within,
-            Some(Outcome::Completed) => within + ENDED_FOR,
+            Some(Outcome::Reverted) => time_limit,
+            Some(Outcome::Completed) => time_limit + ENDED_FOR,
         };
         let (revision, order) = (entry.revision, entry.order.clone());
         self.merge(&entry.service, revision, order, stage, now.checked_sub(age), now)
     }
 
     /// Takes in that the store holds the orders of these services only.
-    pub fn hear_all(&mut self, all: &[Entry], revision: Revision, now: Duration) -> bool {
+    pub fn apply_list(&mut self, all: &[RolloutEntry], revision: Revision, now: Duration) -> bool {
         let gone: Vec<ServiceName> = self
             .known
             .iter()
@@ -210,14 +210,14 @@
             })
             .map(|(service, _)| service.clone())
             .collect();
-        let none = |service| Entry { service, revision, order: None, outcome: None };
-        let gone: Vec<Entry> = gone.into_iter().map(none).collect();
-        let changed = all.iter().chain(&gone).filter(|e| self.hear_store(e, now)).count();
+        let none = |service| RolloutEntry { service, revision, order: None, outcome: None };
+        let gone: Vec<RolloutEntry> = gone.into_iter().map(none).collect();
+        let changed = all.iter().chain(&gone).filter(|e| self.apply_entry(e, now)).count();
         changed != 0
     }
 
     /// Takes in what another box tells. True if anything has changed by it.
-    pub fn hear(&mut self, told: &Told, now: Duration) -> bool {
+    pub fn merge_report(&mut self, told: &RolloutReport, now: Duration) -> bool {
         let since = now.checked_sub(Duration::from_millis(told.age_ms.into()));
         self.merge(&told.service, told.revision, told.order.clone(), told.stage, since, now)
     }
@@ -226,7 +226,7 @@
         &mut self,
         service: &ServiceName,
         revision: Revision,
-        order: Option<Order>,
+        order: Option<RolloutOrder>,
         stage: Stage,
         since: Option<Duration>,
         now: Duration,
@@ -254,20 +254,27 @@
     }
 
     /// Forgets orders that say nothing any more and were taken back or are long over.
-    pub fn tick(&mut self, now: Duration) {
+    pub fn expire(&mut self, now: Duration) {
         self.known
             .retain(|_, r| r.order.is_some() && r.is_in_force(now) || r.age(now) < 2 * ENDED_FOR);
     }
 
-    /// What is to be told to other boxes; `running` gives what this box has at engines of other versions.
-    pub fn told(&self, now: Duration, running: impl Fn(&str, &str) -> u32) -> Vec<Told> {
-        let told = |(service, r): (&ServiceName, &Rollout)| Told {
+    /// What is to be told to other boxes; `running_on_others` gives what this box has at engines of other versions.
+    pub fn reports(
+        &self,
+        now: Duration,
+        running_on_others: impl Fn(&str, &str) -> u32,
+    ) -> Vec<RolloutReport> {
+        let told = |(service, r): (&ServiceName, &Rollout)| RolloutReport {
             service: service.clone(),
             revision: r.revision,
             order: r.order.clone(),
             stage: r.stage,
             age_ms: u32::try_from(r.age(now).as_millis()).unwrap_or(u32::MAX),
-            running: r.order.as_ref().map_or(0, |order| running(service, &order.target)),
+            running_on_others: r
+                .order
+                .as_ref()
+                .map_or(0, |order| running_on_others(service, &order.target)),
         };
         self.known.iter().map(told).collect()
     }
@@ -288,13 +295,13 @@
     }
 
     /// How far a service's roll-out has come, and its order, while it hasn't ended.
-    pub fn under_way(&self, service: &str) -> Option<(&Order, Stage)> {
+    pub fn in_progress(&self, service: &str) -> Option<(&RolloutOrder, Stage)> {
         let rollout = self.known.get(service).filter(|r| r.stage < Stage::Completed)?;
         rollout.order.as_ref().map(|order| (order, rollout.stage))
     }
 
     /// The services with an order that has not ended in the store, as far as this box knows.
-    pub fn services(&self) -> Vec<ServiceName> {
+    pub fn open_services(&self) -> Vec<ServiceName> {
         let open = self.known.iter().filter(|(_, r)| r.order.is_some());
         open.filter(|(_, r)| r.stage < Stage::Completed).map(|(s, _)| s.clone()).collect()
     }
@@ -311,16 +318,16 @@
     }
 
     /// Which engines a request goes to; `draw` is drawn evenly from 0 to 1 for it.
-    pub fn side(&self, service: &str, draw: f64, now: Duration) -> Side {
+    pub fn version_filter(&self, service: &str, draw: f64, now: Duration) -> VersionFilter {
         match self.share(service, now) {
-            None => Side::Any,
-            Some(share) if draw < share => Side::Target,
-            Some(_) => Side::Others,
+            None => VersionFilter::Any,
+            Some(share) if draw < share => VersionFilter::Target,
+            Some(_) => VersionFilter::Others,
         }
     }
 
     /// Raises the stage of a service's roll-out to what its judge finds; gives that if it is news.
-    pub fn judge(&mut self, service: &str, s: Situation, now: Duration) -> Option<Stage> {
+    pub fn advance(&mut self, service: &str, s: StageInputs, now: Duration) -> Option<Stage> {
         let rollout = self.known.get_mut(service).filter(|r| r.order.is_some())?;
         let next = next(rollout, s, now);
         (rollout.stage < next).then(|| {
@@ -330,7 +337,7 @@
     }
 
     /// Takes in that the store holds an end.
-    pub fn ended(&mut self, service: &str, target: &str, outcome: Outcome) {
+    pub fn record_outcome(&mut self, service: &str, target: &str, outcome: Outcome) {
         let Some(rollout) = self.known.get_mut(service) else { return };
         if rollout.order.as_ref().is_some_and(|order| &*order.target == target) {
             rollout.stage = rollout.stage.max(outcome.stage());
@@ -339,17 +346,17 @@
 }
 
 /// The stage that a roll-out should have by what its judge knows.
-fn next(r: &Rollout, s: Situation, now: Duration) -> Stage {
+fn next(r: &Rollout, s: StageInputs, now: Duration) -> Stage {
     let Some(order) = &r.order else { return r.stage };
     if Stage::Reverted <= r.stage {
         return r.stage;
     }
-    let part = r.age(now).as_secs_f64() / order.within.as_secs_f64().max(f64::MIN_POSITIVE);
-    if s.is_bad || (r.stage < Stage::Moved && 1.0 <= part) {
+    let part = r.age(now).as_secs_f64() / order.time_limit.as_secs_f64().max(f64::MIN_POSITIVE);
+    if s.has_regressed || (r.stage < Stage::Moved && 1.0 <= part) {
         return Stage::Reverted;
     }
     let late = if MOVES_LATE <= part { ANSWERS_LATE } else { u64::MAX };
-    let has_shown = |answers: u64| answers.min(late) <= s.answers;
+    let has_shown = |answers: u64| answers.min(late) <= s.min_responses;
     let (new, old) = s.slots;
     let has_room = new != 0 && old as f64 * SLOTS_PART <= new as f64;
     match r.stage {
--- a/src/fleet/rollout/judge.rs
+++ b/src/fleet/rollout/regression.rs
@@ -38,28 +38,28 @@
 
 /// What became of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Finding {
+pub enum ResponseOutcome {
     /// It failed.
     Failed,
     /// Its first piece came; the step of the time that it took.
-    First(u8),
+    FirstChunk(u8),
     /// It came whole; the step of the time between its events.
-    Pace(u8),
+    ChunkInterval(u8),
 }
 
 /// What became of an answer, and whose it was.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Observed {
+pub struct ResponseReport {
     /// Whether the new version gave it.
     pub is_target: bool,
     /// Names the route.
     pub route: u32,
     /// What became of it.
-    pub finding: Finding,
+    pub outcome: ResponseOutcome,
 }
 
 /// The step of a time in milliseconds.
-pub fn step(ms: f64) -> u8 {
+pub fn time_bucket(ms: f64) -> u8 {
     let step = (ms.max(1.0).log2() * 2.0).round();
     step.min((STEPS - 1) as f64) as u8
 }
@@ -113,27 +113,27 @@
 }
 
 impl Usual {
-    fn add(&mut self, finding: Finding) {
+    fn add(&mut self, outcome: ResponseOutcome) {
         let keep = 0.5f64.powf(1.0 / HALF_LIFE);
-        match finding {
-            Finding::Failed => {
+        match outcome {
+            ResponseOutcome::Failed => {
                 self.answers = self.answers * keep + 1.0;
                 self.failed = self.failed * keep + 1.0;
             }
-            Finding::First(step) => {
+            ResponseOutcome::FirstChunk(step) => {
                 self.answers = self.answers * keep + 1.0;
                 self.failed *= keep;
                 self.first.add(step);
             }
-            Finding::Pace(step) => self.pace.add(step),
+            ResponseOutcome::ChunkInterval(step) => self.pace.add(step),
         }
     }
 
-    fn is_bad(&self, finding: Finding) -> bool {
-        match finding {
-            Finding::Failed => true,
-            Finding::First(step) => self.first.is_slow(step),
-            Finding::Pace(step) => self.pace.is_slow(step),
+    fn is_bad(&self, outcome: ResponseOutcome) -> bool {
+        match outcome {
+            ResponseOutcome::Failed => true,
+            ResponseOutcome::FirstChunk(step) => self.first.is_slow(step),
+            ResponseOutcome::ChunkInterval(step) => self.pace.is_slow(step),
         }
     }
 
@@ -153,7 +153,7 @@
 
 /// The evidence on one new version.
 #[derive(Clone, Debug, Default)]
-pub struct Judge {
+pub struct RegressionDetector {
     usual: BTreeMap<u32, Usual>,
     shown: BTreeMap<u32, Shown>,
     /// The sum over all routes.
@@ -161,30 +161,30 @@
     is_bad: bool,
 }
 
-impl Judge {
+impl RegressionDetector {
     /// Takes in what became of an answer.
-    pub fn add(&mut self, observed: Observed) {
-        let Observed { is_target, route, finding } = observed;
+    pub fn add(&mut self, observed: ResponseReport) {
+        let ResponseReport { is_target, route, outcome } = observed;
         let usual = self.usual.entry(route).or_default();
         if !is_target {
-            usual.add(finding);
+            usual.add(outcome);
             return;
         }
         let before = (usual.bad_part() + MARGIN).min(1.0 - EXCESS - MARGIN);
         let after = before + EXCESS;
-        let ratio = match usual.is_bad(finding) {
+        let ratio = match usual.is_bad(outcome) {
             true => (after / before).ln(),
             false => ((1.0 - after) / (1.0 - before)).ln(),
         };
         let shown = self.shown.entry(route).or_default();
-        shown.answers += u64::from(!matches!(finding, Finding::Pace(_)));
+        shown.answers += u64::from(!matches!(outcome, ResponseOutcome::ChunkInterval(_)));
         shown.sum = (shown.sum + ratio).max(0.0);
         self.sum = (self.sum + ratio).max(0.0);
         self.is_bad |= ALARM <= shown.sum.max(self.sum);
     }
 
     /// Answers of the new version so far on the route where it has given fewest, of those with a part of the requests.
-    pub fn answers(&self) -> u64 {
+    pub fn min_responses(&self) -> u64 {
         let all: f64 = self.usual.values().map(|usual| usual.answers).sum();
         let busy = self.usual.iter().filter(|(_, usual)| all * BUSY_PART <= usual.answers);
         let answers = busy.map(|(route, _)| self.shown.get(route).map_or(0, |s| s.answers));
@@ -192,7 +192,7 @@
     }
 
     /// Whether the new version is worse than the old one.
-    pub fn is_bad(&self) -> bool {
+    pub fn has_regressed(&self) -> bool {
         self.is_bad
     }
 }
--- a/src/fleet/duty.rs
+++ b/src/fleet/store_watch.rs
@@ -7,7 +7,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::fleet::owners;
-use crate::fleet::owners::TELL_ALL_MAX;
+use crate::fleet::owners::BROADCAST_BOXES_MAX;
 
 /// Boxes of a zone that watch. The store may turn single boxes away: where it turns away one in three,
 /// one zone in 27 has no watcher that it serves until others step in.
@@ -27,52 +27,52 @@
 
 /// A box of the own zone, as another one sees it.
 #[derive(Clone, Copy, Debug)]
-pub struct Colleague {
+pub struct ZoneBox {
     /// The box.
     pub ip: IpAddr,
     /// What it may use of a core.
     pub cores: f64,
     /// Time since it said that it sees the store; nothing if its last word says that it doesn't.
-    pub saw_store: Option<Duration>,
+    pub store_seen_ago: Option<Duration>,
 }
 
 /// What a box knows when it judges whether to watch.
 #[derive(Clone, Copy, Debug)]
-pub struct Situation<'a> {
+pub struct WatchInputs<'a> {
     /// The box itself.
     pub me: IpAddr,
     /// What it may use of a core.
     pub cores: f64,
     /// The other boxes of its zone that are alive.
-    pub zone: &'a [Colleague],
+    pub zone_boxes: &'a [ZoneBox],
     /// How many boxes of the fleet are alive, this one included.
-    pub alive: usize,
+    pub live_boxes: usize,
     /// Time since the start of this box.
-    pub age: Duration,
+    pub uptime: Duration,
     /// Whether the whole fleet starts for the first time.
     pub is_first_start: bool,
 }
 
 /// Whether a box is to watch the store.
-pub fn is_due(s: Situation<'_>) -> bool {
-    if s.age < MEET && s.is_first_start {
+pub fn should_watch(s: WatchInputs<'_>) -> bool {
+    if s.uptime < MEET && s.is_first_start {
         return false;
     }
     // One that starts is of no use until it knows the routes, and asks the store as long as it knows few.
-    if s.alive <= TELL_ALL_MAX {
+    if s.live_boxes <= BROADCAST_BOXES_MAX {
         return true;
     }
-    let most = s.zone.iter().map(|b| b.cores).fold(s.cores, f64::max);
+    let most = s.zone_boxes.iter().map(|b| b.cores).fold(s.cores, f64::max);
     // Larger boxes first, since a small one that is busy stands still for a tenth of a second.
     let key = |ip: IpAddr, cores: f64| {
         (!owners::is_large(cores, most), xxh3_64(ip.to_string().as_bytes()), ip)
     };
     let mine = key(s.me, s.cores);
-    let rank = s.zone.iter().filter(|b| key(b.ip, b.cores) < mine).count();
+    let rank = s.zone_boxes.iter().filter(|b| key(b.ip, b.cores) < mine).count();
     if rank < WATCHERS {
         return true;
     }
-    let unseen = s.zone.iter().filter_map(|b| b.saw_store).min().unwrap_or(s.age);
+    let unseen = s.zone_boxes.iter().filter_map(|b| b.store_seen_ago).min().unwrap_or(s.uptime);
     let steps = u32::try_from(rank - WATCHERS).unwrap_or(u32::MAX);
     UNSEEN_AFTER.saturating_add(STEP.saturating_mul(steps)) <= unseen
 }
--- a/src/placement/admit.rs
+++ b/src/placement/admit.rs
@@ -7,8 +7,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::fleet::owners::Group;
-use crate::fleet::rollout::Side;
+use crate::fleet::owners::EngineGroup;
+use crate::fleet::rollout::VersionFilter;
 use crate::names::UpstreamName;
 use crate::names::WorkspaceName;
 use crate::names::ZoneName;
@@ -62,9 +62,9 @@
     /// How much of that has passed.
     pub waited: Duration,
     /// The engines that it may go to; all of the service if nothing is given.
-    pub group: Option<Group>,
+    pub group: Option<EngineGroup>,
     /// The versions that it may go to.
-    pub side: Side,
+    pub side: VersionFilter,
     /// The availability zone of the box that sends it; this box's if nothing is given.
     pub zone: Option<&'a ZoneName>,
     /// The box that sends it; nothing for this one.
--- a/src/placement/choice.rs
+++ b/src/placement/choice.rs
@@ -6,8 +6,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::fleet::owners::Group;
-use crate::fleet::rollout::Side;
+use crate::fleet::owners::EngineGroup;
+use crate::fleet::rollout::VersionFilter;
 use crate::names::UpstreamName;
 use crate::names::ZoneName;
 use crate::placement::cold::Role;
@@ -38,9 +38,9 @@
     /// Whether it may go to any engine for that, or only to the one that it costs least.
     pub anywhere: bool,
     /// The engines that it may go to; all of the service if nothing is given.
-    pub group: Option<Group>,
+    pub group: Option<EngineGroup>,
     /// The versions that it may go to, while another one is rolled out.
-    pub side: Side,
+    pub side: VersionFilter,
     /// The availability zone of the box that sends it; this box's if nothing is given.
     pub zone: Option<&'a ZoneName>,
     /// An engine that may not be chosen and keeps some of the prompt.
@@ -65,7 +65,7 @@
             wait_max_idle: wait_max,
             anywhere: true,
             group: None,
-            side: Side::Any,
+            side: VersionFilter::Any,
             zone: None,
             source: None,
             role: Role::Stranger,
--- a/src/placement/fleet.rs
+++ b/src/placement/fleet.rs
@@ -15,8 +15,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::fleet::owners::Group;
-use crate::fleet::rollout::Side;
+use crate::fleet::owners::EngineGroup;
+use crate::fleet::rollout::VersionFilter;
 use crate::names::ServiceName;
 use crate::names::UpstreamName;
 use crate::names::VersionName;
@@ -106,24 +106,24 @@
     }
 
     /// On which side of its service's roll-out an upstream of this version is.
-    pub fn side_of(&self, service: &str, version: &VersionName) -> Side {
+    pub fn side_of(&self, service: &str, version: &VersionName) -> VersionFilter {
         match self.targets.get(service) {
-            None => Side::Any,
-            Some(target) if target == version => Side::Target,
-            Some(_) => Side::Others,
+            None => VersionFilter::Any,
+            Some(target) if target == version => VersionFilter::Target,
+            Some(_) => VersionFilter::Others,
         }
     }
 
-    fn is_on(&self, side: Side, upstream: &Upstream) -> bool {
+    fn is_on(&self, side: VersionFilter, upstream: &Upstream) -> bool {
         let listed = &upstream.listed;
         // Most of the time nothing is rolled out.
-        side == Side::Any
-            || matches!(self.side_of(&listed.service, &listed.version), Side::Any)
+        side == VersionFilter::Any
+            || matches!(self.side_of(&listed.service, &listed.version), VersionFilter::Any)
             || self.side_of(&listed.service, &listed.version) == side
     }
 
     /// Whether an upstream may get a request of a side. Of one that isn't listed nothing is known.
-    pub fn may_get(&self, name: &UpstreamName, side: Side) -> bool {
+    pub fn may_get(&self, name: &UpstreamName, side: VersionFilter) -> bool {
         self.upstreams.get(name).is_none_or(|u| self.is_on(side, u))
     }
 
@@ -273,7 +273,7 @@
     }
 
     /// The engines of a group.
-    pub fn engines_of(&self, group: Group) -> impl Iterator<Item = &Listed> {
+    pub fn engines_of(&self, group: EngineGroup) -> impl Iterator<Item = &Listed> {
         let of_group = self.index.of_group(group).filter_map(|name| self.upstreams.get(name));
         of_group.filter(|u| u.engine.is_some()).map(|u| &u.listed)
     }
--- a/src/placement/fleet/choosing.rs
+++ b/src/placement/fleet/choosing.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use crate::fleet::owners::Group;
-use crate::fleet::rollout::Side;
+use crate::fleet::owners::EngineGroup;
+use crate::fleet::rollout::VersionFilter;
 use crate::placement::choice::Choice;
 use crate::placement::choice::NoChoice;
 use crate::placement::choice::Source;
@@ -136,8 +136,8 @@
         &self,
         service: &str,
         prompt: &Prompt,
-        side: Side,
-        avoided: Option<Group>,
+        side: VersionFilter,
+        avoided: Option<EngineGroup>,
     ) -> Option<u64> {
         self.home_of(service, prompt, avoided, |u| self.takes(u) && self.is_on(side, u))
     }
@@ -148,8 +148,8 @@
         &self,
         service: &str,
         prompt: &Prompt,
-        side: Side,
-        avoided: Group,
+        side: VersionFilter,
+        avoided: EngineGroup,
     ) -> Option<u64> {
         self.home_of(service, prompt, Some(avoided), |u| self.is_on(side, u))
     }
@@ -166,7 +166,7 @@
         &self,
         service: &str,
         prompt: &Prompt,
-        avoided: Option<Group>,
+        avoided: Option<EngineGroup>,
         eligible: impl Fn(&Upstream) -> bool,
     ) -> Option<u64> {
         let part = match &prompt.parts[..] {
@@ -176,7 +176,7 @@
         };
         self.index.home(service, part, |name| {
             let upstream = self.look_at(name);
-            upstream.is_some_and(|u| avoided.is_none_or(|g| !g.has(u.hash)) && eligible(u))
+            upstream.is_some_and(|u| avoided.is_none_or(|g| !g.contains(u.hash)) && eligible(u))
         })
     }
 }
--- a/src/placement/fleet/cold.rs
+++ b/src/placement/fleet/cold.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::fleet::owners::Group;
+use crate::fleet::owners::EngineGroup;
 use crate::names::UpstreamName;
 use crate::names::ZoneName;
 use crate::placement::fleet::Fleet;
@@ -34,7 +34,7 @@
     }
 
     /// Cold engines of a group get nothing before `until`.
-    pub fn hold_cold(&mut self, group: Group, until: Duration) {
+    pub fn hold_cold(&mut self, group: EngineGroup, until: Duration) {
         let of_group: Vec<UpstreamName> = self.index.of_group(group).cloned().collect();
         for name in &of_group {
             self.engine(name).into_iter().for_each(|e| e.hold_if_cold(until));
--- a/src/placement/fleet/index.rs
+++ b/src/placement/fleet/index.rs
@@ -8,7 +8,7 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::fleet::owners::Group;
+use crate::fleet::owners::EngineGroup;
 use crate::names::ServiceName;
 use crate::names::UpstreamName;
 use crate::placement::upstream::Upstream;
@@ -84,9 +84,9 @@
     pub(super) fn of(
         &self,
         service: &str,
-        group: Option<Group>,
+        group: Option<EngineGroup>,
     ) -> impl Iterator<Item = &UpstreamName> {
-        let range = group.map_or(0..=u64::MAX, Group::hashes);
+        let range = group.map_or(0..=u64::MAX, EngineGroup::hash_range);
         let of_service = self.by_hash.get(service);
         of_service
             .into_iter()
@@ -95,7 +95,7 @@
     }
 
     /// The upstreams of a group, whatever their service.
-    pub(super) fn of_group(&self, group: Group) -> impl Iterator<Item = &UpstreamName> {
+    pub(super) fn of_group(&self, group: EngineGroup) -> impl Iterator<Item = &UpstreamName> {
         self.by_hash.keys().flat_map(move |service| self.of(service, Some(group)))
     }
 
--- a/src/placement/fleet/learned.rs
+++ b/src/placement/fleet/learned.rs
@@ -3,8 +3,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::fleet::draining::Draining;
-use crate::fleet::owners::Group;
+use crate::fleet::draining::DrainNotice;
+use crate::fleet::owners::EngineGroup;
 use crate::names::ServiceName;
 use crate::names::UpstreamName;
 use crate::placement::fleet::Fleet;
@@ -20,7 +20,7 @@
     /// How fast those of a service read.
     pub speeds: Vec<(ServiceName, Speed)>,
     /// Upstreams that have said themselves that they are draining.
-    pub draining: Vec<Draining>,
+    pub draining: Vec<DrainNotice>,
 }
 
 /// What an engine is believed to keep.
@@ -34,7 +34,7 @@
 
 impl Fleet {
     /// What has been learned of the engines, or of those of one group.
-    pub fn learned(&self, group: Option<Group>) -> Learned {
+    pub fn learned(&self, group: Option<EngineGroup>) -> Learned {
         let kept = |u: &Upstream| {
             Some(Kept { upstream: u.listed.name.clone(), parts: u.engine.as_ref()?.parts() })
         };
--- a/src/placement/plain.rs
+++ b/src/placement/plain.rs
@@ -9,7 +9,7 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::fleet::rollout::Side;
+use crate::fleet::rollout::VersionFilter;
 use crate::names::UpstreamName;
 use crate::names::WorkspaceName;
 use crate::names::ZoneName;
@@ -124,7 +124,7 @@
     /// Upstreams that are out of the question.
     pub except: &'a [UpstreamName],
     /// The versions that it may go to.
-    pub side: Side,
+    pub side: VersionFilter,
     /// The route's aim for the answer.
     pub aim: Duration,
     /// How much of that has passed.
--- a/src/proxy/asking.rs
+++ b/src/proxy/asking.rs
@@ -12,10 +12,10 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::fleet::owners::Group;
-use crate::fleet::owners::Owned;
-use crate::fleet::owners::Owners;
-use crate::fleet::rollout::Side;
+use crate::fleet::owners::EngineGroup;
+use crate::fleet::owners::GroupOwners;
+use crate::fleet::owners::OwnerTable;
+use crate::fleet::rollout::VersionFilter;
 use crate::names::ServiceName;
 use crate::names::UpstreamName;
 use crate::placement::admit::Denial;
@@ -133,7 +133,7 @@
 /// Places a request, or says why it isn't placed.
 pub async fn place(hub: &Arc<Hub>, wish: Wish<'_>) -> Decided {
     let owners = hub.peers().owners();
-    if owners.is_none() {
+    if owners.is_empty() {
         return place_for_all(hub, wish);
     }
     let mut wish = wish;
@@ -143,7 +143,7 @@
         let Some(group) = home.map(|hash| owners.group(hash)) else { break };
         wish.group = Some(group);
         wish.is_last = n == GROUPS_MAX;
-        let Some(owned) = owners.of(group) else { break };
+        let Some(owned) = owners.owners_of(group) else { break };
         let Some(decided) = place_or_copy(hub, wish, &owners, group, owned).await else { break };
         wish.purpose = Purpose::Place;
         match &decided.decision {
@@ -160,9 +160,9 @@
 async fn place_or_copy(
     hub: &Arc<Hub>,
     wish: Wish<'_>,
-    owners: &Owners,
-    group: Group,
-    owned: Owned,
+    owners: &OwnerTable,
+    group: EngineGroup,
+    owned: GroupOwners,
 ) -> Option<Decided> {
     let decided = place_in(hub, wish, group, owned).await?;
     if !decided.is_kept_elsewhere() {
@@ -200,8 +200,13 @@
 }
 
 /// Has a request placed in a group of engines; nothing if nobody who keeps its models answers.
-async fn place_in(hub: &Arc<Hub>, wish: Wish<'_>, group: Group, owned: Owned) -> Option<Decided> {
-    for ip in owned.keepers() {
+async fn place_in(
+    hub: &Arc<Hub>,
+    wish: Wish<'_>,
+    group: EngineGroup,
+    owned: GroupOwners,
+) -> Option<Decided> {
+    for ip in owned.boxes() {
         let role = owned.role(ip);
         if ip == hub.peers().me() {
             let decision = hub.admit(Wish { role, ..wish });
@@ -221,13 +226,13 @@
             }
             // The backoff began while the owner was asked.
             Some(Ok(choice)) if hub.is_backing_off(&choice.upstream) => {
-                withdraw(hub, request, owned.keepers());
+                withdraw(hub, request, owned.boxes());
                 continue;
             }
             Some(decision) => return Some(Decided { decision, by: ip, role, request }),
             None => info!(hub.log(), "no answer of an owner"; "ip" => %ip, "group" => %group),
         }
-        withdraw(hub, request, owned.keepers());
+        withdraw(hub, request, owned.boxes());
         hub.asking().suspect(ip, hub.now());
     }
     None
@@ -247,16 +252,21 @@
 
 /// Finds an engine outside of a group that keeps some of a prompt: the one to which it belonged before
 /// an engine of the group came, or one that leaves.
-async fn look(hub: &Arc<Hub>, wish: Wish<'_>, owners: &Owners, group: Group) -> Option<Source> {
+async fn look(
+    hub: &Arc<Hub>,
+    wish: Wish<'_>,
+    owners: &OwnerTable,
+    group: EngineGroup,
+) -> Option<Source> {
     let home =
         hub.read(|v| v.fleet().home_elsewhere(wish.service, wish.prompt, wish.side, group))?;
     let elsewhere = owners.group(home);
     let wish = Wish { group: Some(elsewhere), purpose: Purpose::Look, ..wish };
-    let looked = place_in(hub, wish, elsewhere, owners.of(elsewhere)?).await?;
+    let looked = place_in(hub, wish, elsewhere, owners.owners_of(elsewhere)?).await?;
     looked.decision.err()?.source
 }
 
-fn question(hub: &Hub, wish: &Wish<'_>, group: Group) -> Ask {
+fn question(hub: &Hub, wish: &Wish<'_>, group: EngineGroup) -> Ask {
     Ask {
         request: wish.request,
         group,
@@ -275,8 +285,8 @@
 }
 
 /// The upstreams of a group that are out of the question.
-fn except_in(wish: &Wish<'_>, group: Group) -> Vec<UpstreamName> {
-    let of_group = wish.except.iter().filter(|name| group.has(upstream::hash(name)));
+fn except_in(wish: &Wish<'_>, group: EngineGroup) -> Vec<UpstreamName> {
+    let of_group = wish.except.iter().filter(|name| group.contains(upstream::hash(name)));
     of_group.take(EXCEPT_MAX).cloned().collect()
 }
 
@@ -286,7 +296,7 @@
 }
 
 /// Whether an owner that was cut off or stood still has chosen an upstream that must get nothing.
-pub fn is_behind(hub: &Hub, ip: IpAddr, choice: &Choice, side: Side) -> bool {
+pub fn is_behind(hub: &Hub, ip: IpAddr, choice: &Choice, side: VersionFilter) -> bool {
     let is_behind = hub.read(|view| {
         view.is_barred(&choice.upstream) || !view.fleet().may_get(&choice.upstream, side)
     });
@@ -316,7 +326,7 @@
 /// Places a request that another box asks for.
 pub fn answer(hub: &Hub, ask: &Ask, from: IpAddr) {
     let prompt = Prompt::from(&ask.prompt);
-    let owned = hub.peers().owners().of(ask.group);
+    let owned = hub.peers().owners().owners_of(ask.group);
     let wish = Wish {
         request: ask.request,
         service: &ask.service,
@@ -352,16 +362,16 @@
     if waiting.is_some_and(|tx| tx.send(result).is_ok()) {
         return;
     }
-    let owned = upstream.and_then(|u| hub.peers().owners().of_hash(upstream::hash(&u)));
-    let standby = owned.into_iter().flat_map(Owned::keepers).filter(|ip| *ip != from);
+    let owned = upstream.and_then(|u| hub.peers().owners().owners_of_hash(upstream::hash(&u)));
+    let standby = owned.into_iter().flat_map(GroupOwners::boxes).filter(|ip| *ip != from);
     withdraw(hub, request, standby.chain([from]));
 }
 
 /// The other one of a group's owner and standby hears of what is placed, without the workspace: sums
 /// of these are told by the way of shares.
-fn tell_other_keeper(hub: &Hub, wish: &Wish<'_>, choice: &Choice, owned: Owned) {
+fn tell_other_keeper(hub: &Hub, wish: &Wish<'_>, choice: &Choice, owned: GroupOwners) {
     let message = told(&Wish { workspace: None, ..*wish }, choice);
-    hub.peers().tell_some(owned.keepers(), &message);
+    hub.peers().tell_some(owned.boxes(), &message);
 }
 
 fn told(wish: &Wish<'_>, choice: &Choice) -> Message {
@@ -384,31 +394,32 @@
         pace::wait(USED_EVERY).await;
         let own = hub.shares(|shares| shares.take_own());
         let owners = hub.peers().owners();
-        if owners.is_none() || own.is_empty() {
+        if owners.is_empty() || own.is_empty() {
             continue;
         }
         let used: Vec<Used> =
             own.into_iter().map(|(workspace, tokens)| Used { workspace, tokens }).collect();
         for used in used.chunks(USED_MAX) {
-            hub.peers().tell_some(owners.keepers().iter().copied(), &Message::Used(used.to_vec()));
+            hub.peers()
+                .tell_some(owners.all_boxes().iter().copied(), &Message::Used(used.to_vec()));
         }
     }
 }
 
 /// Whether this box keeps the model of an engine; each does in a small fleet.
 pub fn keeps(hub: &Hub, name: &UpstreamName) -> bool {
-    let owned = hub.peers().owners().of_hash(upstream::hash(name));
-    owned.is_none_or(|owned| owned.keepers().any(|ip| ip == hub.peers().me()))
+    let owned = hub.peers().owners().owners_of_hash(upstream::hash(name));
+    owned.is_none_or(|owned| owned.boxes().any(|ip| ip == hub.peers().me()))
 }
 
 /// Tells those who keep the model of an engine; all boxes in a small fleet.
 pub fn tell_keepers(hub: &Hub, name: &UpstreamName, message: &Message) {
     let owners = hub.peers().owners();
-    if owners.is_none() {
+    if owners.is_empty() {
         hub.peers().tell(message);
         return;
     }
-    if let Some(owned) = owners.of_hash(upstream::hash(name)) {
-        hub.peers().tell_some(owned.keepers(), message);
+    if let Some(owned) = owners.owners_of_hash(upstream::hash(name)) {
+        hub.peers().tell_some(owned.boxes(), message);
     }
 }
--- a/src/proxy/dialect.rs
+++ b/src/proxy/dialect.rs
@@ -13,13 +13,13 @@
 use tokio::sync::mpsc;
 use tokio::sync::watch;
 
-use crate::fleet::evacuated::Evacuated;
-use crate::fleet::evacuated::Order;
+use crate::fleet::evacuated::EvacuatedZones;
+use crate::fleet::evacuated::EvacuationOrder;
 use crate::fleet::fingerprint::Fingerprint;
-use crate::fleet::quarantine::Suspect;
+use crate::fleet::quarantine::SuspectReport;
 use crate::fleet::revision::Revision;
-use crate::fleet::rollout::Entry;
 use crate::fleet::rollout::Outcome;
+use crate::fleet::rollout::RolloutEntry;
 use crate::names::ServiceName;
 use crate::names::UpstreamName;
 use crate::names::VersionName;
@@ -185,18 +185,18 @@
     /// With this, the list of upstreams is whole up to a revision of the store.
     UpTo(Revision),
     /// All zones that are evacuated.
-    Evacuated(Evacuated),
+    Evacuated(EvacuatedZones),
     /// Zones are evacuated or taken back.
     Ordered {
         /// In turn.
-        orders: Vec<Order>,
+        orders: Vec<EvacuationOrder>,
         /// As of which revision of the store.
         revision: Revision,
     },
     /// All orders to roll a version out, as of a revision of the store.
-    Rollouts(Vec<Entry>, Revision),
+    Rollouts(Vec<RolloutEntry>, Revision),
     /// An order to roll a version out is new, has changed or ended, or is gone.
-    Rollout(Entry),
+    Rollout(RolloutEntry),
     /// An order that can't be read. It orders nothing.
     BadRollout {
         /// The service, if that can be read.
@@ -266,10 +266,10 @@
 /// copy.
 pub trait Records: Send + Sync {
     /// Keeps a request that is held back. One that is kept already stays as it is.
-    fn keep(&self, suspect: &Suspect) -> BoxFuture<'static, Result<(), NotKept>>;
+    fn keep(&self, suspect: &SuspectReport) -> BoxFuture<'static, Result<(), NotKept>>;
 
     /// All requests that are kept; what was kept in the last seconds may be missing.
-    fn kept(&self) -> BoxFuture<'static, Result<Vec<Suspect>, NotKept>>;
+    fn kept(&self) -> BoxFuture<'static, Result<Vec<SuspectReport>, NotKept>>;
 
     /// Keeps a request no longer.
     fn forget(&self, content: &Fingerprint) -> BoxFuture<'static, Result<(), NotKept>>;
--- a/src/proxy/figures.rs
+++ b/src/proxy/figures.rs
@@ -107,7 +107,7 @@
         gauge("frostdyke_proxy_connections", |hub| hub.connections() as u64);
         gauge("frostdyke_boxes_alive", |hub| hub.peers().live() as u64 + 1);
         gauge("frostdyke_groups_kept", |hub| {
-            hub.peers().owners().kept_by(hub.peers().me()).count() as u64
+            hub.peers().owners().groups_of(hub.peers().me()).count() as u64
         });
         gauge("frostdyke_configuration_version", Hub::version);
         gauge("frostdyke_store_reached", |hub| u64::from(hub.read(View::reaches_store)));
@@ -117,7 +117,7 @@
         });
         gauge("frostdyke_upstreams_backing_off", |hub| hub.read(|v| v.fleet().backoffs() as u64));
         gauge("frostdyke_upstreams_draining", |hub| {
-            hub.read(|v| v.draining().all().count() as u64)
+            hub.read(|v| v.draining().iter().count() as u64)
         });
         gauge("frostdyke_suspects", |hub| hub.suspects().read(|q| q.len() as u64));
         self.show_shares(hub);
--- a/src/proxy/gossip.rs
+++ b/src/proxy/gossip.rs
@@ -11,10 +11,10 @@
 use slog::info;
 use tokio::time::Instant;
 
-use crate::fleet::members::BEAT;
-use crate::fleet::members::Beat;
-use crate::fleet::members::Heard;
-use crate::fleet::standing::Standing;
+use crate::fleet::members::HEARTBEAT_INTERVAL;
+use crate::fleet::members::HeartbeatMessage;
+use crate::fleet::members::HeartbeatOutcome;
+use crate::fleet::sync_state::SyncState;
 use crate::proxy::asking;
 use crate::proxy::hub::Hub;
 use crate::proxy::intake;
@@ -88,7 +88,7 @@
         };
         buf = rest;
         match message {
-            Message::Beat(beat) => hear(hub, &beat),
+            Message::Heartbeat(beat) => hear(hub, &beat),
             Message::Ask(ask) => asking::answer(hub, &ask, from.ip()),
             Message::AskPlain(ask) => plain::answer(hub, &ask, from.ip()),
             message => intake::message(hub, message, from.ip()),
@@ -98,40 +98,41 @@
 
 /// Takes in a sign of life. Boxes that start learn of each other within some round trips, since
 /// each answers at once.
-fn hear(hub: &Hub, beat: &Beat) {
+fn hear(hub: &Hub, beat: &HeartbeatMessage) {
     let peers = hub.peers();
     let now = peers.now();
-    let Heard { greet, is_new, has_restarted } = peers.members(|members| members.hear(beat, now));
-    let record = &beat.record;
+    let HeartbeatOutcome { reply_to, is_new, has_restarted } =
+        peers.members(|members| members.receive(beat, now));
+    let report = &beat.report;
     if has_restarted {
-        info!(hub.log(), "box restarted"; "name" => record.name.as_str());
-        hub.fleet(|fleet| fleet.forget_sender(record.addr.ip()));
+        info!(hub.log(), "box restarted"; "name" => report.name.as_str());
+        hub.fleet(|fleet| fleet.forget_sender(report.addr.ip()));
     }
     if is_new {
-        info!(hub.log(), "box heard"; "name" => record.name.as_str(),
-            "zone" => record.zone.as_str(), "version" => record.version);
+        info!(hub.log(), "box heard"; "name" => report.name.as_str(),
+            "zone" => report.zone.as_str(), "version" => report.version);
     }
-    if hub.read(|view| view.evacuated().revision) < record.evacuated.revision {
-        hub.change(|view, now| view.evacuate(&record.evacuated, now));
+    if hub.read(|view| view.evacuated().revision) < report.evacuated.revision {
+        hub.change(|view, now| view.evacuate(&report.evacuated, now));
     }
-    rollouts::hear(hub, &record.rollouts);
-    if hub.version() < record.version {
+    rollouts::hear(hub, &report.rollouts);
+    if hub.version() < report.version {
         peers.behind.notify_one();
     }
-    if !greet.is_empty() {
-        peers.greet(state(hub), &greet);
+    if !reply_to.is_empty() {
+        peers.greet(state(hub), &reply_to);
     }
 }
 
-/// Tells what is news of other boxes, if anything is; to be called every [`NEWS_EVERY`].
+/// Tells what is news of other boxes, if anything is; to be called every [`GOSSIP_INTERVAL`].
 ///
-/// [`NEWS_EVERY`]: crate::fleet::members::NEWS_EVERY
+/// [`GOSSIP_INTERVAL`]: crate::fleet::members::GOSSIP_INTERVAL
 pub fn tell_news(hub: &Hub) {
     hub.peers().tell_news(|| state(hub));
 }
 
 fn state(hub: &Hub) -> State {
-    let held = hub.suspects().read(|quarantine| quarantine.digest(hub.now()));
+    let held = hub.suspects().read(|quarantine| quarantine.held_digest(hub.now()));
     let rollouts = rollouts::told(hub);
     hub.read(|view| State {
         version: view.version(),
@@ -149,13 +150,14 @@
     loop {
         let peers = hub.peers();
         let now = peers.now();
-        for ip in peers.members(|members| members.take_silent(now)) {
+        for ip in peers.members(|members| members.take_dead(now)) {
             info!(hub.log(), "box silent"; "ip" => %ip);
             hub.fleet(|fleet| fleet.forget_sender(ip));
         }
         peers.beat(state(&hub));
         // Whichever comes first.
-        let _ = tokio::time::timeout_at(pace::next(BEAT), peers.announced.notified()).await;
+        let _ = tokio::time::timeout_at(pace::next(HEARTBEAT_INTERVAL), peers.announced.notified())
+            .await;
     }
 }
 
@@ -172,16 +174,16 @@
             tokio::time::sleep(ASK_SPREAD.mul_f64(part)).await;
         }
         let is_known = hub.read(View::is_ready);
-        let is_small = hub.peers().owners().is_none();
+        let is_small = hub.peers().owners().is_empty();
         let (ahead, standing) = missing(&hub, is_small);
-        let apart = matches!(standing, Standing::Apart(_)).then(Instant::now);
+        let apart = matches!(standing, SyncState::Diverged(_)).then(Instant::now);
         apart_since = apart.map(|now| apart_since.unwrap_or(now));
         let is_apart = apart_since.is_some_and(|at| APART_FOR <= at.elapsed()) || is_small;
         let was_asked = asked_at.is_some_and(|at: Instant| at.elapsed() < BEHIND_EVERY);
         match (ahead, standing) {
             (Some(addr), _) => ask(&hub, addr).await,
-            (None, Standing::Apart(addr)) if is_apart || !is_known => ask(&hub, addr).await,
-            (None, Standing::Behind(all)) if !was_asked || !is_known => {
+            (None, SyncState::Diverged(addr)) if is_apart || !is_known => ask(&hub, addr).await,
+            (None, SyncState::Behind(all)) if !was_asked || !is_known => {
                 let Some(addr) = all.into_iter().choose(&mut rand::rng()) else { continue };
                 asked_at = Some(Instant::now());
                 ask_changes(&hub, addr).await;
@@ -192,13 +194,13 @@
 }
 
 /// A box with a newer configuration, and how this one stands to those that see the store.
-fn missing(hub: &Hub, is_small: bool) -> (Option<SocketAddr>, Standing) {
+fn missing(hub: &Hub, is_small: bool) -> (Option<SocketAddr>, SyncState) {
     let State { version, sees_store, upstreams, revision, .. } = state(hub);
     let peers = hub.peers();
     let standing = if sees_store {
-        Standing::Level
+        SyncState::InSync
     } else if is_small {
-        peers.with_store().map_or(Standing::Level, Standing::Apart)
+        peers.with_store().map_or(SyncState::InSync, SyncState::Diverged)
     } else {
         peers.standing(revision, upstreams)
     };
--- a/src/proxy/intake.rs
+++ b/src/proxy/intake.rs
@@ -36,7 +36,7 @@
         News::UpTo(revision) => hub.change(|view, _| view.up_to(revision)),
         News::Evacuated(all) => hub.change(|view, now| view.evacuate(&all, now)),
         News::Ordered { orders, revision } => hub.change(|view, now| {
-            let evacuated = view.evacuated().after(&orders, revision);
+            let evacuated = view.evacuated().with_orders(&orders, revision);
             view.evacuate(&evacuated, now);
         }),
         News::Rollouts(all, revision) => rollouts::hear_all(hub, &all, revision),
@@ -117,7 +117,7 @@
         Message::Leaving { upstream } => {
             hub.change(|view, now| view.told_leaving(&upstream, now));
         }
-        Message::Draining(draining) => notices::receive(hub, &draining, sender),
+        Message::DrainNotice(draining) => notices::receive(hub, &draining, sender),
         Message::Listed(listed) => hub.change(|view, now| view.told_listed(listed, now)),
         Message::Gone { upstream } => hub.change(|view, now| view.told_gone(&upstream, now)),
         Message::Answer(answer) => asking::answered(hub, answer, sender),
@@ -126,19 +126,19 @@
                 shares.add(&used.workspace, used.tokens, now);
             }
         }),
-        Message::Observed { service, target, all } => {
+        Message::ResponseReports { service, target, all } => {
             hub.rollouts().observe(&service, &target, &all);
         }
         Message::Suspects(all) => suspects::hear(hub, &all),
         Message::Cleared { content } => suspects::cleared(hub, &content),
         // Taken in by the peers.
-        Message::Beat(_) | Message::Ask(_) | Message::AskPlain(_) => {}
+        Message::Heartbeat(_) | Message::Ask(_) | Message::AskPlain(_) => {}
     }
 }
 
 /// Whether this box owns the model of an engine; nothing where nobody owns anything.
 fn owns(hub: &Hub, upstream: &UpstreamName) -> Option<bool> {
-    let owned = hub.peers().owners().of_hash(upstream::hash(upstream));
+    let owned = hub.peers().owners().owners_of_hash(upstream::hash(upstream));
     owned.map(|owned| owned.owner == hub.peers().me())
 }
 
--- a/src/proxy/message.rs
+++ b/src/proxy/message.rs
@@ -5,13 +5,13 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::fleet::draining::Draining;
+use crate::fleet::draining::DrainNotice;
 use crate::fleet::fingerprint::Fingerprint;
-use crate::fleet::members::Beat;
-use crate::fleet::owners::Group;
-use crate::fleet::quarantine::Suspect;
-use crate::fleet::rollout::Side;
-use crate::fleet::rollout::judge::Observed;
+use crate::fleet::members::HeartbeatMessage;
+use crate::fleet::owners::EngineGroup;
+use crate::fleet::quarantine::SuspectReport;
+use crate::fleet::rollout::VersionFilter;
+use crate::fleet::rollout::regression::ResponseReport;
 use crate::names::ServiceName;
 use crate::names::UpstreamName;
 use crate::names::VersionName;
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// A sign of life.
-    Beat(Beat),
+    Heartbeat(HeartbeatMessage),
     /// A request is being sent to an engine.
     Placed {
         /// The engine.
@@ -104,23 +104,23 @@
         upstream: UpstreamName,
     },
     /// What became of answers of a service for which a version is rolled out.
-    Observed {
+    ResponseReports {
         /// The service.
         service: ServiceName,
         /// The version.
         target: VersionName,
         /// One by one.
-        all: Vec<Observed>,
+        all: Vec<ResponseReport>,
     },
     /// Requests were at upstreams when these ended.
-    Suspects(Vec<Suspect>),
+    Suspects(Vec<SuspectReport>),
     /// A suspect has ended well.
     Cleared {
         /// The request.
         content: Fingerprint,
     },
     /// An upstream has said in an answer that it is draining.
-    Draining(Draining),
+    DrainNotice(DrainNotice),
 }
 
 impl Message {
@@ -143,7 +143,7 @@
     /// Names the send.
     pub request: u64,
     /// The engines that are asked for.
-    pub group: Group,
+    pub group: EngineGroup,
     /// Their service.
     pub service: ServiceName,
     /// What is to be read.
@@ -155,7 +155,7 @@
     /// Engines that are out of the question.
     pub except: Vec<UpstreamName>,
     /// The versions that it may go to.
-    pub side: Side,
+    pub side: VersionFilter,
     /// The route's aim, in milliseconds.
     pub aim_ms: u32,
     /// Time that the request has waited already, in milliseconds.
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -62,8 +62,8 @@
 use crate::clock::Clock;
 use crate::clock::SinceBoot;
 use crate::clock::SuspensionMeter;
-use crate::fleet::members::NEWS_EVERY;
-use crate::fleet::owners::Group;
+use crate::fleet::members::GOSSIP_INTERVAL;
+use crate::fleet::owners::EngineGroup;
 use crate::log;
 use crate::metrics;
 use crate::metrics::Metrics;
@@ -82,7 +82,7 @@
 use crate::stop::Signals;
 
 /// Time between looks at what is due.
-const TICK: Duration = NEWS_EVERY;
+const TICK: Duration = GOSSIP_INTERVAL;
 
 /// Time between looks at the settings file, which may change without a signal.
 const SETTINGS_POLL: Duration = Duration::from_secs(1);
@@ -212,7 +212,7 @@
     let mut capacity = Capacity::new(hub.streams_max());
     let mut turned_away = 0;
     let mut crowded_until = Instant::now();
-    let mut kept: BTreeSet<Group> = BTreeSet::new();
+    let mut kept: BTreeSet<EngineGroup> = BTreeSet::new();
     let mut meter = SuspensionMeter::new(hub.clock().clone());
     loop {
         let due = pace::next(TICK);
@@ -240,11 +240,11 @@
         let engines = hub.read(|view| view.fleet().engine_count());
         if hub.peers().refresh(engines) {
             let owners = hub.peers().owners();
-            let now_kept = owners.kept_by(hub.peers().me()).map(|(group, _)| group).collect();
+            let now_kept = owners.groups_of(hub.peers().me()).map(|(group, _)| group).collect();
             hold_cold(&hub, &now_kept, &kept);
             kept = now_kept;
             info!(hub.log(), "owners"; "boxes" => hub.peers().live() + 1, "engines" => engines,
-                "kept" => owners.kept_by(hub.peers().me()).count());
+                "kept" => owners.groups_of(hub.peers().me()).count());
         }
         let is_due = hub.peers().is_store_due();
         if store_due.send_if_modified(|was| std::mem::replace(was, is_due) != is_due) {
@@ -269,7 +269,7 @@
 }
 
 /// What others have just sent to the engines of groups that are new to this box isn't known here.
-fn hold_cold(hub: &Hub, kept: &BTreeSet<Group>, before: &BTreeSet<Group>) {
+fn hold_cold(hub: &Hub, kept: &BTreeSet<EngineGroup>, before: &BTreeSet<EngineGroup>) {
     let until = hub.now() + cold::LOOKS_BACK;
     hub.fleet(|fleet| kept.difference(before).for_each(|group| fleet.hold_cold(*group, until)));
 }
--- a/src/proxy/notices.rs
+++ b/src/proxy/notices.rs
@@ -9,8 +9,8 @@
 
 use slog::info;
 
-use crate::fleet::draining::Draining;
-use crate::fleet::owners::Owned;
+use crate::fleet::draining::DrainNotice;
+use crate::fleet::owners::GroupOwners;
 use crate::names::UpstreamName;
 use crate::placement::upstream;
 use crate::proxy::dialect::NotAsked;
@@ -103,7 +103,7 @@
     if noted.is_some_and(|noted| noted < said.sent) {
         hub.metrics().reached_anyway("draining");
     }
-    let draining = Draining { upstream, born: said.born, said_at: util::unix_millis() };
+    let draining = DrainNotice { upstream, born: said.born, answered_at_ms: util::unix_millis() };
     if !hub.change(|view, now| view.drain(&draining, now)) {
         return;
     }
@@ -113,7 +113,7 @@
 }
 
 /// Applies what another box has read in an answer.
-pub fn receive(hub: &Hub, draining: &Draining, from: IpAddr) {
+pub fn receive(hub: &Hub, draining: &DrainNotice, from: IpAddr) {
     if !hub.change(|view, now| view.drain(draining, now)) {
         return;
     }
@@ -121,17 +121,17 @@
         "born" => draining.born, "by" => %from);
     let owned = owned(hub, &draining.upstream);
     if owned.is_some_and(|owned| owned.owner == hub.peers().me()) {
-        hub.peers().tell(&Message::Draining(draining.clone()));
+        hub.peers().tell(&Message::DrainNotice(draining.clone()));
     }
 }
 
-fn announce(hub: &Hub, draining: Draining) {
+fn announce(hub: &Hub, draining: DrainNotice) {
     let owned = owned(hub, &draining.upstream);
-    let message = Message::Draining(draining);
+    let message = Message::DrainNotice(draining);
     match owned {
         None => hub.peers().tell_at_once(&message),
         Some(owned) if owned.owner == hub.peers().me() => hub.peers().tell(&message),
-        Some(owned) => owned.keepers().for_each(|ip| hub.peers().tell_now(ip, &message)),
+        Some(owned) => owned.boxes().for_each(|ip| hub.peers().tell_now(ip, &message)),
     }
 }
 
@@ -158,12 +158,12 @@
 pub fn resend(hub: &Hub, upstream: &UpstreamName, ip: IpAddr) {
     let said = hub.read(|view| view.draining().get(upstream).cloned());
     if let Some(draining) = said {
-        hub.peers().tell_now(ip, &Message::Draining(draining));
+        hub.peers().tell_now(ip, &Message::DrainNotice(draining));
     }
 }
 
 /// The boxes that place what goes to an upstream; nothing where each box does.
-fn owned(hub: &Hub, name: &UpstreamName) -> Option<Owned> {
+fn owned(hub: &Hub, name: &UpstreamName) -> Option<GroupOwners> {
     let service = hub.read(|view| {
         let fleet = view.fleet();
         let service = fleet.get(name).map(|listed| listed.service.clone());
@@ -171,6 +171,6 @@
     });
     match service {
         Some(service) => plain::owned(hub, &service),
-        None => hub.peers().owners().of_hash(upstream::hash(name)),
+        None => hub.peers().owners().owners_of_hash(upstream::hash(name)),
     }
 }
--- a/src/proxy/peers.rs
+++ b/src/proxy/peers.rs
@@ -15,24 +15,24 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::clock::Clock;
-use crate::fleet::duty;
-use crate::fleet::duty::Colleague;
-use crate::fleet::duty::Situation;
-use crate::fleet::evacuated::Evacuated;
-use crate::fleet::members::Age;
-use crate::fleet::members::Beat;
-use crate::fleet::members::Call;
+use crate::fleet::evacuated::EvacuatedZones;
+use crate::fleet::members::BoxReport;
+use crate::fleet::members::GOSSIP_ROUNDS;
+use crate::fleet::members::HeartbeatMessage;
+use crate::fleet::members::HeartbeatOptions;
+use crate::fleet::members::LivenessUpdate;
 use crate::fleet::members::Member;
 use crate::fleet::members::Members;
-use crate::fleet::members::NEWS_AT_ONCE;
-use crate::fleet::members::Record;
 use crate::fleet::owners::Candidate;
-use crate::fleet::owners::Owners;
+use crate::fleet::owners::OwnerTable;
 use crate::fleet::revision::Revision;
-use crate::fleet::rollout::Told;
-use crate::fleet::standing;
-use crate::fleet::standing::Standing;
-use crate::fleet::standing::Word;
+use crate::fleet::rollout::RolloutReport;
+use crate::fleet::store_watch;
+use crate::fleet::store_watch::WatchInputs;
+use crate::fleet::store_watch::ZoneBox;
+use crate::fleet::sync_state;
+use crate::fleet::sync_state::SyncState;
+use crate::fleet::sync_state::UpstreamListReport;
 use crate::names::BoxName;
 use crate::names::ZoneName;
 use crate::proxy::message::Message;
@@ -72,9 +72,9 @@
     pub(super) is_warm: bool,
     pub(super) upstreams: u64,
     pub(super) revision: Revision,
-    pub(super) evacuated: Evacuated,
+    pub(super) evacuated: EvacuatedZones,
     pub(super) held: u64,
-    pub(super) rollouts: Vec<Told>,
+    pub(super) rollouts: Vec<RolloutReport>,
 }
 
 /// The other boxes.
@@ -109,7 +109,7 @@
     /// The boxes and how many engines, by which the owners were worked out.
     boxes: Vec<Candidate>,
     engines: usize,
-    owners: Arc<Owners>,
+    owners: Arc<OwnerTable>,
 }
 
 /// What waits to be told to all.
@@ -173,7 +173,7 @@
     }
 
     /// Who owns the models of which engines.
-    pub fn owners(&self) -> Arc<Owners> {
+    pub fn owners(&self) -> Arc<OwnerTable> {
         self.seen.lock().expect("no panic under lock").owners.clone()
     }
 
@@ -182,12 +182,12 @@
         let now = self.now();
         let me = Candidate { ip: self.me.ip(), zone: self.zone.clone(), cores: self.cores };
         let candidate = |(ip, member): (IpAddr, &Member)| {
-            let record = member.record.as_ref()?;
-            Some(Candidate { ip, zone: record.zone.clone(), cores: record.cores })
+            let report = member.report.as_ref()?;
+            Some(Candidate { ip, zone: report.zone.clone(), cores: report.cores })
         };
         let (live, known, others) = self.members(|members| {
             let others: Vec<Candidate> = members.live(now).filter_map(candidate).collect();
-            (members.live(now).count(), members.known() + 1, others)
+            (members.live(now).count(), members.known_count() + 1, others)
         });
         let boxes: Vec<Candidate> = others.into_iter().chain([me]).collect();
         let mut seen = self.seen.lock().expect("no panic under lock");
@@ -196,7 +196,7 @@
         if seen.boxes == boxes && seen.engines == engines {
             return false;
         }
-        let owners = Owners::new(&boxes, engines);
+        let owners = OwnerTable::new(&boxes, engines);
         (seen.boxes, seen.engines) = (boxes, engines);
         let has_changed = *seen.owners != owners;
         if has_changed {
@@ -251,11 +251,11 @@
     /// Tells the boxes for which this one watches the store: all in a small fleet, else those of its
     /// zone.
     pub fn tell_followers(&self, message: &Message) {
-        if self.owners().is_none() {
+        if self.owners().is_empty() {
             self.tell(message);
             return;
         }
-        let zone = self.members(|members| members.zone(&self.zone, self.now()));
+        let zone = self.members(|members| members.live_in_zone(&self.zone, self.now()));
         self.tell_some(zone.into_iter(), message);
     }
 
@@ -268,19 +268,19 @@
     pub fn is_store_due(&self) -> bool {
         let now = self.now();
         let colleague = |(ip, member): (IpAddr, &Member)| {
-            let (record, age) = member.word(now)?;
-            let saw_store = record.sees_store.then_some(age);
-            let is_here = record.zone == self.zone;
-            is_here.then_some(Colleague { ip, cores: record.cores, saw_store })
+            let (report, age) = member.report_with_age(now)?;
+            let store_seen_ago = report.sees_store.then_some(age);
+            let is_here = report.zone == self.zone;
+            is_here.then_some(ZoneBox { ip, cores: report.cores, store_seen_ago })
         };
-        let zone: Vec<Colleague> =
+        let zone: Vec<ZoneBox> =
             self.members(|members| members.live(now).filter_map(colleague).collect());
-        duty::is_due(Situation {
+        store_watch::should_watch(WatchInputs {
             me: self.me.ip(),
             cores: self.cores,
-            zone: &zone,
-            alive: self.live() + 1,
-            age: now,
+            zone_boxes: &zone,
+            live_boxes: self.live() + 1,
+            uptime: now,
             is_first_start: self.is_first_start,
         })
     }
@@ -333,48 +333,60 @@
     /// Gives the boxes that are due a sign of life.
     pub(super) fn beat(&self, state: State) {
         let now = self.now();
-        let (to, ages) = self.members(|members| {
+        let (to, updates) = self.members(|members| {
             let mut rng = rand::rng();
             // Those for which this box watches the store rely on its word.
             let zone = state.sees_store.then_some(&self.zone);
-            (members.targets(zone, now, &mut rng), members.ages(now, &mut rng))
+            (
+                members.heartbeat_targets(zone, now, &mut rng),
+                members.heartbeat_updates(now, &mut rng),
+            )
         });
-        self.give_sign(state, ages, &to);
+        self.give_sign(state, updates, &to);
     }
 
     /// Tells what is news of other boxes, if anything is.
     pub(super) fn tell_news(&self, state: impl FnOnce() -> State) {
         let now = self.now();
-        let news: Vec<(Vec<IpAddr>, Vec<Age>)> = self.members(|members| {
-            let take = || members.news(now, &mut rand::rng());
-            std::iter::from_fn(take).take(NEWS_AT_ONCE).collect()
+        let news: Vec<(Vec<IpAddr>, Vec<LivenessUpdate>)> = self.members(|members| {
+            let take = || members.gossip(now, &mut rand::rng());
+            std::iter::from_fn(take).take(GOSSIP_ROUNDS).collect()
         });
         if news.is_empty() {
             return;
         }
         let state = state();
-        let call = Call { asks: false, tells: true };
-        for (to, ages) in news {
+        let call = HeartbeatOptions { requests_reply: false, includes_updates: true };
+        for (to, updates) in news {
             let to = to.into_iter().map(|ip| (ip, call)).collect();
-            self.give_sign(state.clone(), ages, &to);
+            self.give_sign(state.clone(), updates, &to);
         }
     }
 
     /// Gives some boxes a sign of life at once.
     pub(super) fn greet(&self, state: State, to: &BTreeSet<IpAddr>) {
         let now = self.now();
-        let (to, ages) = self.members(|members| {
-            let call = |ip| Call { asks: members.record(ip).is_none(), tells: true };
-            let to: BTreeMap<IpAddr, Call> = to.iter().map(|ip| (*ip, call(*ip))).collect();
-            (to, members.greeting_ages(now, &mut rand::rng()))
+        let (to, updates) = self.members(|members| {
+            let call = |ip| HeartbeatOptions {
+                requests_reply: members.report(ip).is_none(),
+                includes_updates: true,
+            };
+            let to: BTreeMap<IpAddr, HeartbeatOptions> =
+                to.iter().map(|ip| (*ip, call(*ip))).collect();
+            (to, members.reply_updates(now, &mut rand::rng()))
         });
-        self.give_sign(state, ages, &to);
+        self.give_sign(state, updates, &to);
     }
 
-    fn give_sign(&self, state: State, ages: Vec<Age>, to: &BTreeMap<IpAddr, Call>) {
+    fn give_sign(
+        &self,
+        state: State,
+        updates: Vec<LivenessUpdate>,
+        to: &BTreeMap<IpAddr, HeartbeatOptions>,
+    ) {
         let State { version, sees_store, is_warm, upstreams, revision, evacuated, held, rollouts } =
             state;
-        let record = Record {
+        let report = BoxReport {
             name: self.name.clone(),
             zone: self.zone.clone(),
             addr: self.me,
@@ -383,25 +395,27 @@
             version,
             sees_store,
             is_warm,
-            upstreams,
+            upstreams_digest: upstreams,
             revision,
             evacuated,
-            held,
+            held_digest: held,
             rollouts,
         };
-        let mut beat = Beat { record, asks: false, ages };
-        for tells in [true, false] {
-            if !tells {
-                beat.ages.clear();
+        let mut beat = HeartbeatMessage { report, requests_reply: false, updates };
+        for includes_updates in [true, false] {
+            if !includes_updates {
+                beat.updates.clear();
             }
-            for asks in [false, true] {
-                let call = Call { asks, tells };
+            for requests_reply in [false, true] {
+                let call = HeartbeatOptions { requests_reply, includes_updates };
                 let mut to = to.iter().filter(|(_, c)| **c == call).map(|(ip, _)| *ip).peekable();
                 if to.peek().is_none() {
                     continue;
                 }
-                beat.asks = asks;
-                let Ok(buf) = postcard::to_stdvec(&Message::Beat(beat.clone())) else { continue };
+                beat.requests_reply = requests_reply;
+                let Ok(buf) = postcard::to_stdvec(&Message::Heartbeat(beat.clone())) else {
+                    continue;
+                };
                 to.for_each(|ip| self.send(&buf, ip));
             }
         }
@@ -433,35 +447,35 @@
     /// A box that has just said that it holds other requests back than those of this digest.
     pub(super) fn with_other_held(&self, own: u64) -> Option<SocketAddr> {
         let now = self.now();
-        let is_other = |r: &Record| r.held != 0 && r.held != own;
+        let is_other = |r: &BoxReport| r.held_digest != 0 && r.held_digest != own;
         self.members(|members| {
-            let words = members.live(now).filter_map(|(_, member)| member.word(now));
+            let words = members.live(now).filter_map(|(_, member)| member.report_with_age(now));
             let others = words.filter(|(r, age)| *age < HELD_FRESH && is_other(r));
             others.choose(&mut rand::rng()).map(|(r, _)| r.addr)
         })
     }
 
     /// What those others say that are alive of a service's roll-out, each by its last word.
-    pub(super) fn rollouts_told(&self, service: &str) -> Vec<Option<Told>> {
+    pub(super) fn rollouts_told(&self, service: &str) -> Vec<Option<RolloutReport>> {
         let now = self.now();
         let told = |(_, member): (IpAddr, &Member)| {
-            let record = member.record.as_ref()?;
-            record.rollouts.iter().find(|told| &*told.service == service).cloned()
+            let report = member.report.as_ref()?;
+            report.rollouts.iter().find(|told| &*told.service == service).cloned()
         };
         self.members(|members| members.live(now).map(told).collect())
     }
 
     /// How this box stands to those that watch the store for it, while it lists what has this digest and
     /// its list is whole up to this revision.
-    pub(super) fn standing(&self, revision: Revision, upstreams: u64) -> Standing {
+    pub(super) fn standing(&self, revision: Revision, upstreams: u64) -> SyncState {
         let now = self.now();
         let word = |(_, member): (IpAddr, &Member)| {
-            let (r, age) = member.word(now)?;
-            let Record { addr, sees_store, revision, upstreams, .. } = *r;
-            Some(Word { addr, sees_store, revision, upstreams, age })
+            let (r, age) = member.report_with_age(now)?;
+            let BoxReport { addr, sees_store, revision, upstreams_digest, .. } = *r;
+            Some(UpstreamListReport { addr, sees_store, revision, upstreams_digest, age })
         };
         self.members(|members| {
-            standing::judge(revision, upstreams, members.live(now).filter_map(word))
+            sync_state::evaluate(revision, upstreams, members.live(now).filter_map(word))
         })
     }
 
@@ -470,16 +484,16 @@
         let now = self.now();
         self.members(|members| {
             let (_, member) = members.live(now).find(|(live, _)| *live == ip)?;
-            member.record.as_ref().map(|r| r.addr)
+            member.report.as_ref().map(|r| r.addr)
         })
     }
 
     /// Of the boxes that are alive and have a rank, one with the highest. Boxes with the same rank
     /// are asked by different ones: when many start at once, one alone could not answer them all.
-    fn pick<R: Ord>(&self, rank: impl Fn(&Record) -> Option<R>) -> Option<SocketAddr> {
+    fn pick<R: Ord>(&self, rank: impl Fn(&BoxReport) -> Option<R>) -> Option<SocketAddr> {
         let now = self.now();
         self.members(|members| {
-            let records = members.live(now).filter_map(|(_, m)| m.record.as_ref());
+            let records = members.live(now).filter_map(|(_, m)| m.report.as_ref());
             let ranked = records.filter_map(|r| Some((rank(r)?, self.draw(&r.addr), r.addr)));
             ranked.max().map(|(_, _, addr)| addr)
         })
--- a/src/proxy/placed.rs
+++ b/src/proxy/placed.rs
@@ -9,7 +9,7 @@
 
 use slog::info;
 
-use crate::fleet::rollout::judge::Finding;
+use crate::fleet::rollout::regression::ResponseOutcome;
 use crate::names::ServiceName;
 use crate::names::UpstreamName;
 use crate::names::VersionName;
@@ -141,7 +141,7 @@
 
     /// Notes that the answer is a failure of the upstream's.
     pub fn failed(&self) {
-        self.found(Some(Finding::Failed));
+        self.found(Some(ResponseOutcome::Failed));
     }
 
     /// Notes that the answer came whole, in so many pieces.
@@ -151,7 +151,7 @@
         self.found(took.filter(|_| 1 < pieces).map(|took| Mark::pace(took, pieces - 1)));
     }
 
-    fn found(&self, finding: Option<Finding>) {
+    fn found(&self, finding: Option<ResponseOutcome>) {
         if let (Some(mark), Some(finding)) = (&self.mark, finding) {
             self.hub.rollouts().note(mark, finding);
         }
--- a/src/proxy/placing.rs
+++ b/src/proxy/placing.rs
@@ -5,7 +5,7 @@
 use slog::info;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::fleet::rollout::Side;
+use crate::fleet::rollout::VersionFilter;
 use crate::names::UpstreamName;
 use crate::names::WorkspaceName;
 use crate::placement::admit::Denial;
@@ -37,9 +37,9 @@
         let request = xxh3_64(name.as_bytes());
         let side = self.side();
         let mut decided = self.decide(request, side).await;
-        let has_no_room = side == Side::Target && decided.decision.is_err();
+        let has_no_room = side == VersionFilter::Target && decided.decision.is_err();
         if has_no_room && self.begun_at.is_none() && self.may_fall_back() {
-            decided = self.decide(request, Side::Others).await;
+            decided = self.decide(request, VersionFilter::Others).await;
         }
         match &decided.decision {
             Ok(choice) => self.log_placed(choice, &decided),
@@ -53,7 +53,7 @@
         Ok((choice, placed))
     }
 
-    async fn decide(&self, request: u64, side: Side) -> Decided {
+    async fn decide(&self, request: u64, side: VersionFilter) -> Decided {
         match &self.head.prompt {
             Some(prompt) => self.place_prompt(prompt, request, side).await,
             None => self.place_plain(request, side).await,
@@ -61,7 +61,7 @@
     }
 
     /// The versions that the request may go to: an answer that has begun is gone on with by the same one.
-    fn side(&self) -> Side {
+    fn side(&self) -> VersionFilter {
         let (rollouts, now) = (self.hub.rollouts(), self.hub.now());
         match &self.begun_at {
             Some(version) => rollouts.side_of(&self.service, version, now),
@@ -73,7 +73,7 @@
         self.hub.rollouts().may_fall_back(&self.service)
     }
 
-    async fn place_prompt(&self, prompt: &Prompt, request: u64, side: Side) -> Decided {
+    async fn place_prompt(&self, prompt: &Prompt, request: u64, side: VersionFilter) -> Decided {
         let except = self.except();
         let wish = Wish {
             request,
@@ -95,7 +95,7 @@
         asking::place(&self.hub, wish).await
     }
 
-    async fn place_plain(&self, request: u64, side: Side) -> Decided {
+    async fn place_plain(&self, request: u64, side: VersionFilter) -> Decided {
         let now = self.hub.now();
         let resting = self.hub.read(|view| view.fleet().resting(&self.service, now));
         let except: Vec<UpstreamName> = self.except().into_iter().chain(resting).collect();
@@ -118,7 +118,7 @@
     }
 
     /// Chooses any upstream of a plain service; nobody counts that.
-    fn choose_plain(&self, request: u64, side: Side) -> Decided {
+    fn choose_plain(&self, request: u64, side: VersionFilter) -> Decided {
         let except = self.except();
         let any = Wanted::any(&self.service, None, &except, Duration::MAX);
         let wanted = Wanted { side, ..any };
--- a/src/proxy/plain.rs
+++ b/src/proxy/plain.rs
@@ -10,8 +10,8 @@
 use slog::info;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::fleet::owners::Owned;
-use crate::fleet::rollout::Side;
+use crate::fleet::owners::GroupOwners;
+use crate::fleet::rollout::VersionFilter;
 use crate::names::ServiceName;
 use crate::names::UpstreamName;
 use crate::names::WorkspaceName;
@@ -42,7 +42,7 @@
     /// Upstreams that are out of the question.
     pub except: Vec<UpstreamName>,
     /// The versions that it may go to.
-    pub side: Side,
+    pub side: VersionFilter,
     /// The route's aim, in milliseconds.
     pub aim_ms: u32,
     /// Time that the request has waited already, in milliseconds.
@@ -50,19 +50,19 @@
 }
 
 /// The boxes that count the upstreams of a plain service; nothing where each box does.
-pub fn owned(hub: &Hub, service: &str) -> Option<Owned> {
-    hub.peers().owners().of_hash(xxh3_64(service.as_bytes()))
+pub fn owned(hub: &Hub, service: &str) -> Option<GroupOwners> {
+    hub.peers().owners().owners_of_hash(xxh3_64(service.as_bytes()))
 }
 
 /// Places a request, or says why it isn't placed; nothing if nobody who counts answers.
 pub async fn place(hub: &Arc<Hub>, wish: Wish<'_>) -> Option<Decided> {
     let (me, request) = (hub.peers().me(), wish.request);
-    if hub.peers().owners().is_none() {
+    if hub.peers().owners().is_empty() {
         let role = Role::Peer { boxes: hub.peers().known(), draw: hub.peers().own_draw("") };
         return Some(Decided { decision: place_for_all(hub, wish), by: me, role, request });
     }
     let owned = owned(hub, wish.service)?;
-    for ip in owned.keepers() {
+    for ip in owned.boxes() {
         let role = owned.role(ip);
         if ip == me {
             return Some(Decided { decision: place_here(hub, wish, owned), by: me, role, request });
@@ -78,7 +78,7 @@
             }
             // The backoff began while the owner was asked.
             Some(Ok(choice)) if hub.is_backing_off(&choice.upstream) => {
-                asking::withdraw(hub, request, owned.keepers());
+                asking::withdraw(hub, request, owned.boxes());
                 continue;
             }
             Some(decision) => return Some(Decided { decision, by: ip, role, request }),
@@ -86,7 +86,7 @@
                 info!(hub.log(), "no answer of an owner"; "ip" => %ip, "service" => wish.service)
             }
         }
-        asking::withdraw(hub, request, owned.keepers());
+        asking::withdraw(hub, request, owned.boxes());
         hub.asking().suspect(ip, hub.now());
     }
     None
@@ -115,17 +115,17 @@
 /// Tells those who count the upstreams of a plain service; all boxes in a small fleet.
 pub fn tell(hub: &Hub, service: &str, message: &Message) {
     match owned(hub, service) {
-        Some(owned) => hub.peers().tell_some(owned.keepers(), message),
+        Some(owned) => hub.peers().tell_some(owned.boxes(), message),
         None => hub.peers().tell(message),
     }
 }
 
 /// Places a request by what this box counts, which tells the other one of owner and standby.
-fn place_here(hub: &Hub, wish: Wish<'_>, owned: Owned) -> Decision {
+fn place_here(hub: &Hub, wish: Wish<'_>, owned: GroupOwners) -> Decision {
     let placed = hub.admit_plain(wish);
     if let Ok(choice) = &placed {
         let message = told(&Wish { workspace: None, ..wish }, choice);
-        hub.peers().tell_some(owned.keepers(), &message);
+        hub.peers().tell_some(owned.boxes(), &message);
     }
     placed
 }
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -18,8 +18,8 @@
 use slog::info;
 use tokio::time::Instant;
 
-use crate::fleet::fingerprint::Content;
 use crate::fleet::fingerprint::Fingerprint;
+use crate::fleet::fingerprint::RequestContent;
 use crate::names::ServiceName;
 use crate::names::UpstreamName;
 use crate::names::VersionName;
@@ -260,9 +260,9 @@
     }
 
     /// What the request asks for.
-    fn content(&self) -> Content<'_> {
+    fn content(&self) -> RequestContent<'_> {
         let target = self.parts.uri.path_and_query();
-        Content {
+        RequestContent {
             method: self.parts.method.as_str(),
             host: &self.head.host,
             target: target.map_or("/", |target| target.as_str()),
@@ -296,7 +296,7 @@
     /// Whether this may be a request that upstreams have ended under; if not, nothing needs to be worked out.
     fn may_be_known(&self) -> bool {
         let suspects = self.hub.suspects();
-        suspects.read(|known| !known.is_empty() && known.may_know(self.content().hint()))
+        suspects.read(|known| !known.is_empty() && known.may_contain(self.content().quick_hash()))
     }
 
     /// Notes that the answer broke off, and ends the request's entry in the models. `is_sure` if the upstream has ended.
--- a/src/proxy/rollouts.rs
+++ b/src/proxy/rollouts.rs
@@ -14,17 +14,17 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::fleet::revision::Revision;
-use crate::fleet::rollout::Entry;
 use crate::fleet::rollout::Outcome;
+use crate::fleet::rollout::RolloutEntry;
+use crate::fleet::rollout::RolloutReport;
 use crate::fleet::rollout::Rollouts;
-use crate::fleet::rollout::Side;
-use crate::fleet::rollout::Situation;
 use crate::fleet::rollout::Stage;
-use crate::fleet::rollout::Told;
-use crate::fleet::rollout::judge::Finding;
-use crate::fleet::rollout::judge::Judge;
-use crate::fleet::rollout::judge::Observed;
-use crate::fleet::rollout::judge::step;
+use crate::fleet::rollout::StageInputs;
+use crate::fleet::rollout::VersionFilter;
+use crate::fleet::rollout::regression::RegressionDetector;
+use crate::fleet::rollout::regression::ResponseOutcome;
+use crate::fleet::rollout::regression::ResponseReport;
+use crate::fleet::rollout::regression::time_bucket;
 use crate::names::ServiceName;
 use crate::names::VersionName;
 use crate::proxy::dialect;
@@ -68,9 +68,9 @@
 #[derive(Default)]
 struct Evidence {
     target: Option<VersionName>,
-    judge: Judge,
+    judge: RegressionDetector,
     /// What this box has seen and not told yet.
-    untold: Vec<Observed>,
+    untold: Vec<ResponseReport>,
     /// What the store holds by this box's word; nothing before the first.
     reported: Option<Option<Outcome>>,
 }
@@ -101,30 +101,30 @@
     }
 
     /// Which engines of a service the request of this id goes to.
-    pub fn side(&self, service: &str, id: &str, now: Duration) -> Side {
+    pub fn side(&self, service: &str, id: &str, now: Duration) -> VersionFilter {
         if !self.is_any() {
-            return Side::Any;
+            return VersionFilter::Any;
         }
         let draw = xxh3_64_with_seed(id.as_bytes(), DRAW_SEED) as f64 / u64::MAX as f64;
-        self.with(|inner| inner.rollouts.side(service, draw, now))
+        self.with(|inner| inner.rollouts.version_filter(service, draw, now))
     }
 
     /// The engines that may go on with an answer that one of this version has begun.
-    pub fn side_of(&self, service: &str, begun: &VersionName, now: Duration) -> Side {
+    pub fn side_of(&self, service: &str, begun: &VersionName, now: Duration) -> VersionFilter {
         if !self.is_any() {
-            return Side::Any;
+            return VersionFilter::Any;
         }
         self.with(|inner| match inner.rollouts.target(service, now) {
-            None => Side::Any,
-            Some(target) if target == begun => Side::Target,
-            Some(_) => Side::Others,
+            None => VersionFilter::Any,
+            Some(target) if target == begun => VersionFilter::Target,
+            Some(_) => VersionFilter::Others,
         })
     }
 
     /// Whether a request that the new version has no room for may go to the others.
     pub fn may_fall_back(&self, service: &str) -> bool {
         self.with(|inner| {
-            inner.rollouts.under_way(service).is_some_and(|(_, stage)| stage < Stage::Moved)
+            inner.rollouts.in_progress(service).is_some_and(|(_, stage)| stage < Stage::Moved)
         })
     }
 
@@ -134,7 +134,7 @@
             return None;
         }
         let order =
-            self.with(|inner| inner.rollouts.under_way(service).map(|(order, _)| order.clone()))?;
+            self.with(|inner| inner.rollouts.in_progress(service).map(|(order, _)| order.clone()))?;
         Some(Mark {
             service: service.clone(),
             is_target: order.target == *version,
@@ -144,21 +144,21 @@
     }
 
     /// Notes what became of an answer.
-    pub fn note(&self, mark: &Mark, finding: Finding) {
+    pub fn note(&self, mark: &Mark, finding: ResponseOutcome) {
         let Mark { ref service, ref target, is_target, route } = *mark;
         self.with(|inner| {
             let evidence = inner.evidence(service, target);
             if evidence.untold.len() < UNTOLD_MAX {
-                evidence.untold.push(Observed { is_target, route, finding });
+                evidence.untold.push(ResponseReport { is_target, route, outcome: finding });
             }
         });
     }
 
     /// Takes in what became of answers at another box.
-    pub fn observe(&self, service: &ServiceName, target: &VersionName, all: &[Observed]) {
+    pub fn observe(&self, service: &ServiceName, target: &VersionName, all: &[ResponseReport]) {
         self.with(|inner| {
             let is_current = |t: &&VersionName| *t == target;
-            let order = inner.rollouts.under_way(service).map(|(order, _)| &order.target);
+            let order = inner.rollouts.in_progress(service).map(|(order, _)| &order.target);
             if order.filter(is_current).is_none() {
                 return;
             }
@@ -179,28 +179,28 @@
 }
 
 /// Takes in what another box says with a sign of life.
-pub fn hear(hub: &Hub, all: &[Told]) {
+pub fn hear(hub: &Hub, all: &[RolloutReport]) {
     if all.is_empty() {
         return;
     }
     let now = hub.now();
-    change(hub, |rollouts| all.iter().filter(|told| rollouts.hear(told, now)).count() != 0);
+    change(hub, |rollouts| all.iter().filter(|told| rollouts.merge_report(told, now)).count() != 0);
 }
 
 /// Takes in what the store says of one order.
-pub fn hear_store(hub: &Hub, entry: &Entry) {
+pub fn hear_store(hub: &Hub, entry: &RolloutEntry) {
     let now = hub.now();
-    change(hub, |rollouts| rollouts.hear_store(entry, now));
+    change(hub, |rollouts| rollouts.apply_entry(entry, now));
 }
 
 /// Takes in all orders that the store holds.
-pub fn hear_all(hub: &Hub, all: &[Entry], revision: Revision) {
+pub fn hear_all(hub: &Hub, all: &[RolloutEntry], revision: Revision) {
     let now = hub.now();
-    change(hub, |rollouts| rollouts.hear_all(all, revision, now));
+    change(hub, |rollouts| rollouts.apply_list(all, revision, now));
 }
 
 /// What this box says with its signs of life.
-pub fn told(hub: &Hub) -> Vec<Told> {
+pub fn told(hub: &Hub) -> Vec<RolloutReport> {
     let state = hub.rollouts();
     if !state.is_any() {
         return Vec::new();
@@ -209,7 +209,7 @@
     hub.read(|view| {
         let running =
             |service: &str, version: &str| view.fleet().outstanding_beside(service, version);
-        state.with(|inner| inner.rollouts.told(now, running))
+        state.with(|inner| inner.rollouts.reports(now, running))
     })
 }
 
@@ -234,8 +234,8 @@
 
 fn stages(hub: &Hub) -> Vec<(ServiceName, Stage)> {
     hub.rollouts().with(|inner| {
-        let all = inner.rollouts.services().into_iter();
-        all.filter_map(|s| Some((s.clone(), inner.rollouts.under_way(&s)?.1))).collect()
+        let all = inner.rollouts.open_services().into_iter();
+        all.filter_map(|s| Some((s.clone(), inner.rollouts.in_progress(&s)?.1))).collect()
     })
 }
 
@@ -248,10 +248,10 @@
         }
         let now = hub.now();
         change(&hub, |rollouts| {
-            rollouts.tick(now);
+            rollouts.expire(now);
             false
         });
-        let services = hub.rollouts().with(|inner| inner.rollouts.services());
+        let services = hub.rollouts().with(|inner| inner.rollouts.open_services());
         for service in services {
             tell(&hub, &service);
             judge(&hub, &service);
@@ -270,7 +270,7 @@
     });
     let Some(target) = target else { return };
     let keepers = plain::owned(hub, service);
-    if keepers.is_none_or(|owned| owned.keepers().any(|ip| ip == hub.peers().me())) {
+    if keepers.is_none_or(|owned| owned.boxes().any(|ip| ip == hub.peers().me())) {
         hub.rollouts().observe(service, &target, &untold);
     }
     for all in untold.chunks(TOLD_MAX) {
@@ -278,7 +278,7 @@
         plain::tell(
             hub,
             &service.clone(),
-            &Message::Observed { service, target, all: all.to_vec() },
+            &Message::ResponseReports { service, target, all: all.to_vec() },
         );
     }
 }
@@ -287,7 +287,7 @@
 /// Both hear the same, and the stage is the greater of what they find, so neither waits for the other.
 fn is_judge(hub: &Hub, service: &ServiceName) -> bool {
     match plain::owned(hub, service) {
-        Some(owned) => owned.keepers().any(|ip| ip == hub.peers().me()),
+        Some(owned) => owned.boxes().any(|ip| ip == hub.peers().me()),
         None => hub.peers().rank_for(service.as_bytes()) < JUDGES,
     }
 }
@@ -296,9 +296,9 @@
 /// version though its judges are gone.
 fn judge(hub: &Hub, service: &ServiceName) {
     let Some((target, is_bad, answers)) = hub.rollouts().with(|inner| {
-        let target = inner.rollouts.under_way(service)?.0.target.clone();
+        let target = inner.rollouts.in_progress(service)?.0.target.clone();
         let judge = &inner.evidence(service, &target).judge;
-        Some((target, judge.is_bad(), judge.answers()))
+        Some((target, judge.has_regressed(), judge.min_responses()))
     }) else {
         return;
     };
@@ -306,8 +306,9 @@
         return;
     }
     let slots = hub.read(|view| view.fleet().slots_by(service, &target));
-    let (situation, now) = (Situation { answers, is_bad, slots }, hub.now());
-    change(hub, |rollouts| match rollouts.judge(service, situation, now) {
+    let (situation, now) =
+        (StageInputs { min_responses: answers, has_regressed: is_bad, slots }, hub.now());
+    change(hub, |rollouts| match rollouts.advance(service, situation, now) {
         Some(stage) => {
             info!(hub.log(), "roll-out judged"; "service" => service.as_str(),
                 "version" => target.as_str(), "stage" => ?stage, "answers" => answers,
@@ -322,7 +323,7 @@
 /// any box that lives has a request there or hasn't said that it sends none.
 async fn report(hub: &Hub, service: &ServiceName, adapter: &dyn dialect::Rollouts) {
     let Some((target, stage, reported)) = hub.rollouts().with(|inner| {
-        let (order, stage) = inner.rollouts.under_way(service)?;
+        let (order, stage) = inner.rollouts.in_progress(service)?;
         let target = order.target.clone();
         let reported = inner.evidence(service, &target).reported;
         Some((target, stage, reported))
@@ -348,7 +349,7 @@
             });
             if let Some(held) = held {
                 change(hub, |rollouts| {
-                    rollouts.ended(service, &target, held);
+                    rollouts.record_outcome(service, &target, held);
                     true
                 });
             }
@@ -369,17 +370,19 @@
 
 impl Mark {
     /// What became of an answer whose first piece came, or had not come, after this time.
-    pub fn first(took: Duration) -> Finding {
-        Finding::First(step(took.as_secs_f64() * 1e3))
+    pub fn first(took: Duration) -> ResponseOutcome {
+        ResponseOutcome::FirstChunk(time_bucket(took.as_secs_f64() * 1e3))
     }
 
     /// What became of an answer of which so many pieces came in this time.
-    pub fn pace(took: Duration, pieces: u32) -> Finding {
-        Finding::Pace(step(took.as_secs_f64() * 1e3 / f64::from(pieces.max(1))))
+    pub fn pace(took: Duration, pieces: u32) -> ResponseOutcome {
+        ResponseOutcome::ChunkInterval(time_bucket(
+            took.as_secs_f64() * 1e3 / f64::from(pieces.max(1)),
+        ))
     }
 
     /// What became of an answer that never began, if its request has waited long enough to say anything.
-    pub fn awaited(took: Duration) -> Option<Finding> {
+    pub fn awaited(took: Duration) -> Option<ResponseOutcome> {
         (AWAITED_MIN <= took).then(|| Mark::first(took))
     }
 }
--- a/src/proxy/side.rs
+++ b/src/proxy/side.rs
@@ -16,8 +16,8 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-use crate::fleet::owners::Group;
-use crate::fleet::quarantine::Suspect;
+use crate::fleet::owners::EngineGroup;
+use crate::fleet::quarantine::SuspectReport;
 use crate::placement::fleet::learned::Learned;
 use crate::proxy::Stop;
 use crate::proxy::ask;
@@ -95,7 +95,10 @@
 }
 
 /// Asks another box what it has learned of engines, or of those of one group.
-pub async fn ask_learned(addr: SocketAddr, group: Option<Group>) -> Result<Learned, AskError> {
+pub async fn ask_learned(
+    addr: SocketAddr,
+    group: Option<EngineGroup>,
+) -> Result<Learned, AskError> {
     let path = match group {
         Some(group) => format!("{LEARNED_PATH}/{group}"),
         None => LEARNED_PATH.to_owned(),
@@ -104,7 +107,7 @@
 }
 
 /// Asks another box which requests it holds back.
-pub async fn ask_held(addr: SocketAddr) -> Result<Vec<Suspect>, AskError> {
+pub async fn ask_held(addr: SocketAddr) -> Result<Vec<SuspectReport>, AskError> {
     Ok(postcard::from_bytes(&ask_for(addr, HELD_PATH).await?)?)
 }
 
@@ -157,10 +160,15 @@
 
     fn held(&self) -> Response<Bytes> {
         let now = self.hub.now();
-        packed(&self.hub.suspects().read(|held| held.held(now).collect::<Vec<Suspect>>()))
+        packed(
+            &self
+                .hub
+                .suspects()
+                .read(|held| held.held_reports(now).collect::<Vec<SuspectReport>>()),
+        )
     }
 
-    fn learned(&self, group: Option<Group>) -> Response<Bytes> {
+    fn learned(&self, group: Option<EngineGroup>) -> Response<Bytes> {
         packed(&self.hub.read(|view| view.learned(group)))
     }
 }
--- a/src/proxy/suspects.rs
+++ b/src/proxy/suspects.rs
@@ -22,7 +22,7 @@
 use crate::fleet::quarantine::CRASHES_MAX;
 use crate::fleet::quarantine::Hold;
 use crate::fleet::quarantine::Quarantine;
-use crate::fleet::quarantine::Suspect;
+use crate::fleet::quarantine::SuspectReport;
 use crate::fleet::quarantine::Verdict;
 use crate::names::UpstreamName;
 use crate::proxy::dialect::NotKept;
@@ -165,7 +165,7 @@
     /// ends.
     pub fn would_be_too_many(&self, content: &Fingerprint, now: Duration) -> bool {
         self.with(|inner| {
-            CRASHES_MAX <= inner.quarantine.crashes(content) + inner.unexplained(content, now)
+            CRASHES_MAX <= inner.quarantine.crash_count(content) + inner.unexplained(content, now)
         })
     }
 
@@ -188,7 +188,7 @@
     /// Forgets what was long ago.
     pub fn tick(&self, now: Duration) {
         self.with(|inner| {
-            inner.quarantine.tick(now);
+            inner.quarantine.expire(now);
             while inner.waiting.front().is_some_and(|w| w.at + WAITS_FOR < now) {
                 inner.waiting.pop_front();
             }
@@ -201,7 +201,7 @@
 pub fn held_for(hub: &Hub, content: &Fingerprint) -> Option<Duration> {
     let now = hub.now();
     match hub.suspects().read(|quarantine| quarantine.verdict(content, now)) {
-        Verdict::Free => None,
+        Verdict::Allowed => None,
         Verdict::Held(left) => Some(left),
         // One box tries for all, so that no more than one upstream ends by it.
         Verdict::OnTrial => {
@@ -282,12 +282,12 @@
     let (mut held, told) = hub.suspects().with(|Inner { quarantine, .. }| {
         let mut held = Vec::new();
         for (content, start) in &crashes {
-            if let Some(hold) = quarantine.crashed(*content, *start, now) {
+            if let Some(hold) = quarantine.record_crash(*content, *start, now) {
                 held.push((*content, hold));
             }
         }
-        let told = crashes.iter().filter_map(|(content, _)| quarantine.told(content, now));
-        (held, told.collect::<Vec<Suspect>>())
+        let told = crashes.iter().filter_map(|(content, _)| quarantine.report(content, now));
+        (held, told.collect::<Vec<SuspectReport>>())
     });
     for chunk in told.chunks(TOLD_MAX) {
         // The next end is the last that is allowed, or was; a datagram may be lost.
@@ -296,18 +296,18 @@
         (0..copies).for_each(|_| hub.peers().tell_at_once(&message));
     }
     held.iter().for_each(|(content, hold)| tell_hold(hub, content, *hold, "seen"));
-    held.retain(|(_, hold)| *hold == Hold::Firm);
+    held.retain(|(_, hold)| *hold == Hold::Confirmed);
     if !held.is_empty() {
         hub.suspects().to_keep(held.into_iter().map(|(content, _)| content).collect());
     }
 }
 
 /// Takes in what another box tells.
-pub fn hear(hub: &Hub, all: &[Suspect]) {
+pub fn hear(hub: &Hub, all: &[SuspectReport]) {
     let now = hub.now();
     for suspect in all {
-        if let Some(hold) = hub.suspects().with(|inner| inner.quarantine.hear(suspect, now)) {
-            tell_hold(hub, &suspect.content, hold, "told");
+        if let Some(hold) = hub.suspects().with(|inner| inner.quarantine.merge(suspect, now)) {
+            tell_hold(hub, &suspect.fingerprint, hold, "told");
         }
     }
 }
@@ -319,7 +319,7 @@
 
 fn tell_hold(hub: &Hub, content: &Fingerprint, hold: Hold, by: &'static str) {
     warn!(hub.log(), "request held back"; "content" => %content, "by" => by,
-        "until_tried" => hold == Hold::ForNow, "upstreams_ended" => CRASHES_MAX);
+        "until_tried" => hold == Hold::Provisional, "upstreams_ended" => CRASHES_MAX);
     hub.metrics().held_back(by);
 }
 
@@ -328,7 +328,7 @@
 pub async fn catch_up(hub: Arc<Hub>) {
     loop {
         pace::wait(LOOK_EVERY).await;
-        let own = hub.suspects().read(|quarantine| quarantine.digest(hub.now()));
+        let own = hub.suspects().read(|quarantine| quarantine.held_digest(hub.now()));
         let Some(addr) = hub.peers().with_other_held(own) else { continue };
         match side::ask_held(addr).await {
             Ok(all) => hear(&hub, &all),
@@ -346,7 +346,7 @@
             hub.suspects().to_keep.notified().await;
             continue;
         };
-        let told = hub.suspects().read(|quarantine| quarantine.told(&content, hub.now()));
+        let told = hub.suspects().read(|quarantine| quarantine.report(&content, hub.now()));
         let kept = match &told {
             Some(suspect) => records.keep(suspect).await,
             // Nothing is held against it any more.
@@ -393,11 +393,11 @@
     }
 }
 
-async fn take_kept(hub: &Hub, records: &dyn Records, all: &[Suspect]) {
+async fn take_kept(hub: &Hub, records: &dyn Records, all: &[SuspectReport]) {
     hear(hub, all);
-    for Suspect { content, .. } in all {
+    for SuspectReport { fingerprint: content, .. } in all {
         let verdict = hub.suspects().read(|known| known.verdict(content, hub.now()));
-        if verdict != Verdict::Free {
+        if verdict != Verdict::Allowed {
             continue;
         }
         // It was long ago. Another box may do the same at the same time.
--- a/src/proxy/view.rs
+++ b/src/proxy/view.rs
@@ -11,9 +11,9 @@
 use serde::Serialize;
 
 use crate::fleet::draining;
-use crate::fleet::draining::Draining;
-use crate::fleet::evacuated::Evacuated;
-use crate::fleet::owners::Group;
+use crate::fleet::draining::DrainNotice;
+use crate::fleet::evacuated::EvacuatedZones;
+use crate::fleet::owners::EngineGroup;
 use crate::fleet::revision::Revision;
 use crate::names::UpstreamName;
 use crate::names::ZoneName;
@@ -77,7 +77,7 @@
     /// An upstream's entry is missing; it is kept until it is sure to be gone.
     Missing(UpstreamName),
     /// Other zones are evacuated than before.
-    Evacuated(Evacuated),
+    Evacuated(EvacuatedZones),
     /// The store has come back from an older copy, and counts this era.
     Restored(u64),
     /// An upstream of this name and address has started anew, by its own clock at this time in milliseconds since
@@ -102,11 +102,11 @@
     history: History,
     /// Upstreams whose entries may have lapsed while the store was away.
     missing: BTreeSet<UpstreamName>,
-    evacuated: Evacuated,
+    evacuated: EvacuatedZones,
     /// Zones whose evacuation an older copy of the store lacks, until when they are kept so all the same.
     held_zones: BTreeMap<ZoneName, Duration>,
     /// Upstreams that have said themselves that they are draining.
-    draining: draining::Marks,
+    draining: draining::DrainNotices,
     /// Upstreams that are gone. Another start of one may have its name.
     dropped: BTreeMap<UpstreamName, Dropped>,
     /// Upstreams that are listed though there is reason to believe that they are gone or draining, and when the list is
@@ -135,9 +135,9 @@
             fleet,
             history: History::default(),
             missing: BTreeSet::new(),
-            evacuated: Evacuated::default(),
+            evacuated: EvacuatedZones::default(),
             held_zones: BTreeMap::new(),
-            draining: draining::Marks::default(),
+            draining: draining::DrainNotices::default(),
             dropped: BTreeMap::new(),
             returned: BTreeMap::new(),
             unreadable: BTreeMap::new(),
@@ -172,14 +172,14 @@
     }
 
     /// The zones whose engines get nothing.
-    pub fn evacuated(&self) -> &Evacuated {
+    pub fn evacuated(&self) -> &EvacuatedZones {
         &self.evacuated
     }
 
     /// Takes over which zones are evacuated, if that is newer than what is known. Engines of a zone that is
     /// taken back may have turned cold.
-    pub fn evacuate(&mut self, evacuated: &Evacuated, now: Duration) {
-        let Evacuated { revision, zones: before } = self.evacuated.clone();
+    pub fn evacuate(&mut self, evacuated: &EvacuatedZones, now: Duration) {
+        let EvacuatedZones { revision, zones: before } = self.evacuated.clone();
         if !self.evacuated.merge(evacuated) {
             return;
         }
@@ -373,7 +373,7 @@
         self.returned.remove(&listed.name);
         self.unreadable.remove(&listed.name);
         let has_drained = self.draining.get(&listed.name).is_some();
-        let drains = self.draining.covers(&listed.name, listed.born, now);
+        let drains = self.draining.is_draining(&listed.name, listed.born, now);
         let is_other_start = is_restarted || has_drained && !drains;
         if drains {
             if !listed.leaving {
@@ -465,14 +465,14 @@
 
     /// Applies an upstream's notice that it is draining, read by this box or another one. True if other boxes may not have
     /// it: it is new, and the store doesn't list the same.
-    pub fn drain(&mut self, draining: &Draining, now: Duration) -> bool {
+    pub fn drain(&mut self, draining: &DrainNotice, now: Duration) -> bool {
         let name = &draining.upstream;
         if !self.draining.add(draining, now) {
             return false;
         }
         if let Some(listed) = self.fleet.get(name).cloned() {
             // A newer incarnation may be listed by now.
-            if !self.draining.covers(name, listed.born, now) {
+            if !self.draining.is_draining(name, listed.born, now) {
                 return false;
             }
             if listed.leaving {
@@ -494,13 +494,13 @@
     }
 
     /// Upstreams that have said themselves that they are draining.
-    pub fn draining(&self) -> &draining::Marks {
+    pub fn draining(&self) -> &draining::DrainNotices {
         &self.draining
     }
 
     /// What this box has learned of the engines, or of those of one group, for one that has just started.
-    pub fn learned(&self, group: Option<Group>) -> Learned {
-        let draining = self.draining.all().cloned().collect();
+    pub fn learned(&self, group: Option<EngineGroup>) -> Learned {
+        let draining = self.draining.iter().cloned().collect();
         Learned { draining, ..self.fleet.learned(group) }
     }
 
@@ -615,7 +615,7 @@
         self.fleet.tick(now);
         self.history.tick(now);
         self.dropped.retain(|_, dropped| now < dropped.at + DROPPED_KEPT);
-        self.draining.tick(now, |name| self.fleet.get(name).is_some());
+        self.draining.expire(now, |name| self.fleet.get(name).is_some());
         self.tick_restored(now);
         let View { fleet, dropped, history, .. } = self;
         self.said_gone.retain(|name, said| {
--- a/src/proxy/warm.rs
+++ b/src/proxy/warm.rs
@@ -9,8 +9,8 @@
 use slog::debug;
 use tokio::time::Instant;
 
-use crate::fleet::owners::Group;
-use crate::fleet::owners::Owned;
+use crate::fleet::owners::EngineGroup;
+use crate::fleet::owners::GroupOwners;
 use crate::names::UpstreamName;
 use crate::placement::fleet::learned::Kept;
 use crate::placement::fleet::learned::Learned;
@@ -37,7 +37,7 @@
 /// Learns of the engines, once.
 pub async fn up(hub: Arc<Hub>, engines: Arc<dyn Engines>) {
     let began = Instant::now();
-    while began.elapsed() < GIVE_UP && hub.peers().owners().is_none() {
+    while began.elapsed() < GIVE_UP && hub.peers().owners().is_empty() {
         tokio::time::sleep(INTERVAL).await;
         if !hub.read(View::is_ready) {
             continue;
@@ -65,11 +65,11 @@
 
 /// Learns of the engines of groups whose models this box comes to keep, until the process ends.
 pub async fn keep(hub: Arc<Hub>, engines: Arc<dyn Engines>) {
-    let mut known: BTreeSet<Group> = BTreeSet::new();
+    let mut known: BTreeSet<EngineGroup> = BTreeSet::new();
     loop {
         pace::wait(SETTLE).await;
         let me = hub.peers().me();
-        let kept: BTreeMap<Group, Owned> = hub.peers().owners().kept_by(me).collect();
+        let kept: BTreeMap<EngineGroup, GroupOwners> = hub.peers().owners().groups_of(me).collect();
         known.retain(|group| kept.contains_key(group));
         for (group, owned) in kept {
             if known.insert(group) {
@@ -81,9 +81,9 @@
 
 /// Learns of the engines of a group from whoever else keeps their models. Where nobody knows of them,
 /// the owner asks the engines.
-async fn learn(hub: Arc<Hub>, engines: Arc<dyn Engines>, group: Group, owned: Owned) {
+async fn learn(hub: Arc<Hub>, engines: Arc<dyn Engines>, group: EngineGroup, owned: GroupOwners) {
     let me = hub.peers().me();
-    let other = owned.keepers().find(|ip| *ip != me).and_then(|ip| hub.peers().addr_of(ip));
+    let other = owned.boxes().find(|ip| *ip != me).and_then(|ip| hub.peers().addr_of(ip));
     if let Some(addr) = other {
         match side::ask_learned(addr, Some(group)).await {
             Ok(learned) if learned.kept.iter().any(|k| !k.parts.is_empty()) => {
@@ -100,7 +100,7 @@
     }
 }
 
-async fn from_engines(hub: &Hub, engines: &dyn Engines, group: Option<Group>) -> Vec<Kept> {
+async fn from_engines(hub: &Hub, engines: &dyn Engines, group: Option<EngineGroup>) -> Vec<Kept> {
     let known: Vec<(UpstreamName, _)> = hub.read(|view| {
         let asked = |l: &Listed| (l.name.clone(), l.addr);
         match group {
--- a/tests/fleet_cold.rs
+++ b/tests/fleet_cold.rs
@@ -194,7 +194,7 @@
 #[test]
 fn a_new_owner_waits_for_as_long_as_the_bound_looks_back() {
     let mut owner = Decider::new(Role::Owner, true);
-    let all = frostdyke::fleet::owners::Group::default();
+    let all = frostdyke::fleet::owners::EngineGroup::default();
     owner.fleet.hold_cold(all, Duration::from_secs(1));
     assert!(!owner.sends(1, Duration::from_millis(700)));
     assert!(owner.sends(2, Duration::from_millis(1_000)));
--- a/tests/fleet_deadly.rs
+++ b/tests/fleet_deadly.rs
@@ -7,11 +7,11 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-use frostdyke::fleet::fingerprint::Content;
 use frostdyke::fleet::fingerprint::Fingerprint;
+use frostdyke::fleet::fingerprint::RequestContent;
 use frostdyke::fleet::quarantine::CRASHES_MAX;
 use frostdyke::fleet::quarantine::Quarantine;
-use frostdyke::fleet::quarantine::Suspect;
+use frostdyke::fleet::quarantine::SuspectReport;
 use frostdyke::fleet::quarantine::Verdict;
 use rand::Rng;
 use rand::SeedableRng;
@@ -189,7 +189,7 @@
     boxes: Vec<Quarantine>,
     engines: Vec<Running>,
     starts: u64,
-    messages: Vec<(Vec<Suspect>, Option<Fingerprint>)>,
+    messages: Vec<(Vec<SuspectReport>, Option<Fingerprint>)>,
     /// When a request on trial was tried last; the first box does that.
     tried: BTreeMap<Fingerprint, u64>,
     outcome: Outcome,
@@ -198,7 +198,7 @@
 fn content(request: usize) -> Fingerprint {
     let body = request.to_le_bytes();
     let (method, host, target, workspace) = ("POST", "h", "/", Some("w"));
-    Content { method, host, target, workspace, body: &body }.fingerprint()
+    RequestContent { method, host, target, workspace, body: &body }.fingerprint()
 }
 
 impl World {
@@ -280,7 +280,7 @@
     fn holds_back(&mut self, request: usize, from: usize) -> bool {
         let content = self.content(request);
         match self.boxes[from].verdict(&content, self.clock()) {
-            Verdict::Free => false,
+            Verdict::Allowed => false,
             Verdict::Held(_) => true,
             Verdict::OnTrial => {
                 let tried = self.tried.get(&content).is_some_and(|at| self.now < at + TRY_EVERY);
@@ -320,7 +320,7 @@
             (0..2).map(|_| self.rng.random_range(0..self.scene.engines)).collect();
         let load = |n: &usize| self.engines[*n].as_ref().map_or(usize::MAX, |(_, runs)| runs.len());
         let is_suspect =
-            self.way == Way::Apart && self.boxes[from].crashes(&self.content(request)) != 0;
+            self.way == Way::Apart && self.boxes[from].crash_count(&self.content(request)) != 0;
         let engine = match is_suspect {
             true => self.without_suspects(from).or_else(|| two.into_iter().min_by_key(load)),
             false => two.into_iter().min_by_key(load),
@@ -342,7 +342,8 @@
 
     /// An engine on which no suspect runs, as far as a box knows.
     fn without_suspects(&self, from: usize) -> Option<usize> {
-        let is_suspect = |(n, _): &(usize, usize)| self.boxes[from].crashes(&self.content(*n)) != 0;
+        let is_suspect =
+            |(n, _): &(usize, usize)| self.boxes[from].crash_count(&self.content(*n)) != 0;
         let suspects = |n: &usize| {
             let (_, runs) = self.engines[*n].as_ref()?;
             Some((runs.iter().filter(|r| is_suspect(r)).count(), runs.len()))
@@ -398,14 +399,14 @@
             return;
         }
         let (now, content) = (self.clock(), self.content(request));
-        self.boxes[from].crashed(content, start, now);
+        self.boxes[from].record_crash(content, start, now);
         if self.way.tells() {
-            let told = self.boxes[from].told(&content, now).into_iter().collect();
+            let told = self.boxes[from].report(&content, now).into_iter().collect();
             self.tell(from, told, None);
         }
     }
 
-    fn tell(&mut self, from: usize, suspects: Vec<Suspect>, cleared: Option<Fingerprint>) {
+    fn tell(&mut self, from: usize, suspects: Vec<SuspectReport>, cleared: Option<Fingerprint>) {
         self.messages.push((suspects, cleared));
         let message = self.messages.len() - 1;
         // Where two ends are known the third must not wait for a datagram that is lost.
@@ -428,12 +429,12 @@
             return;
         }
         let now = self.clock();
-        let own = self.boxes[who].digest(now);
+        let own = self.boxes[who].held_digest(now);
         for _ in 0..LOOKS_AT {
             let other = self.rng.random_range(0..self.scene.boxes);
-            if ![0, own].contains(&self.boxes[other].digest(now)) {
-                let held: Vec<Suspect> = self.boxes[other].held(now).collect();
-                held.iter().for_each(|suspect| _ = self.boxes[who].hear(suspect, now));
+            if ![0, own].contains(&self.boxes[other].held_digest(now)) {
+                let held: Vec<SuspectReport> = self.boxes[other].held_reports(now).collect();
+                held.iter().for_each(|suspect| _ = self.boxes[who].merge(suspect, now));
                 return;
             }
         }
@@ -443,7 +444,7 @@
         let now = self.clock();
         let (suspects, cleared) = &self.messages[message];
         for suspect in suspects {
-            self.boxes[to].hear(suspect, now);
+            self.boxes[to].merge(suspect, now);
         }
         cleared.iter().for_each(|content| _ = self.boxes[to].clear(content));
     }
--- a/tests/fleet_evacuated.rs
+++ b/tests/fleet_evacuated.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use frostdyke::fleet::evacuated::Evacuated;
-use frostdyke::fleet::evacuated::Order;
+use frostdyke::fleet::evacuated::EvacuatedZones;
+use frostdyke::fleet::evacuated::EvacuationOrder;
 use frostdyke::fleet::revision::Revision;
 use frostdyke::names::ServiceName;
 use frostdyke::names::UpstreamName;
@@ -44,28 +44,28 @@
     ZoneName::from(name)
 }
 
-fn evacuated(revision: u64, zones: &[&str]) -> Evacuated {
-    Evacuated {
+fn evacuated(revision: u64, zones: &[&str]) -> EvacuatedZones {
+    EvacuatedZones {
         revision: Revision::new(1, revision),
         zones: zones.iter().map(|name| zone(name)).collect(),
     }
 }
 
 /// How many beats it takes until all boxes know what some watchers do.
-fn spread(watchers: usize, news: &Evacuated, seed: u64) -> usize {
+fn spread(watchers: usize, news: &EvacuatedZones, seed: u64) -> usize {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut known = vec![evacuated(700, &["b"]); BOXES];
     for n in 0..watchers {
         // Each hears it with a revision of its own.
         let revision = Revision::new(1, news.revision.number + n as u64);
-        known[n * BOXES / watchers].merge(&Evacuated { revision, ..news.clone() });
+        known[n * BOXES / watchers].merge(&EvacuatedZones { revision, ..news.clone() });
     }
     for beat in 0.. {
         if known.iter().all(|k| k.zones == news.zones) {
             return beat;
         }
         // One box has just started and knows nothing.
-        known[rng.random_range(0..BOXES)] = Evacuated::default();
+        known[rng.random_range(0..BOXES)] = EvacuatedZones::default();
         let before = known.clone();
         for told in before {
             for _ in 0..FANOUT {
@@ -102,10 +102,13 @@
 /// One call to the store brings several orders.
 #[test]
 fn orders_that_come_together_all_count() {
-    let orders =
-        [Order::Evacuate(zone("a")), Order::Evacuate(zone("c")), Order::TakeBack(zone("b"))];
+    let orders = [
+        EvacuationOrder::Evacuate(zone("a")),
+        EvacuationOrder::Evacuate(zone("c")),
+        EvacuationOrder::Revoke(zone("b")),
+    ];
     let mut known = evacuated(10, &["b"]);
-    let after = known.after(&orders, Revision::new(1, 11));
+    let after = known.with_orders(&orders, Revision::new(1, 11));
     assert!(known.merge(&after));
     assert_eq!(known, evacuated(11, &["a", "c"]));
 }
--- a/tests/fleet_fingerprint.rs
+++ b/tests/fleet_fingerprint.rs
@@ -1,9 +1,9 @@
 //! What makes a request the same one when it comes again.
 
-use frostdyke::fleet::fingerprint::Content;
+use frostdyke::fleet::fingerprint::RequestContent;
 use proptest::prelude::*;
 
-const BASE: Content<'static> = Content {
+const BASE: RequestContent<'static> = RequestContent {
     method: "POST",
     host: "h.example",
     target: "/a/b?c=d",
@@ -14,15 +14,15 @@
 #[test]
 fn what_comes_again_is_known_and_nothing_else_is() {
     let known = BASE.fingerprint();
-    assert_eq!(known, Content { ..BASE }.fingerprint());
+    assert_eq!(known, RequestContent { ..BASE }.fingerprint());
     let others = [
-        Content { method: "PUT", ..BASE },
-        Content { host: "i.example", ..BASE },
-        Content { target: "/a/b", ..BASE },
-        Content { workspace: Some("x"), ..BASE },
-        Content { workspace: None, ..BASE },
-        Content { body: b"bodz", ..BASE },
-        Content { body: b"", ..BASE },
+        RequestContent { method: "PUT", ..BASE },
+        RequestContent { host: "i.example", ..BASE },
+        RequestContent { target: "/a/b", ..BASE },
+        RequestContent { workspace: Some("x"), ..BASE },
+        RequestContent { workspace: None, ..BASE },
+        RequestContent { body: b"bodz", ..BASE },
+        RequestContent { body: b"", ..BASE },
     ];
     others.iter().for_each(|other| assert_ne!(known, other.fingerprint(), "{other:?}"));
 }
@@ -36,11 +36,11 @@
         let all = format!("{target}{workspace}{body}");
         let cut = cut.min(all.len());
         let (target, body) = (target.as_str(), body.as_bytes());
-        let content = Content { target, workspace: Some(&workspace), body, ..BASE };
-        let moved = Content { target: &all[..cut], workspace: Some(""), body: &all.as_bytes()[cut..], ..BASE };
+        let content = RequestContent { target, workspace: Some(&workspace), body, ..BASE };
+        let moved = RequestContent { target: &all[..cut], workspace: Some(""), body: &all.as_bytes()[cut..], ..BASE };
         let is_same = (content.target, content.workspace, content.body)
             == (moved.target, moved.workspace, moved.body);
         prop_assert_eq!(is_same, content.fingerprint() == moved.fingerprint());
-        prop_assert!(!is_same || content.hint() == moved.hint());
+        prop_assert!(!is_same || content.quick_hash() == moved.quick_hash());
     }
 }
--- a/tests/fleet_members.rs
+++ b/tests/fleet_members.rs
@@ -4,15 +4,15 @@
 use std::net::IpAddr;
 use std::time::Duration;
 
-use frostdyke::fleet::evacuated::Evacuated;
-use frostdyke::fleet::members::Age;
-use frostdyke::fleet::members::BEAT;
-use frostdyke::fleet::members::Beat;
-use frostdyke::fleet::members::Call;
+use frostdyke::fleet::evacuated::EvacuatedZones;
+use frostdyke::fleet::members::BoxReport;
+use frostdyke::fleet::members::GOSSIP_INTERVAL;
+use frostdyke::fleet::members::GOSSIP_ROUNDS;
+use frostdyke::fleet::members::HEARTBEAT_INTERVAL;
+use frostdyke::fleet::members::HeartbeatMessage;
+use frostdyke::fleet::members::HeartbeatOptions;
+use frostdyke::fleet::members::LivenessUpdate;
 use frostdyke::fleet::members::Members;
-use frostdyke::fleet::members::NEWS_AT_ONCE;
-use frostdyke::fleet::members::NEWS_EVERY;
-use frostdyke::fleet::members::Record;
 use frostdyke::fleet::revision::Revision;
 use frostdyke::names::BoxName;
 use frostdyke::names::ZoneName;
@@ -40,8 +40,8 @@
     usize::from(hi) * 256 + usize::from(lo)
 }
 
-fn record(n: usize) -> Record {
-    Record {
+fn record(n: usize) -> BoxReport {
+    BoxReport {
         name: BoxName::from(&*format!("box-{n}")),
         zone: ZoneName::from(&*format!("zone-{}", n % ZONES)),
         addr: (ip(n), 80).into(),
@@ -50,10 +50,10 @@
         version: 1,
         sees_store: false,
         is_warm: true,
-        upstreams: 7,
+        upstreams_digest: 7,
         revision: Revision::new(1, 7),
-        evacuated: Evacuated::default(),
-        held: 0,
+        evacuated: EvacuatedZones::default(),
+        held_digest: 0,
         rollouts: Vec::new(),
     }
 }
@@ -102,17 +102,22 @@
     fn acquainted(count: usize) -> Net {
         let mut net = Net::new(count);
         for from in 0..count {
-            let beat = Beat { record: record(from), asks: false, ages: Vec::new() };
-            net.boxes.iter_mut().for_each(|members| _ = members.hear(&beat, net.now));
+            let beat = HeartbeatMessage {
+                report: record(from),
+                requests_reply: false,
+                updates: Vec::new(),
+            };
+            net.boxes.iter_mut().for_each(|members| _ = members.receive(&beat, net.now));
         }
         net
     }
 
-    fn beat_from(&mut self, from: usize, to: IpAddr, asks: bool, ages: Vec<Age>) {
-        let beat = Beat { record: record(from), asks, ages };
+    fn beat_from(&mut self, from: usize, to: IpAddr, asks: bool, ages: Vec<LivenessUpdate>) {
+        let beat = HeartbeatMessage { report: record(from), requests_reply: asks, updates: ages };
         self.sent += 1;
         if self.is_measured {
-            let buf = postcard::to_stdvec(&Message::Beat(beat.clone())).expect("it can be encoded");
+            let buf =
+                postcard::to_stdvec(&Message::Heartbeat(beat.clone())).expect("it can be encoded");
             assert!(buf.len() <= 1400, "{} bytes fit no datagram", buf.len());
             self.bytes += buf.len();
         }
@@ -121,17 +126,17 @@
         if self.down[n] || is_cut || self.rng.random_bool(self.lost) {
             return;
         }
-        let heard = self.boxes[n].hear(&beat, self.now);
-        for to in heard.greet {
-            let asks = self.boxes[n].record(to).is_none();
-            let ages = self.boxes[n].greeting_ages(self.now, &mut self.rng);
+        let heard = self.boxes[n].receive(&beat, self.now);
+        for to in heard.reply_to {
+            let asks = self.boxes[n].report(to).is_none();
+            let ages = self.boxes[n].reply_updates(self.now, &mut self.rng);
             self.beat_from(n, to, asks, ages);
         }
     }
 
     fn tell_news(&mut self, n: usize) {
-        for _ in 0..NEWS_AT_ONCE {
-            let Some((to, ages)) = self.boxes[n].news(self.now, &mut self.rng) else { return };
+        for _ in 0..GOSSIP_ROUNDS {
+            let Some((to, ages)) = self.boxes[n].gossip(self.now, &mut self.rng) else { return };
             to.into_iter().for_each(|to| self.beat_from(n, to, false, ages.clone()));
         }
     }
@@ -150,14 +155,16 @@
                 }
                 let zone = record(n).zone;
                 let zone = (n < WATCHERS).then_some(&zone);
-                let targets = self.boxes[n].targets(zone, self.now, &mut self.rng);
-                let ages = self.boxes[n].ages(self.now, &mut self.rng);
-                for (to, Call { asks, tells }) in targets {
+                let targets = self.boxes[n].heartbeat_targets(zone, self.now, &mut self.rng);
+                let ages = self.boxes[n].heartbeat_updates(self.now, &mut self.rng);
+                for (to, HeartbeatOptions { requests_reply: asks, includes_updates: tells }) in
+                    targets
+                {
                     let told = if tells { ages.clone() } else { Vec::new() };
                     self.beat_from(n, to, asks, told);
                 }
             }
-            self.now += NEWS_EVERY;
+            self.now += GOSSIP_INTERVAL;
             self.step += 1;
         }
     }
@@ -173,7 +180,7 @@
     /// How many boxes have fallen silent to any other since the last call.
     fn silences(&mut self) -> usize {
         let now = self.now;
-        self.boxes.iter_mut().map(|m| m.take_silent(now).len()).sum()
+        self.boxes.iter_mut().map(|m| m.take_dead(now).len()).sum()
     }
 }
 
@@ -181,9 +188,9 @@
 fn all_boxes_of_a_fleet_that_starts_soon_know_each_other() {
     for count in [3, 9, 59, 180] {
         let mut net = Net::new(count);
-        net.run(3 * BEAT);
+        net.run(3 * HEARTBEAT_INTERVAL);
         assert_eq!(net.believed(), (count - 1, count - 1), "of {count}");
-        let known = |n: usize| (0..count).filter(|o| net.boxes[n].record(ip(*o)).is_some()).count();
+        let known = |n: usize| (0..count).filter(|o| net.boxes[n].report(ip(*o)).is_some()).count();
         assert!((0..count).all(|n| known(n) == count - 1), "all have said who they are");
     }
 }
@@ -194,12 +201,12 @@
 fn count_silences(count: usize, beats: u32) {
     let lost = 0.02;
     let mut net = Net::acquainted(count);
-    net.run(5 * BEAT);
+    net.run(5 * HEARTBEAT_INTERVAL);
     net.lost = lost;
     net.silences();
     let mut silences = 0;
     for _ in 0..beats {
-        net.run(BEAT);
+        net.run(HEARTBEAT_INTERVAL);
         silences += net.silences();
     }
     // 90,000 pairs in 25 beats, and more in the larger ones.
@@ -222,7 +229,7 @@
 /// Load: a zone is lost, and is back after eight seconds.
 fn lose_a_zone(count: usize) {
     let mut net = Net::acquainted(count);
-    net.run(5 * BEAT);
+    net.run(5 * HEARTBEAT_INTERVAL);
     net.cut = Some(ZONES - 1);
     net.run(Duration::from_millis(8000));
     let inside = (0..count).filter(|n| n % ZONES == ZONES - 1).count();
@@ -293,7 +300,7 @@
 fn boxes_that_start_together_dont_tell_each_other_of_all() {
     let mut net = Net::new(300);
     net.is_measured = true;
-    net.run(3 * BEAT);
+    net.run(3 * HEARTBEAT_INTERVAL);
     assert_eq!(net.believed(), (299, 299));
     let bytes = net.bytes / 300;
     println!("{bytes} bytes a box");
@@ -304,11 +311,12 @@
 fn a_restart_is_noticed() {
     let mut members = Members::new(ip(0));
     let now = Duration::from_secs(1);
-    let mut beat = Beat { record: record(1), asks: false, ages: Vec::new() };
-    assert!(members.hear(&beat, now).is_new);
-    assert!(!members.hear(&beat, now).has_restarted);
-    beat.record.incarnation = 2;
-    assert!(members.hear(&beat, now).has_restarted);
+    let mut beat =
+        HeartbeatMessage { report: record(1), requests_reply: false, updates: Vec::new() };
+    assert!(members.receive(&beat, now).is_new);
+    assert!(!members.receive(&beat, now).has_restarted);
+    beat.report.incarnation = 2;
+    assert!(members.receive(&beat, now).has_restarted);
 }
 
 /// What is told of a box's age never makes it younger than it is.
@@ -318,14 +326,20 @@
     let mut two = Members::new(ip(1));
     let mut rng = SmallRng::seed_from_u64(1);
     let mut now = Duration::from_secs(1);
-    let dead = Beat { record: record(2), asks: false, ages: Vec::new() };
-    one.hear(&dead, now);
+    let dead = HeartbeatMessage { report: record(2), requests_reply: false, updates: Vec::new() };
+    one.receive(&dead, now);
     for _ in 0..20 {
-        now += BEAT;
-        let ages = one.ages(now, &mut rng);
-        two.hear(&Beat { record: record(0), asks: false, ages }, now);
-        let ages = two.ages(now, &mut rng);
-        one.hear(&Beat { record: record(1), asks: false, ages }, now);
+        now += HEARTBEAT_INTERVAL;
+        let ages = one.heartbeat_updates(now, &mut rng);
+        two.receive(
+            &HeartbeatMessage { report: record(0), requests_reply: false, updates: ages },
+            now,
+        );
+        let ages = two.heartbeat_updates(now, &mut rng);
+        one.receive(
+            &HeartbeatMessage { report: record(1), requests_reply: false, updates: ages },
+            now,
+        );
     }
     assert!(one.live(now).all(|(other, _)| other != ip(2)));
     assert!(two.live(now).all(|(other, _)| other != ip(2)));
--- a/tests/fleet_owners.rs
+++ b/tests/fleet_owners.rs
@@ -5,12 +5,12 @@
 use std::net::IpAddr;
 use std::time::Duration;
 
-use frostdyke::fleet::duty;
-use frostdyke::fleet::duty::Colleague;
-use frostdyke::fleet::duty::Situation;
 use frostdyke::fleet::owners::Candidate;
-use frostdyke::fleet::owners::Group;
-use frostdyke::fleet::owners::Owners;
+use frostdyke::fleet::owners::EngineGroup;
+use frostdyke::fleet::owners::OwnerTable;
+use frostdyke::fleet::store_watch;
+use frostdyke::fleet::store_watch::WatchInputs;
+use frostdyke::fleet::store_watch::ZoneBox;
 use frostdyke::names::ZoneName;
 use proptest::prelude::*;
 
@@ -30,21 +30,21 @@
 
 #[test]
 fn a_small_fleet_has_no_owners() {
-    assert!(Owners::new(&boxes(9), 9).is_none());
-    assert!(!Owners::new(&boxes(59), 140).is_none());
+    assert!(OwnerTable::new(&boxes(9), 9).is_empty());
+    assert!(!OwnerTable::new(&boxes(59), 140).is_empty());
 }
 
 #[test]
 fn each_engine_has_an_owner_and_a_standby_of_another_zone() {
     let fleet = boxes(295);
-    let owners = Owners::new(&fleet, 320);
+    let owners = OwnerTable::new(&fleet, 320);
     let zone = |ip: IpAddr| fleet.iter().find(|b| b.ip == ip).map(|b| b.zone.clone());
     let cores = |ip: IpAddr| fleet.iter().find(|b| b.ip == ip).map_or(0.0, |b| b.cores);
     for n in 0..320u64 {
-        let owned = owners.of_hash(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)).expect("an owner");
+        let owned = owners.owners_of_hash(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)).expect("an owner");
         let standby = owned.standby.expect("a standby");
         assert_ne!(zone(owned.owner), zone(standby));
-        assert!(owned.keepers().all(|ip| cores(ip) == 0.5), "small boxes stand still too often");
+        assert!(owned.boxes().all(|ip| cores(ip) == 0.5), "small boxes stand still too often");
     }
 }
 
@@ -52,19 +52,19 @@
 #[test]
 fn a_death_moves_only_what_the_dead_one_owned() {
     let fleet = boxes(295);
-    let before = Owners::new(&fleet, 320);
-    for dead in before.keepers() {
+    let before = OwnerTable::new(&fleet, 320);
+    for dead in before.all_boxes() {
         let left: Vec<Candidate> = fleet.iter().filter(|b| b.ip != dead).cloned().collect();
-        let after = Owners::new(&left, 320);
+        let after = OwnerTable::new(&left, 320);
         for n in 0..32u64 {
             let hash = n << 59;
-            let (old, new) = (before.of_hash(hash), after.of_hash(hash));
+            let (old, new) = (before.owners_of_hash(hash), after.owners_of_hash(hash));
             let (old, new) = (old.expect("an owner"), new.expect("an owner"));
             if old.owner != dead {
                 assert_eq!(old.owner, new.owner);
             }
             if old.owner == dead {
-                assert!(new.keepers().any(|ip| Some(ip) == old.standby), "nobody knows the group");
+                assert!(new.boxes().any(|ip| Some(ip) == old.standby), "nobody knows the group");
             }
         }
     }
@@ -74,11 +74,11 @@
     /// The groups split the hashes among themselves, however many there are.
     #[test]
     fn a_hash_is_of_one_group(hash: u64, bits in 0u32..11) {
-        let group = Group::of(hash, bits);
-        prop_assert!(group.has(hash));
-        let groups = (0..1u64 << bits).map(|n| Group::of(n.checked_shl(64 - bits).unwrap_or(0), bits));
-        prop_assert_eq!(groups.filter(|g| g.has(hash)).count(), 1);
-        prop_assert_eq!(group.to_string().parse::<Group>().ok(), Some(group));
+        let group = EngineGroup::from_hash(hash, bits);
+        prop_assert!(group.contains(hash));
+        let groups = (0..1u64 << bits).map(|n| EngineGroup::from_hash(n.checked_shl(64 - bits).unwrap_or(0), bits));
+        prop_assert_eq!(groups.filter(|g| g.contains(hash)).count(), 1);
+        prop_assert_eq!(group.to_string().parse::<EngineGroup>().ok(), Some(group));
     }
 }
 
@@ -103,19 +103,19 @@
     fn due(&self, age: Duration, is_first_start: bool) -> BTreeSet<IpAddr> {
         let is_due = |(me, cores): &(IpAddr, f64)| {
             let others = self.boxes.iter().filter(|(ip, _)| ip != me);
-            let zone: Vec<Colleague> = others
-                .map(|(ip, cores)| Colleague {
+            let zone: Vec<ZoneBox> = others
+                .map(|(ip, cores)| ZoneBox {
                     ip: *ip,
                     cores: *cores,
-                    saw_store: self.saw.get(ip).copied(),
+                    store_seen_ago: self.saw.get(ip).copied(),
                 })
                 .collect();
-            duty::is_due(Situation {
+            store_watch::should_watch(WatchInputs {
                 me: *me,
                 cores: *cores,
-                zone: &zone,
-                alive: 5 * self.boxes.len(),
-                age,
+                zone_boxes: &zone,
+                live_boxes: 5 * self.boxes.len(),
+                uptime: age,
                 is_first_start,
             })
         };
--- a/tests/fleet_placement.rs
+++ b/tests/fleet_placement.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use frostdyke::fleet::owners::Candidate;
-use frostdyke::fleet::owners::Owners;
-use frostdyke::fleet::rollout::Side;
+use frostdyke::fleet::owners::OwnerTable;
+use frostdyke::fleet::rollout::VersionFilter;
 use frostdyke::names::ServiceName;
 use frostdyke::names::UpstreamName;
 use frostdyke::names::VersionName;
@@ -105,14 +105,14 @@
     fleet
 }
 
-fn owners() -> (Vec<Candidate>, Owners) {
+fn owners() -> (Vec<Candidate>, OwnerTable) {
     let candidate = |n: usize| Candidate {
         ip: [10, 0, (n / 256) as u8, (n % 256) as u8].into(),
         zone: ZoneName::from(&*format!("zone-{}", n % 5)),
         cores: if (n / 5).is_multiple_of(20) { 0.5 } else { 0.12 },
     };
     let boxes: Vec<Candidate> = (0..BOXES).map(candidate).collect();
-    let owners = Owners::new(&boxes, ENGINES);
+    let owners = OwnerTable::new(&boxes, ENGINES);
     (boxes, owners)
 }
 
@@ -154,7 +154,7 @@
             };
             if has_owners {
                 let hash = frostdyke::placement::upstream::hash(&name(engine));
-                let keepers = owners.of_hash(hash).expect("an owner").keepers().count();
+                let keepers = owners.owners_of_hash(hash).expect("an owner").boxes().count();
                 outcome.tell(asker, keepers, &message);
             } else {
                 outcome.tell(asker, BOXES - 1, &message);
@@ -179,7 +179,8 @@
         let mut placed = None;
         // Its own group of engines, and another one where that is busy.
         for is_last in [false, true] {
-            let home = fleet.home("llm", &prompt, Side::Any, group).expect("there are engines");
+            let home =
+                fleet.home("llm", &prompt, VersionFilter::Any, group).expect("there are engines");
             group = has_owners.then(|| owners.group(home));
             let wish = Wish {
                 request,
@@ -187,7 +188,7 @@
                 prompt: &prompt,
                 workspace: None,
                 except: &[],
-                side: Side::Any,
+                side: VersionFilter::Any,
                 aim: Duration::from_secs_f64(AIM),
                 waited: Duration::ZERO,
                 group,
@@ -200,7 +201,7 @@
             };
             let result = admit::admit(&mut fleet, &mut shares, wish, now);
             let ask = ask(&wish, &boxes[asker]);
-            if let Some(owned) = group.and_then(|group| owners.of(group)) {
+            if let Some(owned) = group.and_then(|group| owners.owners_of(group)) {
                 let owner = number[&owned.owner];
                 outcome.tell(asker, 1, &ask);
                 outcome.tell(
@@ -275,7 +276,7 @@
         workspace: None,
         zone: asker.zone.clone(),
         except: Vec::new(),
-        side: Side::Any,
+        side: VersionFilter::Any,
         aim_ms: 900,
         waited_ms: 1,
         source: None,
--- a/tests/fleet_rollout.rs
+++ b/tests/fleet_rollout.rs
@@ -8,18 +8,18 @@
 use std::time::Duration;
 
 use frostdyke::fleet::revision::Revision;
-use frostdyke::fleet::rollout::Entry;
-use frostdyke::fleet::rollout::Order;
 use frostdyke::fleet::rollout::Outcome;
+use frostdyke::fleet::rollout::RolloutEntry;
+use frostdyke::fleet::rollout::RolloutOrder;
+use frostdyke::fleet::rollout::RolloutReport;
 use frostdyke::fleet::rollout::Rollouts;
-use frostdyke::fleet::rollout::Side;
-use frostdyke::fleet::rollout::Situation;
 use frostdyke::fleet::rollout::Stage;
-use frostdyke::fleet::rollout::Told;
-use frostdyke::fleet::rollout::judge::Finding;
-use frostdyke::fleet::rollout::judge::Judge;
-use frostdyke::fleet::rollout::judge::Observed;
-use frostdyke::fleet::rollout::judge::step;
+use frostdyke::fleet::rollout::StageInputs;
+use frostdyke::fleet::rollout::VersionFilter;
+use frostdyke::fleet::rollout::regression::RegressionDetector;
+use frostdyke::fleet::rollout::regression::ResponseOutcome;
+use frostdyke::fleet::rollout::regression::ResponseReport;
+use frostdyke::fleet::rollout::regression::time_bucket;
 use frostdyke::names::ServiceName;
 use frostdyke::names::VersionName;
 use rand::Rng;
@@ -80,14 +80,14 @@
 struct FakeBox {
     rollouts: Rollouts,
     runs: Vec<Run>,
-    untold: Vec<Observed>,
+    untold: Vec<ResponseReport>,
     /// Whether it has started anew, without memory.
     has_started: bool,
     /// It hears and tells nothing before this.
     cut_until: u64,
     /// The last word of each other box, as the judge has it.
-    heard: Vec<Option<Told>>,
-    judge: Judge,
+    heard: Vec<Option<RolloutReport>>,
+    judge: RegressionDetector,
 }
 
 /// What came of a roll-out.
@@ -111,17 +111,17 @@
     version: Version,
     rng: StdRng,
     now: u64,
-    words: Vec<(u64, usize, usize, Vec<Told>)>,
+    words: Vec<(u64, usize, usize, Vec<RolloutReport>)>,
     seen: Seen,
     judge_dies_at: Option<u64>,
     service: ServiceName,
 }
 
-fn entry(service: &ServiceName) -> Entry {
+fn entry(service: &ServiceName) -> RolloutEntry {
     let target = VersionName::from("v2");
-    let within = Duration::from_millis(DEADLINE_MS);
-    let order = Some(Order { target, within });
-    Entry { service: service.clone(), revision: Revision::new(1, 7), order, outcome: None }
+    let time_limit = Duration::from_millis(DEADLINE_MS);
+    let order = Some(RolloutOrder { target, time_limit });
+    RolloutEntry { service: service.clone(), revision: Revision::new(1, 7), order, outcome: None }
 }
 
 impl Scene {
@@ -133,7 +133,7 @@
             has_started: false,
             cut_until: 0,
             heard: vec![None; count],
-            judge: Judge::default(),
+            judge: RegressionDetector::default(),
         };
         Scene {
             boxes: (0..count).map(|_| fresh()).collect(),
@@ -160,9 +160,9 @@
         n == 0 && self.judge_dies_at.is_some_and(|at| at + JUDGE_SILENT_MS <= self.now)
     }
 
-    fn told(&self, n: usize) -> Vec<Told> {
+    fn told(&self, n: usize) -> Vec<RolloutReport> {
         let running = self.boxes[n].runs.iter().filter(|run| !run.is_target).count() as u32;
-        self.boxes[n].rollouts.told(self.time(), |_, _| running)
+        self.boxes[n].rollouts.reports(self.time(), |_, _| running)
     }
 
     fn say(&mut self, from: usize) {
@@ -184,11 +184,11 @@
         let now = self.now;
         let (due, later) = std::mem::take(&mut self.words).into_iter().partition(|w| w.0 <= now);
         self.words = later;
-        let due: Vec<(u64, usize, usize, Vec<Told>)> = due;
+        let due: Vec<(u64, usize, usize, Vec<RolloutReport>)> = due;
         for (_, from, to, all) in due {
             let time = self.time();
             let rollouts = &mut self.boxes[to].rollouts;
-            let changed = all.iter().filter(|told| rollouts.hear(told, time)).count() != 0;
+            let changed = all.iter().filter(|told| rollouts.merge_report(told, time)).count() != 0;
             self.boxes[to].heard[from] = all.first().cloned();
             if changed {
                 self.say(to);
@@ -215,8 +215,8 @@
             return;
         }
         let draw = self.rng.random_range(0.0..1.0);
-        let side = self.boxes[n].rollouts.side("llm", draw, self.time());
-        let is_target = side == Side::Target;
+        let side = self.boxes[n].rollouts.version_filter("llm", draw, self.time());
+        let is_target = side == VersionFilter::Target;
         let route = self.rng.random_range(0..4u32);
         let mut ms = 100.0 * 2f64.powf(self.rng.random_range(-0.5..1.5));
         let mut has_failed = self.rng.random_bool(0.02);
@@ -227,8 +227,12 @@
         if is_target && self.version == Version::Slow && self.rng.random_bool(0.5) {
             (ms, is_bad) = (ms * 5.0, true);
         }
-        let finding = if has_failed { Finding::Failed } else { Finding::First(step(ms)) };
-        self.boxes[n].untold.push(Observed { is_target, route, finding });
+        let outcome = if has_failed {
+            ResponseOutcome::Failed
+        } else {
+            ResponseOutcome::FirstChunk(time_bucket(ms))
+        };
+        self.boxes[n].untold.push(ResponseReport { is_target, route, outcome });
         let ends = self.now + self.rng.random_range(200..2_500);
         self.boxes[n].runs.push(Run { ends, is_target });
         let now = self.now;
@@ -265,9 +269,12 @@
                 continue;
             }
             let judge = &self.boxes[n].judge;
-            let (answers, is_bad) = (judge.answers(), judge.is_bad());
-            let (s, time) = (Situation { answers, is_bad, slots: (100, 100) }, self.time());
-            if self.boxes[n].rollouts.judge("llm", s, time).is_some() {
+            let (answers, is_bad) = (judge.min_responses(), judge.has_regressed());
+            let (s, time) = (
+                StageInputs { min_responses: answers, has_regressed: is_bad, slots: (100, 100) },
+                self.time(),
+            );
+            if self.boxes[n].rollouts.advance("llm", s, time).is_some() {
                 self.say(n);
             }
         }
@@ -275,7 +282,7 @@
         if self.seen.outcome.is_some() {
             return;
         }
-        let stage = self.boxes[judge].rollouts.under_way("llm").map(|(_, stage)| stage);
+        let stage = self.boxes[judge].rollouts.in_progress("llm").map(|(_, stage)| stage);
         let outcome = match stage {
             Some(Stage::Reverted) => Outcome::Reverted,
             Some(Stage::Moved) if self.has_moved(judge) => Outcome::Completed,
@@ -285,7 +292,7 @@
         self.seen.ended_at = self.now;
         let old = self.boxes.iter().flat_map(|b| &b.runs).filter(|run| !run.is_target);
         self.seen.running_at_end = old.count();
-        self.boxes[judge].rollouts.ended("llm", "v2", outcome);
+        self.boxes[judge].rollouts.record_outcome("llm", "v2", outcome);
         self.say(judge);
     }
 
@@ -306,7 +313,7 @@
             if now == 200 {
                 for n in (0..count).step_by(count / 3) {
                     let time = self.time();
-                    self.boxes[n].rollouts.hear_store(&entry, time);
+                    self.boxes[n].rollouts.apply_entry(&entry, time);
                     self.say(n);
                 }
             }
@@ -394,21 +401,21 @@
     let service = ServiceName::from("llm");
     let mut rollouts = Rollouts::new(EXPOSURE);
     let at = Duration::from_millis;
-    assert_eq!(rollouts.side("llm", 0.0, at(0)), Side::Any);
-    assert!(rollouts.hear_store(&entry(&service), at(0)));
-    assert_eq!(rollouts.side("llm", 0.0, at(0)), Side::Target);
-    assert_eq!(rollouts.side("llm", 0.9, at(0)), Side::Others);
-    assert_eq!(rollouts.side("other", 0.0, at(0)), Side::Any);
-    let old = rollouts.told(at(10), |_, _| 0).remove(0);
+    assert_eq!(rollouts.version_filter("llm", 0.0, at(0)), VersionFilter::Any);
+    assert!(rollouts.apply_entry(&entry(&service), at(0)));
+    assert_eq!(rollouts.version_filter("llm", 0.0, at(0)), VersionFilter::Target);
+    assert_eq!(rollouts.version_filter("llm", 0.9, at(0)), VersionFilter::Others);
+    assert_eq!(rollouts.version_filter("other", 0.0, at(0)), VersionFilter::Any);
+    let old = rollouts.reports(at(10), |_, _| 0).remove(0);
     let mut newer = entry(&service);
     newer.revision = Revision::new(1, 9);
-    newer.order = Some(Order { target: VersionName::from("v3"), within: at(12_000) });
-    assert!(rollouts.hear_store(&newer, at(20)));
+    newer.order = Some(RolloutOrder { target: VersionName::from("v3"), time_limit: at(12_000) });
+    assert!(rollouts.apply_entry(&newer, at(20)));
     // What is told of the earlier one comes late.
-    assert!(!rollouts.hear(&Told { stage: Stage::Reverted, ..old }, at(30)));
+    assert!(!rollouts.merge_report(&RolloutReport { stage: Stage::Reverted, ..old }, at(30)));
     assert_eq!(rollouts.target("llm", at(30)), Some(&VersionName::from("v3")));
-    assert!(rollouts.hear_all(&[], Revision::new(1, 12), at(40)));
-    assert_eq!(rollouts.side("llm", 0.0, at(50)), Side::Any);
+    assert!(rollouts.apply_list(&[], Revision::new(1, 12), at(40)));
+    assert_eq!(rollouts.version_filter("llm", 0.0, at(50)), VersionFilter::Any);
 }
 
 #[test]
@@ -417,36 +424,40 @@
     let at = Duration::from_secs;
     let heard = |outcome| {
         let mut rollouts = Rollouts::new(EXPOSURE);
-        let ended = Entry { outcome: Some(outcome), ..entry(&service) };
-        rollouts.hear_store(&ended, at(100));
+        let ended = RolloutEntry { outcome: Some(outcome), ..entry(&service) };
+        rollouts.apply_entry(&ended, at(100));
         rollouts
     };
-    assert_eq!(heard(Outcome::Completed).side("llm", 0.0, at(100)), Side::Any);
+    assert_eq!(heard(Outcome::Completed).version_filter("llm", 0.0, at(100)), VersionFilter::Any);
     // The new engines may still be listed.
     let reverted = heard(Outcome::Reverted);
-    assert_eq!(reverted.side("llm", 0.0, at(101)), Side::Others);
-    assert_eq!(reverted.side("llm", 0.0, at(131)), Side::Any);
+    assert_eq!(reverted.version_filter("llm", 0.0, at(101)), VersionFilter::Others);
+    assert_eq!(reverted.version_filter("llm", 0.0, at(131)), VersionFilter::Any);
 }
 
 #[test]
 fn a_deadline_without_engines_reverts() {
     let service = ServiceName::from("llm");
     let mut rollouts = Rollouts::new(EXPOSURE);
-    rollouts.hear_store(&entry(&service), Duration::ZERO);
-    let none = Situation { answers: 0, is_bad: false, slots: (0, 100) };
+    rollouts.apply_entry(&entry(&service), Duration::ZERO);
+    let none = StageInputs { min_responses: 0, has_regressed: false, slots: (0, 100) };
     let late = Duration::from_millis(DEADLINE_MS);
-    assert_eq!(rollouts.judge("llm", none, late / 2), None);
-    assert_eq!(rollouts.judge("llm", none, late), Some(Stage::Reverted));
+    assert_eq!(rollouts.advance("llm", none, late / 2), None);
+    assert_eq!(rollouts.advance("llm", none, late), Some(Stage::Reverted));
 }
 
 #[test]
 fn both_versions_bad_is_no_reason_to_revert() {
-    let mut judge = Judge::default();
+    let mut judge = RegressionDetector::default();
     let mut rng = StdRng::seed_from_u64(4);
     for n in 0..4_000 {
-        let finding = if rng.random_bool(0.4) { Finding::Failed } else { Finding::First(14) };
-        judge.add(Observed { is_target: n % 20 == 0, route: 0, finding });
+        let outcome = if rng.random_bool(0.4) {
+            ResponseOutcome::Failed
+        } else {
+            ResponseOutcome::FirstChunk(14)
+        };
+        judge.add(ResponseReport { is_target: n % 20 == 0, route: 0, outcome });
     }
-    assert!(!judge.is_bad());
-    assert_eq!(judge.answers(), 200);
+    assert!(!judge.has_regressed());
+    assert_eq!(judge.min_responses(), 200);
 }
--- a/tests/fleet_size.rs
+++ b/tests/fleet_size.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 use frostdyke::fleet::owners::Candidate;
-use frostdyke::fleet::owners::Group;
-use frostdyke::fleet::owners::Owners;
-use frostdyke::fleet::rollout::Side;
+use frostdyke::fleet::owners::EngineGroup;
+use frostdyke::fleet::owners::OwnerTable;
+use frostdyke::fleet::rollout::VersionFilter;
 use frostdyke::names::ServiceName;
 use frostdyke::names::UpstreamName;
 use frostdyke::names::VersionName;
@@ -68,11 +68,11 @@
 fn looks(engines: usize) -> f64 {
     const REQUESTS: u64 = 200;
     let fleet = fleet(engines);
-    let owners = Owners::new(&boxes(engines / 10), engines);
+    let owners = OwnerTable::new(&boxes(engines / 10), engines);
     let before = fleet.looked_at();
     for n in 0..REQUESTS {
         let prompt = prompt(n);
-        let home = fleet.home("llm", &prompt, Side::Any, None).expect("there are engines");
+        let home = fleet.home("llm", &prompt, VersionFilter::Any, None).expect("there are engines");
         let group = Some(owners.group(home));
         let any = Wanted::any("llm", Some(&prompt), &[], Duration::from_secs(1));
         let choice = fleet.choose(Wanted { group, ..any }, Duration::ZERO);
@@ -93,7 +93,7 @@
 fn a_group_has_about_ten_engines_also_before_twenty_thousand() {
     for engines in [1_000, 10_000, 20_000] {
         let fleet = fleet(engines);
-        let owners = Owners::new(&boxes(engines / 10), engines);
+        let owners = OwnerTable::new(&boxes(engines / 10), engines);
         let group =
             |listed: &Listed| owners.group(frostdyke::placement::upstream::hash(&listed.name));
         let most = fleet.listed().map(|l| fleet.engines_of(group(l)).count()).max();
@@ -107,8 +107,9 @@
 fn prompts_are_spread_evenly_and_stay_where_they_are() {
     const PROMPTS: u64 = 20_000;
     let mut fleet = fleet(500);
-    let home =
-        |fleet: &Fleet, n| fleet.home("llm", &prompt(n), Side::Any, None).expect("there are");
+    let home = |fleet: &Fleet, n| {
+        fleet.home("llm", &prompt(n), VersionFilter::Any, None).expect("there are")
+    };
     let before: Vec<u64> = (0..PROMPTS).map(|n| home(&fleet, n)).collect();
     let mut counts = std::collections::BTreeMap::<u64, usize>::new();
     before.iter().for_each(|hash| *counts.entry(*hash).or_default() += 1);
@@ -126,7 +127,8 @@
     for bits in [0, 1, 5] {
         let all: usize = (0..1u64 << bits)
             .map(|n| {
-                let group = Group::of(n.checked_shl(u64::BITS - bits).unwrap_or(0), bits);
+                let group =
+                    EngineGroup::from_hash(n.checked_shl(u64::BITS - bits).unwrap_or(0), bits);
                 fleet.engines_of(group).count()
             })
             .sum();
--- a/tests/proxy_admit.rs
+++ b/tests/proxy_admit.rs
@@ -3,8 +3,8 @@
 
 use std::time::Duration;
 
-use frostdyke::fleet::owners::Group;
-use frostdyke::fleet::rollout::Side;
+use frostdyke::fleet::owners::EngineGroup;
+use frostdyke::fleet::rollout::VersionFilter;
 use frostdyke::names::ServiceName;
 use frostdyke::names::UpstreamName;
 use frostdyke::names::VersionName;
@@ -72,7 +72,7 @@
     fn ask(
         &mut self,
         workspace: u64,
-        group: Option<Group>,
+        group: Option<EngineGroup>,
         is_last: bool,
     ) -> Result<Choice, Denial> {
         self.requests += 1;
@@ -86,7 +86,7 @@
             prompt: &prompt,
             workspace: Some(&name(workspace)),
             except: &[],
-            side: Side::Any,
+            side: VersionFilter::Any,
             aim: AIM,
             waited: Duration::ZERO,
             group,
@@ -179,11 +179,11 @@
 fn only_engines_of_the_group_are_chosen() {
     let mut desk = Desk::new(40);
     for prefix in 0..4u64 {
-        let group = Group::of(prefix << 62, 2);
+        let group = EngineGroup::from_hash(prefix << 62, 2);
         for _ in 0..40 {
             let choice = desk.ask(prefix, Some(group), true).expect("there is room");
             let hash = frostdyke::placement::upstream::hash(&choice.upstream);
-            assert!(group.has(hash));
+            assert!(group.contains(hash));
         }
     }
 }
--- a/tests/proxy_behind.rs
+++ b/tests/proxy_behind.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use frostdyke::fleet::revision::Revision;
-use frostdyke::fleet::standing;
-use frostdyke::fleet::standing::Standing;
-use frostdyke::fleet::standing::Word;
+use frostdyke::fleet::sync_state;
+use frostdyke::fleet::sync_state::SyncState;
+use frostdyke::fleet::sync_state::UpstreamListReport;
 use frostdyke::names::ServiceName;
 use frostdyke::names::UpstreamName;
 use frostdyke::names::VersionName;
@@ -98,17 +98,17 @@
     /// Changes of the store that it has heard of; each makes a revision.
     heard: u64,
     phase: u64,
-    word: Word,
+    word: UpstreamListReport,
 }
 
 impl Watcher {
     fn new(phase: u64) -> Watcher {
         let addr = ([127, 0, 0, 1 + phase as u8], 80).into();
-        let word = Word {
+        let word = UpstreamListReport {
             addr,
             sees_store: true,
             revision: Revision::default(),
-            upstreams: 0,
+            upstreams_digest: 0,
             age: Duration::ZERO,
         };
         Watcher { view: view(), heard: 0, phase, word }
@@ -126,8 +126,9 @@
     }
 
     fn speak(&mut self) {
-        let (revision, upstreams) = (self.view.revision(), self.view.digest());
-        self.word = Word { revision, upstreams, age: Duration::ZERO, ..self.word };
+        let (revision, upstreams_digest) = (self.view.revision(), self.view.digest());
+        self.word =
+            UpstreamListReport { revision, upstreams_digest, age: Duration::ZERO, ..self.word };
     }
 }
 
@@ -185,20 +186,20 @@
         if step % LOOK != 0 {
             continue;
         }
-        let words = watchers.iter().map(|w| Word {
+        let words = watchers.iter().map(|w| UpstreamListReport {
             revision: if way == Way::Digests { Revision::default() } else { w.word.revision },
             ..w.word
         });
         let revision = if way == Way::Digests { Revision::default() } else { box_.revision() };
-        let standing = standing::judge(revision, box_.digest(), words);
-        apart = if matches!(standing, Standing::Apart(_)) { apart + 1 } else { 0 };
+        let standing = sync_state::evaluate(revision, box_.digest(), words);
+        apart = if matches!(standing, SyncState::Diverged(_)) { apart + 1 } else { 0 };
         let apart_for = if way == Way::Digests { 2 } else { APART_FOR };
         let by_addr = |addr| watchers.iter().find(|w| w.word.addr == addr).expect("one of them");
         match standing {
-            Standing::Apart(addr) if apart_for <= apart => {
+            SyncState::Diverged(addr) if apart_for <= apart => {
                 outcome.bytes += ask(&mut box_, &by_addr(addr).view, true, now);
             }
-            Standing::Behind(all) if asked_at + BEHIND_EVERY <= step => {
+            SyncState::Behind(all) if asked_at + BEHIND_EVERY <= step => {
                 asked_at = step;
                 let addr = all[rng.random_range(0..all.len())];
                 outcome.bytes += ask(&mut box_, &by_addr(addr).view, false, now);
--- a/tests/proxy_draining.rs
+++ b/tests/proxy_draining.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use frostdyke::fleet::draining::Draining;
+use frostdyke::fleet::draining::DrainNotice;
 use frostdyke::fleet::revision::Revision;
 use frostdyke::names::ServiceName;
 use frostdyke::names::UpstreamName;
@@ -40,8 +40,8 @@
     vec![upstream("a", BORN), upstream("b", BORN)]
 }
 
-fn notice(born: Option<u64>) -> Draining {
-    Draining { upstream: UpstreamName::from("a"), born, said_at: SAID_AT }
+fn notice(born: Option<u64>) -> DrainNotice {
+    DrainNotice { upstream: UpstreamName::from("a"), born, answered_at_ms: SAID_AT }
 }
 
 /// A view that sees the store, and to which `a` has said that it drains.
@@ -179,7 +179,7 @@
     let mut view = view();
     view.gone(&UpstreamName::from("a"), NOW);
     view.tick(NOW + 5 * SECOND);
-    assert_eq!(view.draining().all().count(), 1);
+    assert_eq!(view.draining().iter().count(), 1);
     view.tick(NOW + 60 * SECOND);
-    assert_eq!(view.draining().all().count(), 0);
+    assert_eq!(view.draining().iter().count(), 0);
 }
--- a/tests/proxy_plain.rs
+++ b/tests/proxy_plain.rs
@@ -10,7 +10,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use frostdyke::fleet::rollout::Side;
+use frostdyke::fleet::rollout::VersionFilter;
 use frostdyke::names::ServiceName;
 use frostdyke::names::UpstreamName;
 use frostdyke::names::VersionName;
@@ -133,7 +133,7 @@
         service: "ledger",
         workspace: None,
         except: &[],
-        side: Side::Any,
+        side: VersionFilter::Any,
         aim: AIM,
         waited: Duration::ZERO,
         zone,
--- a/tests/proxy_view.rs
+++ b/tests/proxy_view.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use frostdyke::fleet::evacuated::Evacuated;
+use frostdyke::fleet::evacuated::EvacuatedZones;
 use frostdyke::fleet::revision::Revision;
 use frostdyke::names::ServiceName;
 use frostdyke::names::UpstreamName;
@@ -433,16 +433,16 @@
 fn an_evacuation_that_a_copy_lacks_is_kept_until_it_would_be_written_again() {
     let mut view = view();
     let zones = BTreeSet::from([ZoneName::from("a")]);
-    view.evacuate(&Evacuated { revision: Revision::new(1, 8), zones }, millis(0));
+    view.evacuate(&EvacuatedZones { revision: Revision::new(1, 8), zones }, millis(0));
     view.evacuate(
-        &Evacuated { revision: Revision::new(2, 3), ..Evacuated::default() },
+        &EvacuatedZones { revision: Revision::new(2, 3), ..EvacuatedZones::default() },
         millis(5_000),
     );
     view.tick(millis(7_000));
     assert!(view.is_barred(&UpstreamName::from("a")));
     // One that was heard late, of before.
     view.evacuate(
-        &Evacuated { revision: Revision::new(1, 9), ..Evacuated::default() },
+        &EvacuatedZones { revision: Revision::new(1, 9), ..EvacuatedZones::default() },
         millis(7_100),
     );
     assert!(view.is_barred(&UpstreamName::from("a")));
