--- a/src/fleet/draining.rs
+++ b/src/fleet/draining.rs
@@ -1,7 +1,8 @@
-//! Upstreams that have said in their answers that they are draining.
+//! Upstreams that have announced in their responses that they are draining.
 //!
-//! The platform's store may list such an upstream as ready for long after, drop its entry and list it again. Draining is
-//! final for an incarnation: only a newer one of the same name is open again.
+//! The platform's store may list such an upstream as ready long afterwards, or drop its entry and
+//! list it again. Draining is final for an instance: only a newer instance of the same name accepts
+//! requests again.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,101 +12,103 @@
 
 use crate::names::UpstreamName;
 
-/// How long an upstream is remembered that isn't listed any more: entries that lapse come back sooner.
-const KEPT_UNLISTED: Duration = Duration::from_secs(30);
+/// How long the notice of an upstream that is no longer listed is kept: lapsed entries are listed
+/// again sooner than this.
+const UNLISTED_RETENTION: Duration = Duration::from_secs(30);
 
-/// An incarnation that is newer than the one that was asked, and began before the answer by clocks that may differ, may be
-/// the one that answered. An upstream that drains ends within this time.
-const ENDS_WITHIN: Duration = Duration::from_secs(30);
+/// A draining instance terminates within this time. An instance that is newer than the one the
+/// request was sent to, but started before the response by clocks that may differ, may be the one
+/// that responded.
+const DRAIN_TIME_MAX: Duration = Duration::from_secs(30);
 
-/// The notice of an upstream that it is draining.
+/// An upstream's announcement that it is draining.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainNotice {
-    /// The upstream.
     pub upstream: UpstreamName,
-    /// When the incarnation that was asked was started, in milliseconds since 1970 by its own clock; nothing if that isn't
-    /// known.
+    /// When the instance that the request was sent to started, in milliseconds since 1970 by its own
+    /// clock; `None` if unknown.
     pub born: Option<u64>,
-    /// When it answered, in milliseconds since 1970 by the clock of the box that asked it.
+    /// When it responded, in milliseconds since 1970 by the clock of the box that sent the request.
     pub answered_at_ms: u64,
 }
 
 #[derive(Clone, Debug)]
-struct Mark {
-    draining: DrainNotice,
+struct Entry {
+    notice: DrainNotice,
     noted_at: Duration,
     listed_at: Duration,
 }
 
-/// The upstreams that have said that they are draining.
+/// The drain notices that this box knows of.
 #[derive(Clone, Debug, Default)]
 pub struct DrainNotices {
-    by_name: BTreeMap<UpstreamName, Mark>,
+    by_name: BTreeMap<UpstreamName, Entry>,
 }
 
 impl DrainNotices {
-    /// Adds a notice. True unless there is one of this incarnation or a newer one.
-    pub fn add(&mut self, draining: &DrainNotice, now: Duration) -> bool {
-        let known = self.by_name.get(&draining.upstream);
-        if known.is_some_and(|mark| draining.born <= mark.draining.born) {
+    /// Adds a notice. Returns false if there already is one for this instance or a newer one.
+    pub fn add(&mut self, notice: &DrainNotice, now: Duration) -> bool {
+        let existing = self.by_name.get(&notice.upstream);
+        if existing.is_some_and(|entry| notice.born <= entry.notice.born) {
             return false;
         }
-        let mark = Mark { draining: draining.clone(), noted_at: now, listed_at: now };
-        self.by_name.insert(draining.upstream.clone(), mark);
+        let entry = Entry { notice: notice.clone(), noted_at: now, listed_at: now };
+        self.by_name.insert(notice.upstream.clone(), entry);
         true
     }
 
-    /// When an upstream's notice was added, by this box's clock.
+    /// Returns when an upstream's notice was added, by this box's clock.
     pub fn noted_at(&self, name: &UpstreamName) -> Option<Duration> {
-        self.by_name.get(name).map(|mark| mark.noted_at)
+        self.by_name.get(name).map(|entry| entry.noted_at)
     }
 
-    /// An upstream's notice, of whichever incarnation.
+    /// Returns an upstream's notice, whichever instance it is about.
     pub fn get(&self, name: &UpstreamName) -> Option<&DrainNotice> {
-        self.by_name.get(name).map(|mark| &mark.draining)
+        self.by_name.get(name).map(|entry| &entry.notice)
     }
 
-    /// Whether the incarnation of an upstream that is listed drains; removes the notice of an earlier one.
+    /// Whether the listed instance of an upstream is draining. Removes a notice that is about an
+    /// earlier instance.
     pub fn is_draining(&mut self, name: &UpstreamName, born: Option<u64>, now: Duration) -> bool {
-        let Some(mark) = self.by_name.get_mut(name) else { return false };
-        if mark.is_of_earlier_incarnation(born, now) {
+        let Some(entry) = self.by_name.get_mut(name) else { return false };
+        if entry.is_about_earlier_instance(born, now) {
             self.by_name.remove(name);
             return false;
         }
-        mark.listed_at = now;
+        entry.listed_at = now;
         true
     }
 
-    /// Until when a newer incarnation than the one that was asked is taken for the one that answered; nothing if it isn't
-    /// newer.
+    /// Returns until when an instance that is newer than the one the request was sent to is assumed to
+    /// be the one that responded; `None` if it isn't newer.
     pub fn uncertain_until(&self, name: &UpstreamName, born: Option<u64>) -> Option<Duration> {
-        let mark = self.by_name.get(name)?;
-        mark.is_newer(born).then_some(mark.noted_at + ENDS_WITHIN)
+        let entry = self.by_name.get(name)?;
+        entry.is_newer_instance(born).then_some(entry.noted_at + DRAIN_TIME_MAX)
     }
 
-    /// All notices that are kept.
     pub fn iter(&self) -> impl Iterator<Item = &DrainNotice> {
-        self.by_name.values().map(|mark| &mark.draining)
+        self.by_name.values().map(|entry| &entry.notice)
     }
 
-    /// Forgets upstreams that have not been listed for long.
+    /// Removes notices of upstreams that have not been listed for [`UNLISTED_RETENTION`].
     pub fn expire(&mut self, now: Duration, is_listed: impl Fn(&UpstreamName) -> bool) {
-        self.by_name.retain(|name, mark| {
+        self.by_name.retain(|name, entry| {
             if is_listed(name) {
-                mark.listed_at = now;
+                entry.listed_at = now;
             }
-            now < mark.listed_at + KEPT_UNLISTED
+            now < entry.listed_at + UNLISTED_RETENTION
         });
     }
 }
 
-impl Mark {
-    fn is_of_earlier_incarnation(&self, born: Option<u64>, now: Duration) -> bool {
-        let has_begun_after = born.is_some_and(|born| self.draining.answered_at_ms < born);
-        has_begun_after || (self.is_newer(born) && self.noted_at + ENDS_WITHIN <= now)
+impl Entry {
+    fn is_about_earlier_instance(&self, born: Option<u64>, now: Duration) -> bool {
+        let has_started_after_response = born.is_some_and(|born| self.notice.answered_at_ms < born);
+        has_started_after_response
+            || (self.is_newer_instance(born) && self.noted_at + DRAIN_TIME_MAX <= now)
     }
 
-    fn is_newer(&self, born: Option<u64>) -> bool {
-        self.draining.born.zip(born).is_some_and(|(asked, born)| asked < born)
+    fn is_newer_instance(&self, born: Option<u64>) -> bool {
+        self.notice.born.zip(born).is_some_and(|(asked, born)| asked < born)
     }
 }
--- a/src/fleet/evacuated.rs
+++ b/src/fleet/evacuated.rs
@@ -1,8 +1,9 @@
-//! Availability zones that the operator has emptied: their engines get nothing until the order is taken back.
+//! Availability zones that the operator has evacuated: their engines receive no requests until the
+//! order is revoked.
 //!
-//! The whole state is a handful of names. Each sign of life carries it with the store's revision as of which
-//! it is known, and the newest wins; so it reaches every box, also one that starts meanwhile, without being
-//! asked for.
+//! The whole state is a handful of zone names. Each heartbeat carries it along with the revision of the
+//! store that it is valid for, and the highest revision wins. It thus reaches every box without being
+//! requested, also a box that starts meanwhile.
 
 use std::collections::BTreeSet;
 
@@ -12,39 +13,38 @@
 use crate::fleet::revision::Revision;
 use crate::names::ZoneName;
 
-/// What the operator orders.
+/// An operator's order to evacuate a zone or to end its evacuation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EvacuationOrder {
-    /// Nothing more is to be sent to the engines of a zone.
+    /// Send no more requests to the engines of the zone.
     Evacuate(ZoneName),
-    /// A zone's engines may be sent requests again.
+    /// The zone's engines may receive requests again.
     Revoke(ZoneName),
 }
 
-/// The zones that are evacuated, as of a revision of the store.
+/// The evacuated zones as of a revision of the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvacuatedZones {
-    /// The store's revision; the default where nothing has been heard.
+    /// The store's revision; the default if nothing has been received.
     pub revision: Revision,
-    /// The zones.
     pub zones: BTreeSet<ZoneName>,
 }
 
 impl EvacuatedZones {
-    /// Takes over what is known as of a later revision. True where the zones are others.
+    /// Adopts `other` if its revision is later. Returns whether the set of zones has changed.
     pub fn merge(&mut self, other: &EvacuatedZones) -> bool {
         if other.revision <= self.revision {
             return false;
         }
         self.revision = other.revision;
-        let is_new = self.zones != other.zones;
-        if is_new {
+        let has_changed = self.zones != other.zones;
+        if has_changed {
             self.zones = other.zones.clone();
         }
-        is_new
+        has_changed
     }
 
-    /// The same after these orders, in turn, as of `revision`.
+    /// Returns the evacuated zones at `revision`, after these orders have been applied in turn.
     pub fn with_orders(&self, orders: &[EvacuationOrder], revision: Revision) -> EvacuatedZones {
         let mut zones = self.zones.clone();
         for order in orders {
--- a/src/fleet/fingerprint.rs
+++ b/src/fleet/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What a request asks for, by which it is known again whatever id, box and connection it comes with.
+//! Fingerprints of requests, which recognize a retry whatever its id, box and connection.
 
 use std::fmt;
 
@@ -8,60 +8,59 @@
 use sha2::Sha256;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Bytes of a digest: nobody finds two requests that have the same one.
-const DIGEST_LEN: usize = 16;
+/// Long enough that nobody can find two requests with the same digest.
+const DIGEST_BYTES: usize = 16;
 
-/// All that makes a request the same one when it comes again: what the upstream gets of it, and whose it is, so that
-/// nobody's request is taken for another workspace's. Its id, its deadline and other headers differ from try to try. A
-/// request without a body has an empty one; one that came in chunks is the same as one that came with a length.
+/// The parts of a request that are the same in every retry: what the upstream receives, and the
+/// workspace, so that a request is never mistaken for another workspace's.
+///
+/// The id, deadline and other headers differ between retries and are left out. A request without a body
+/// has an empty body, and a chunked body equals the same body sent with a length.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestContent<'a> {
-    /// The method.
     pub method: &'a str,
-    /// The host that was asked.
+    /// The requested host.
     pub host: &'a str,
     /// Path and query.
     pub target: &'a str,
-    /// Whom it is charged to.
+    /// The workspace that is charged.
     pub workspace: Option<&'a str>,
-    /// The whole body.
     pub body: &'a [u8],
 }
 
 impl RequestContent<'_> {
-    /// A number that the same request always has, and others may have, too: it is worked out in no time, whatever the
-    /// length of the body.
+    /// Returns a hash that is cheap to compute whatever the length of the body, and that different
+    /// requests may share.
     pub fn quick_hash(&self) -> u32 {
         let mut hash = Xxh3::new();
-        self.head().iter().for_each(|part| hash.update(part));
+        self.head_parts().iter().for_each(|part| hash.update(part));
         hash.update(&self.body.len().to_le_bytes());
         hash.digest() as u32
     }
 
-    /// Works out the fingerprint.
     pub fn fingerprint(&self) -> Fingerprint {
         let mut hash = Sha256::new();
-        for part in self.head() {
+        for part in self.head_parts() {
             hash.update(part.len().to_le_bytes());
             hash.update(part);
         }
         hash.update(self.body);
-        let mut digest = [0; DIGEST_LEN];
-        digest.copy_from_slice(&hash.finalize()[..DIGEST_LEN]);
+        let mut digest = [0; DIGEST_BYTES];
+        digest.copy_from_slice(&hash.finalize()[..DIGEST_BYTES]);
         Fingerprint { quick_hash: self.quick_hash(), digest }
     }
 
-    fn head(&self) -> [&[u8]; 4] {
-        let texts = [self.method, self.host, self.target, self.workspace.unwrap_or_default()];
-        texts.map(str::as_bytes)
+    fn head_parts(&self) -> [&[u8]; 4] {
+        let parts = [self.method, self.host, self.target, self.workspace.unwrap_or_default()];
+        parts.map(str::as_bytes)
     }
 }
 
-/// Names what a request asks for. Those of one quick_hash stand together in order.
+/// Identifies a request by its content. Fingerprints of one quick hash are adjacent in their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint {
     quick_hash: u32,
-    digest: [u8; DIGEST_LEN],
+    digest: [u8; DIGEST_BYTES],
 }
 
 impl Fingerprint {
@@ -70,26 +69,26 @@
         self.quick_hash
     }
 
-    /// The bytes that tell it from others.
+    /// Returns the digest of the content.
     pub fn as_bytes(&self) -> &[u8] {
         &self.digest
     }
 
-    /// The fingerprint of this quick_hash and text, as [`fmt::Display`] writes it; nothing if it is none.
+    /// Parses a fingerprint from its quick hash and its digest as written by [`fmt::Display`].
     pub fn parse(quick_hash: u32, text: &str) -> Option<Fingerprint> {
-        let mut digest = [0; DIGEST_LEN];
+        let mut digest = [0; DIGEST_BYTES];
         hex::decode_to_slice(text, &mut digest).ok()?;
         Some(Fingerprint { quick_hash, digest })
     }
 
-    /// The first of all that may have a quick_hash.
-    pub(super) fn first_of(quick_hash: u32) -> Fingerprint {
-        Fingerprint { quick_hash, digest: [0; DIGEST_LEN] }
+    /// Returns the lowest fingerprint that has this quick hash.
+    pub(super) fn min_of(quick_hash: u32) -> Fingerprint {
+        Fingerprint { quick_hash, digest: [0; DIGEST_BYTES] }
     }
 
-    /// The last of them.
-    pub(super) fn last_of(quick_hash: u32) -> Fingerprint {
-        Fingerprint { quick_hash, digest: [u8::MAX; DIGEST_LEN] }
+    /// Returns the highest fingerprint that has this quick hash.
+    pub(super) fn max_of(quick_hash: u32) -> Fingerprint {
+        Fingerprint { quick_hash, digest: [u8::MAX; DIGEST_BYTES] }
     }
 }
 
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! What the boxes of a fleet know of each other: who is alive, who watches the store, and who
-//! owns the model of which engines. Nothing here does input or output; time is a parameter.
+//! What the boxes of a fleet know of each other: which are alive, which watch the store, and which
+//! own which groups of engines. Nothing in this module does input or output; time is a parameter.
 
 pub mod draining;
 pub mod evacuated;
--- a/src/fleet/quarantine.rs
+++ b/src/fleet/quarantine.rs
@@ -123,7 +123,7 @@
 
     /// Whether a request of this quick_hash may be known.
     pub fn may_contain(&self, quick_hash: u32) -> bool {
-        let all = Fingerprint::first_of(quick_hash)..=Fingerprint::last_of(quick_hash);
+        let all = Fingerprint::min_of(quick_hash)..=Fingerprint::max_of(quick_hash);
         self.suspects.range(all).next().is_some()
     }
 
--- a/src/fleet/revision.rs
+++ b/src/fleet/revision.rs
@@ -1,8 +1,8 @@
-//! A place in the history of the platform's store.
+//! Revisions of the platform's store.
 //!
-//! A store that comes back from an older copy gives revisions out again, for other content. Each such return begins
-//! an era, so revisions are ordered by their eras first: what boxes believe and tell each other is compared by this
-//! alone, and a box that has not heard of an era is behind all that have.
+//! A store that is restored from an older copy assigns revision numbers again, for other content. Each
+//! restore starts a new era, and revisions are ordered by era first. Boxes compare their state by this
+//! order alone, so a box that has not heard of an era is behind all boxes that have.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -11,24 +11,24 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A revision of the store in one of its eras; the default is before all others.
+/// A revision of the store in one of its eras. The default is lower than all others.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Revision {
-    /// How often the store has come back from a copy, as it counts itself; zero where it doesn't say.
+    /// How often the store has been restored from a copy, by its own count; zero if it doesn't report
+    /// that.
     pub era: u64,
-    /// The store's counter of changes.
+    /// The store's change counter.
     pub number: u64,
 }
 
 impl Revision {
-    /// A revision of an era.
     pub fn new(era: u64, number: u64) -> Revision {
         Revision { era, number }
     }
 
-    /// Whether nothing has been heard of the store.
+    /// Whether nothing has been received from the store yet.
     pub fn is_none(self) -> bool {
         self == Revision::default()
     }
--- a/src/fleet/sync_state.rs
+++ b/src/fleet/sync_state.rs
@@ -1,56 +1,59 @@
-//! How a box that doesn't watch the platform's store stands to those that do.
+//! Whether the upstream list of a box that doesn't watch the platform's store is up to date, compared
+//! with the boxes that do.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use crate::fleet::revision::Revision;
 
-/// A word that is older says nothing of what its box lists now.
-const FRESH: Duration = Duration::from_millis(1500);
+/// An older report says nothing about what its box lists now.
+const REPORT_AGE_MAX: Duration = Duration::from_millis(1500);
 
-/// What a box said of itself.
+/// What another box last reported about its upstream list.
 #[derive(Clone, Copy, Debug)]
 pub struct UpstreamListReport {
-    /// Where it answers other boxes.
+    /// Address at which it serves other boxes.
     pub addr: SocketAddr,
-    /// Whether it sees the store.
+    /// Whether it reaches the store.
     pub sees_store: bool,
-    /// The revision of the store up to which its list of upstreams_digest is whole.
+    /// The revision of the store up to which its list is complete.
     pub revision: Revision,
-    /// A digest of that list.
+    /// Digest of the list.
     pub upstreams_digest: u64,
-    /// How long ago it said so.
+    /// Time since the report.
     pub age: Duration,
 }
 
-/// How a box stands to those that watch the store for it.
+/// How a box's upstream list compares with the lists of the boxes that watch the store for it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SyncState {
-    /// Nothing is known to be missing.
+    /// No difference is known.
     InSync,
-    /// These have heard of changes that it may have missed.
+    /// The boxes at these addresses have received changes that this one may have missed.
     Behind(Vec<SocketAddr>),
-    /// It has heard of as much as this one, and as all that have, and yet lists other upstreams_digest.
+    /// At the same revision, all boxes list other upstreams than this one. The box at this address has
+    /// reported last.
     Diverged(SocketAddr),
 }
 
-/// How a box stands whose list has this digest and is whole up to this revision.
+/// Compares a list that has this digest and is complete up to `revision` with what other boxes report.
 pub fn evaluate(
     revision: Revision,
     upstreams_digest: u64,
-    words: impl Iterator<Item = UpstreamListReport>,
+    reports: impl Iterator<Item = UpstreamListReport>,
 ) -> SyncState {
-    let fresh: Vec<UpstreamListReport> = words.filter(|w| w.sees_store && w.age < FRESH).collect();
+    let fresh: Vec<UpstreamListReport> =
+        reports.filter(|r| r.sees_store && r.age < REPORT_AGE_MAX).collect();
     let ahead: Vec<SocketAddr> =
-        fresh.iter().filter(|w| revision < w.revision).map(|w| w.addr).collect();
+        fresh.iter().filter(|r| revision < r.revision).map(|r| r.addr).collect();
     if !ahead.is_empty() {
         return SyncState::Behind(ahead);
     }
-    // One that is behind lists other upstreams_digest than this box, and says nothing by that.
-    let level = || fresh.iter().filter(|w| w.revision == revision);
-    let is_alone = level().all(|w| w.upstreams_digest != upstreams_digest);
-    match level().min_by_key(|w| w.age) {
-        Some(newest) if is_alone => SyncState::Diverged(newest.addr),
+    // A box that is behind lists other upstreams than this one; that says nothing about this one.
+    let same_revision = || fresh.iter().filter(|r| r.revision == revision);
+    let differs_from_all = same_revision().all(|r| r.upstreams_digest != upstreams_digest);
+    match same_revision().min_by_key(|r| r.age) {
+        Some(newest) if differs_from_all => SyncState::Diverged(newest.addr),
         _ => SyncState::InSync,
     }
 }
--- a/src/proxy/peers.rs
+++ b/src/proxy/peers.rs
@@ -276,7 +276,7 @@
         let zone: Vec<ZoneBox> =
             self.members(|members| members.live(now).filter_map(colleague).collect());
         store_watch::should_watch(WatchInputs {
-            me: self.me.ip(),
+            own_ip: self.me.ip(),
             cores: self.cores,
             zone_boxes: &zone,
             live_boxes: self.live() + 1,
--- a/tests/fleet_owners.rs
+++ b/tests/fleet_owners.rs
@@ -111,7 +111,7 @@
                 })
                 .collect();
             store_watch::should_watch(WatchInputs {
-                me: *me,
+                own_ip: *me,
                 cores: *cores,
                 zone_boxes: &zone,
                 live_boxes: 5 * self.boxes.len(),
