--- a/src/proxy/box_api.rs
+++ b/src/proxy/box_api.rs
@@ -16,8 +16,8 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-use crate::fleet::owners::Group;
-use crate::fleet::quarantine::Suspect;
+use crate::fleet::owners::EngineGroup;
+use crate::fleet::quarantine::SuspectReport;
 use crate::placement::fleet::learned::Learned;
 use crate::proxy::ShutdownPhase;
 use crate::proxy::ask;
@@ -99,7 +99,10 @@
 }
 
 /// Asks another box what it has learned of engines, or of those of one group.
-pub async fn fetch_learned(addr: SocketAddr, group: Option<Group>) -> Result<Learned, FetchError> {
+pub async fn fetch_learned(
+    addr: SocketAddr,
+    group: Option<EngineGroup>,
+) -> Result<Learned, FetchError> {
     let path = match group {
         Some(group) => format!("{LEARNED_PATH}/{group}"),
         None => LEARNED_PATH.to_owned(),
@@ -108,7 +111,7 @@
 }
 
 /// Asks another box which requests it holds back.
-pub async fn fetch_held(addr: SocketAddr) -> Result<Vec<Suspect>, FetchError> {
+pub async fn fetch_held(addr: SocketAddr) -> Result<Vec<SuspectReport>, FetchError> {
     Ok(postcard::from_bytes(&fetch(addr, HELD_PATH).await?)?)
 }
 
@@ -161,10 +164,15 @@
 
     fn held(&self) -> Response<Bytes> {
         let now = self.hub.now();
-        packed(&self.hub.suspects().read(|held| held.held(now).collect::<Vec<Suspect>>()))
+        packed(
+            &self
+                .hub
+                .suspects()
+                .read(|held| held.held_reports(now).collect::<Vec<SuspectReport>>()),
+        )
     }
 
-    fn learned(&self, group: Option<Group>) -> Response<Bytes> {
+    fn learned(&self, group: Option<EngineGroup>) -> Response<Bytes> {
         packed(&self.hub.read(|view| view.learned(group)))
     }
 }
--- a/src/proxy/state_updates.rs
+++ b/src/proxy/state_updates.rs
@@ -36,7 +36,7 @@
         News::UpTo(revision) => hub.change(|view, _| view.complete_up_to(revision)),
         News::Evacuated(all) => hub.change(|view, now| view.evacuate(&all, now)),
         News::Ordered { orders, revision } => hub.change(|view, now| {
-            let evacuated = view.evacuated().after(&orders, revision);
+            let evacuated = view.evacuated().with_orders(&orders, revision);
             view.evacuate(&evacuated, now);
         }),
         News::Rollouts(all, revision) => rollouts::apply_list(hub, &all, revision),
@@ -118,7 +118,7 @@
         Message::Leaving { upstream } => {
             hub.change(|view, now| view.reported_leaving(&upstream, now));
         }
-        Message::Draining(draining) => notices::receive(hub, &draining, sender),
+        Message::DrainNotice(draining) => notices::receive(hub, &draining, sender),
         Message::Listed(listed) => hub.change(|view, now| view.reported_listed(listed, now)),
         Message::Gone { upstream } => hub.change(|view, now| view.reported_gone(&upstream, now)),
         Message::PlacementResponse(answer) => asking::answered(hub, answer, sender),
@@ -127,7 +127,7 @@
                 shares.add(&used.workspace, used.tokens, now);
             }
         }),
-        Message::Observed { service, target, all } => {
+        Message::ResponseReports { service, target, all } => {
             hub.rollouts().add_reports(&service, &target, &all);
         }
         Message::Suspects(all) => suspects::merge_reports(hub, &all),
@@ -141,7 +141,7 @@
 
 /// Whether this box owns the model of an engine; nothing where nobody owns anything.
 fn owns(hub: &Hub, upstream: &UpstreamName) -> Option<bool> {
-    let owned = hub.peers().owners().of_hash(upstream::hash(upstream));
+    let owned = hub.peers().owners().owners_of_hash(upstream::hash(upstream));
     owned.map(|owned| owned.owner == hub.peers().own_ip())
 }
 
--- a/src/proxy/suspects.rs
+++ b/src/proxy/suspects.rs
@@ -22,7 +22,7 @@
 use crate::fleet::quarantine::CRASHES_MAX;
 use crate::fleet::quarantine::Hold;
 use crate::fleet::quarantine::Quarantine;
-use crate::fleet::quarantine::Suspect;
+use crate::fleet::quarantine::SuspectReport;
 use crate::fleet::quarantine::Verdict;
 use crate::names::UpstreamName;
 use crate::proxy::box_api;
@@ -170,7 +170,7 @@
     pub fn would_reach_crash_limit(&self, fingerprint: &Fingerprint, now: Duration) -> bool {
         self.with(|inner| {
             CRASHES_MAX
-                <= inner.quarantine.crashes(fingerprint) + inner.unexplained(fingerprint, now)
+                <= inner.quarantine.crash_count(fingerprint) + inner.unexplained(fingerprint, now)
         })
     }
 
@@ -193,7 +193,7 @@
     /// Forgets what was long ago.
     pub fn tick(&self, now: Duration) {
         self.with(|inner| {
-            inner.quarantine.tick(now);
+            inner.quarantine.expire(now);
             while inner.waiting.front().is_some_and(|w| w.at + WAITS_FOR < now) {
                 inner.waiting.pop_front();
             }
@@ -206,7 +206,7 @@
 pub fn hold_time(hub: &Hub, fingerprint: &Fingerprint) -> Option<Duration> {
     let now = hub.now();
     match hub.suspects().read(|quarantine| quarantine.verdict(fingerprint, now)) {
-        Verdict::Free => None,
+        Verdict::Allowed => None,
         Verdict::Held(left) => Some(left),
         // One box tries for all, so that no more than one upstream ends by it.
         Verdict::OnTrial => {
@@ -287,12 +287,13 @@
     let (mut held, told) = hub.suspects().with(|Inner { quarantine, .. }| {
         let mut held = Vec::new();
         for (fingerprint, start) in &crashes {
-            if let Some(hold) = quarantine.crashed(*fingerprint, *start, now) {
+            if let Some(hold) = quarantine.record_crash(*fingerprint, *start, now) {
                 held.push((*fingerprint, hold));
             }
         }
-        let told = crashes.iter().filter_map(|(fingerprint, _)| quarantine.told(fingerprint, now));
-        (held, told.collect::<Vec<Suspect>>())
+        let told =
+            crashes.iter().filter_map(|(fingerprint, _)| quarantine.report(fingerprint, now));
+        (held, told.collect::<Vec<SuspectReport>>())
     });
     for chunk in told.chunks(TOLD_MAX) {
         // The next end is the last that is allowed, or was; a datagram may be lost.
@@ -301,18 +302,18 @@
         (0..copies).for_each(|_| hub.peers().broadcast_now(&message));
     }
     held.iter().for_each(|(fingerprint, hold)| tell_hold(hub, fingerprint, *hold, "seen"));
-    held.retain(|(_, hold)| *hold == Hold::Firm);
+    held.retain(|(_, hold)| *hold == Hold::Confirmed);
     if !held.is_empty() {
         hub.suspects().to_keep(held.into_iter().map(|(fingerprint, _)| fingerprint).collect());
     }
 }
 
 /// Takes in what another box tells.
-pub fn merge_reports(hub: &Hub, all: &[Suspect]) {
+pub fn merge_reports(hub: &Hub, all: &[SuspectReport]) {
     let now = hub.now();
     for suspect in all {
-        if let Some(hold) = hub.suspects().with(|inner| inner.quarantine.hear(suspect, now)) {
-            tell_hold(hub, &suspect.content, hold, "told");
+        if let Some(hold) = hub.suspects().with(|inner| inner.quarantine.merge(suspect, now)) {
+            tell_hold(hub, &suspect.fingerprint, hold, "told");
         }
     }
 }
@@ -324,7 +325,7 @@
 
 fn tell_hold(hub: &Hub, fingerprint: &Fingerprint, hold: Hold, by: &'static str) {
     warn!(hub.log(), "request held back"; "content" => %fingerprint, "by" => by,
-        "until_tried" => hold == Hold::ForNow, "upstreams_ended" => CRASHES_MAX);
+        "until_tried" => hold == Hold::Provisional, "upstreams_ended" => CRASHES_MAX);
     hub.metrics().held_back(by);
 }
 
@@ -333,7 +334,7 @@
 pub async fn catch_up(hub: Arc<Hub>) {
     loop {
         pace::wait(LOOK_EVERY).await;
-        let own = hub.suspects().read(|quarantine| quarantine.digest(hub.now()));
+        let own = hub.suspects().read(|quarantine| quarantine.held_digest(hub.now()));
         let Some(addr) = hub.peers().box_with_other_held(own) else { continue };
         match box_api::fetch_held(addr).await {
             Ok(all) => merge_reports(&hub, &all),
@@ -351,7 +352,7 @@
             hub.suspects().to_keep.notified().await;
             continue;
         };
-        let told = hub.suspects().read(|quarantine| quarantine.told(&fingerprint, hub.now()));
+        let told = hub.suspects().read(|quarantine| quarantine.report(&fingerprint, hub.now()));
         let kept = match &told {
             Some(suspect) => records.keep(suspect).await,
             // Nothing is held against it any more.
@@ -398,11 +399,11 @@
     }
 }
 
-async fn take_kept(hub: &Hub, records: &dyn Records, all: &[Suspect]) {
+async fn take_kept(hub: &Hub, records: &dyn Records, all: &[SuspectReport]) {
     merge_reports(hub, all);
-    for Suspect { content: fingerprint, .. } in all {
+    for SuspectReport { fingerprint, .. } in all {
         let verdict = hub.suspects().read(|known| known.verdict(fingerprint, hub.now()));
-        if verdict != Verdict::Free {
+        if verdict != Verdict::Allowed {
             continue;
         }
         // It was long ago. Another box may do the same at the same time.
