--- a/src/proxy/box_api.rs
+++ b/src/proxy/box_api.rs
@@ -18,7 +18,7 @@
 
 use crate::fleet::owners::EngineGroup;
 use crate::fleet::quarantine::SuspectReport;
-use crate::placement::fleet::learned::Learned;
+use crate::placement::registry::learned::LearnedReport;
 use crate::proxy::ShutdownPhase;
 use crate::proxy::ask;
 use crate::proxy::ask::Asker;
@@ -102,7 +102,7 @@
 pub async fn fetch_learned(
     addr: SocketAddr,
     group: Option<EngineGroup>,
-) -> Result<Learned, FetchError> {
+) -> Result<LearnedReport, FetchError> {
     let path = match group {
         Some(group) => format!("{LEARNED_PATH}/{group}"),
         None => LEARNED_PATH.to_owned(),
--- a/src/proxy/gossip.rs
+++ b/src/proxy/gossip.rs
@@ -106,7 +106,7 @@
     let report = &beat.report;
     if has_restarted {
         info!(hub.log(), "box restarted"; "name" => report.name.as_str());
-        hub.fleet(|fleet| fleet.forget_sender(report.addr.ip()));
+        hub.fleet(|fleet| fleet.remove_sender(report.addr.ip()));
     }
     if is_new {
         info!(hub.log(), "box heard"; "name" => report.name.as_str(),
@@ -152,7 +152,7 @@
         let now = peers.now();
         for ip in peers.members(|members| members.take_dead(now)) {
             info!(hub.log(), "box silent"; "ip" => %ip);
-            hub.fleet(|fleet| fleet.forget_sender(ip));
+            hub.fleet(|fleet| fleet.remove_sender(ip));
         }
         peers.send_heartbeats(state(&hub));
         // Whichever comes first.
--- a/src/proxy/rollouts.rs
+++ b/src/proxy/rollouts.rs
@@ -217,8 +217,9 @@
     }
     let now = hub.now();
     hub.read(|view| {
-        let running =
-            |service: &str, version: &str| view.fleet().outstanding_beside(service, version);
+        let running = |service: &str, version: &str| {
+            view.fleet().outstanding_on_other_versions(service, version)
+        };
         state.with(|inner| inner.rollouts.reports(now, running))
     })
 }
@@ -232,7 +233,7 @@
         state.is_any.store(!inner.rollouts.is_empty(), Ordering::Relaxed);
         (has_changed, inner.rollouts.targets(now))
     });
-    hub.fleet(|fleet| fleet.roll_out(targets));
+    hub.fleet(|fleet| fleet.set_rollout_targets(targets));
     if !has_changed {
         return;
     }
@@ -315,7 +316,7 @@
     if !is_bad && !is_judge(hub, service) {
         return;
     }
-    let slots = hub.read(|view| view.fleet().slots_by(service, &target));
+    let slots = hub.read(|view| view.fleet().slots_by_version(service, &target));
     let (situation, now) =
         (StageInputs { min_responses: answers, has_regressed: is_bad, slots }, hub.now());
     change(hub, |rollouts| match rollouts.advance(service, situation, now) {
