--- a/src/fleet/draining.rs
+++ b/src/fleet/draining.rs
@@ -25,7 +25,8 @@
     pub upstream: UpstreamName,
     /// When the incarnation that was asked was started, in milliseconds since 1970 by its own clock; nothing if that isn't
     /// known.
-    pub born: Option<u64>,
+    #[serde(rename = "born")]
+    pub started_at_ms: Option<u64>,
     /// When it answered, in milliseconds since 1970 by the clock of the box that asked it.
     pub said_at: u64,
 }
@@ -47,7 +48,7 @@
     /// Adds a notice. True unless there is one of this incarnation or a newer one.
     pub fn add(&mut self, draining: &Draining, now: Duration) -> bool {
         let known = self.by_name.get(&draining.upstream);
-        if known.is_some_and(|mark| draining.born <= mark.draining.born) {
+        if known.is_some_and(|mark| draining.started_at_ms <= mark.draining.started_at_ms) {
             return false;
         }
         let mark = Mark { draining: draining.clone(), noted_at: now, listed_at: now };
@@ -66,9 +67,14 @@
     }
 
     /// Whether the incarnation of an upstream that is listed drains; removes the notice of an earlier one.
-    pub fn covers(&mut self, name: &UpstreamName, born: Option<u64>, now: Duration) -> bool {
+    pub fn covers(
+        &mut self,
+        name: &UpstreamName,
+        started_at_ms: Option<u64>,
+        now: Duration,
+    ) -> bool {
         let Some(mark) = self.by_name.get_mut(name) else { return false };
-        if mark.is_of_earlier_incarnation(born, now) {
+        if mark.is_of_earlier_incarnation(started_at_ms, now) {
             self.by_name.remove(name);
             return false;
         }
@@ -78,9 +84,13 @@
 
     /// Until when a newer incarnation than the one that was asked is taken for the one that answered; nothing if it isn't
     /// newer.
-    pub fn uncertain_until(&self, name: &UpstreamName, born: Option<u64>) -> Option<Duration> {
+    pub fn uncertain_until(
+        &self,
+        name: &UpstreamName,
+        started_at_ms: Option<u64>,
+    ) -> Option<Duration> {
         let mark = self.by_name.get(name)?;
-        mark.is_newer(born).then_some(mark.noted_at + ENDS_WITHIN)
+        mark.is_newer(started_at_ms).then_some(mark.noted_at + ENDS_WITHIN)
     }
 
     /// All notices that are kept.
@@ -100,12 +110,16 @@
 }
 
 impl Mark {
-    fn is_of_earlier_incarnation(&self, born: Option<u64>, now: Duration) -> bool {
-        let has_begun_after = born.is_some_and(|born| self.draining.said_at < born);
-        has_begun_after || (self.is_newer(born) && self.noted_at + ENDS_WITHIN <= now)
+    fn is_of_earlier_incarnation(&self, started_at_ms: Option<u64>, now: Duration) -> bool {
+        let has_begun_after =
+            started_at_ms.is_some_and(|started_at_ms| self.draining.said_at < started_at_ms);
+        has_begun_after || (self.is_newer(started_at_ms) && self.noted_at + ENDS_WITHIN <= now)
     }
 
-    fn is_newer(&self, born: Option<u64>) -> bool {
-        self.draining.born.zip(born).is_some_and(|(asked, born)| asked < born)
+    fn is_newer(&self, started_at_ms: Option<u64>) -> bool {
+        self.draining
+            .started_at_ms
+            .zip(started_at_ms)
+            .is_some_and(|(asked, started_at_ms)| asked < started_at_ms)
     }
 }
--- a/src/placement/admit.rs
+++ b/src/placement/admit.rs
@@ -22,7 +22,7 @@
 use crate::placement::share::Shares;
 use crate::placement::tuning::Tuning;
 use crate::placement::upstream::COPY_MIN;
-use crate::proxy::dialect::Prompt;
+use crate::proxy::adapter::Prompt;
 
 /// A workspace that is over its share by this part of it gets only what needs no wait at all.
 const SHARE_EXCESS: f64 = 0.5;
--- a/src/placement/cache.rs
+++ b/src/placement/cache.rs
@@ -2,7 +2,7 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::proxy::dialect::Part;
+use crate::proxy::adapter::PromptPart;
 
 /// Parts of prompts, those unused longest giving way first.
 #[derive(Clone, Debug)]
@@ -27,13 +27,13 @@
 
     /// Tokens at the head of a prompt that need not be read again. A part counts only if all
     /// before it are kept, too.
-    pub fn kept(&self, parts: &[Part]) -> u32 {
-        let tokens = |p: &Part| self.parts.get(&p.id).map(|e| e.tokens.min(p.tokens));
+    pub fn kept(&self, parts: &[PromptPart]) -> u32 {
+        let tokens = |p: &PromptPart| self.parts.get(&p.id).map(|e| e.tokens.min(p.tokens));
         parts.iter().map_while(tokens).sum()
     }
 
     /// Notes that a prompt is read.
-    pub fn read(&mut self, parts: &[Part]) {
+    pub fn read(&mut self, parts: &[PromptPart]) {
         // From the last to the first: a part without those before it is of no use, so it gives way
         // before them.
         for part in parts.iter().rev() {
@@ -46,9 +46,12 @@
     }
 
     /// All parts, those unused longest first.
-    pub fn parts(&self) -> Vec<Part> {
-        let mut by_age: Vec<(u64, Part)> =
-            self.parts.iter().map(|(id, e)| (e.used, Part { id: *id, tokens: e.tokens })).collect();
+    pub fn parts(&self) -> Vec<PromptPart> {
+        let mut by_age: Vec<(u64, PromptPart)> = self
+            .parts
+            .iter()
+            .map(|(id, e)| (e.used, PromptPart { id: *id, tokens: e.tokens }))
+            .collect();
         by_age.sort_unstable_by_key(|(used, _)| *used);
         by_age.into_iter().map(|(_, part)| part).collect()
     }
--- a/src/placement/choice.rs
+++ b/src/placement/choice.rs
@@ -11,7 +11,7 @@
 use crate::names::UpstreamName;
 use crate::names::ZoneName;
 use crate::placement::cold::Role;
-use crate::proxy::dialect::Prompt;
+use crate::proxy::adapter::Prompt;
 
 /// An engine that keeps some of a prompt, from which another may copy it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/src/placement/engine.rs
+++ b/src/placement/engine.rs
@@ -14,8 +14,8 @@
 use crate::placement::speed::Speed;
 use crate::placement::speed::Work;
 use crate::placement::tuning::Tuning;
-use crate::proxy::dialect::Part;
-use crate::proxy::dialect::Prompt;
+use crate::proxy::adapter::Prompt;
+use crate::proxy::adapter::PromptPart;
 use crate::proxy::table::EngineLimits;
 
 /// A request whose end isn't heard of is forgotten after this: longer than any is held.
@@ -153,7 +153,7 @@
 
     /// Whether it has a slot and memory for another request.
     pub fn has_room(&self, prompt: &Prompt) -> bool {
-        let needed = u64::from(prompt.tokens) + u64::from(prompt.written_max);
+        let needed = u64::from(prompt.tokens) + u64::from(prompt.output_tokens_max);
         self.runs.len() < self.limits.slots as usize
             && self.run_tokens + needed <= self.limits.memory_tokens
     }
@@ -219,7 +219,7 @@
         let ahead = self.left(speed, now).and(work);
         self.load = self.load(tuning, now) + self.reading(work, speed);
         self.load_at = now;
-        let tokens = u64::from(prompt.tokens) + u64::from(prompt.written_max);
+        let tokens = u64::from(prompt.tokens) + u64::from(prompt.output_tokens_max);
         self.cache.read(&prompt.parts);
         let copying = if copied == 0 { Duration::ZERO } else { self.copy_time(copied) };
         let had_slot = self.runs.len() < self.limits.slots as usize;
@@ -253,13 +253,13 @@
     }
 
     /// What it is believed to keep, for a box that knows nothing yet.
-    pub fn parts(&self) -> Vec<Part> {
+    pub fn parts(&self) -> Vec<PromptPart> {
         self.cache.parts()
     }
 
     /// Takes over what it is said to keep, the parts unused longest first. What was read since is
     /// newer.
-    pub fn keep(&mut self, parts: &[Part]) {
+    pub fn keep(&mut self, parts: &[PromptPart]) {
         let newer = self.cache.parts();
         self.cache.read(&reversed(parts));
         self.cache.read(&reversed(&newer));
@@ -338,6 +338,6 @@
 }
 
 /// The cache takes the parts of a prompt, which it marks from the last to the first.
-fn reversed(parts: &[Part]) -> Vec<Part> {
+fn reversed(parts: &[PromptPart]) -> Vec<PromptPart> {
     parts.iter().rev().copied().collect()
 }
--- a/src/placement/fleet.rs
+++ b/src/placement/fleet.rs
@@ -30,7 +30,7 @@
 use crate::placement::tuning::Tuning;
 use crate::placement::upstream::Health;
 use crate::placement::upstream::Upstream;
-use crate::proxy::dialect::Listed;
+use crate::proxy::adapter::UpstreamListing;
 use crate::proxy::table::EngineLimits;
 
 /// All upstreams that this box knows.
@@ -79,7 +79,7 @@
     }
 
     /// Takes over an upstream that is new or has changed. `limits` where it is an engine.
-    pub fn set(&mut self, listed: Listed, limits: Option<EngineLimits>) {
+    pub fn set(&mut self, listed: UpstreamListing, limits: Option<EngineLimits>) {
         if let Some(known) = self.upstreams.get_mut(&listed.name) {
             self.index.remove(known);
             known.listed = listed;
@@ -143,12 +143,12 @@
     }
 
     /// All upstreams, as they are to be told to another box.
-    pub fn told(&self, now: Duration) -> Vec<Listed> {
+    pub fn told(&self, now: Duration) -> Vec<UpstreamListing> {
         self.upstreams.values().map(|u| u.told(now)).collect()
     }
 
     /// An upstream, as it is to be told to another box.
-    pub fn told_of(&self, name: &UpstreamName, now: Duration) -> Option<Listed> {
+    pub fn told_of(&self, name: &UpstreamName, now: Duration) -> Option<UpstreamListing> {
         self.upstreams.get(name).map(|u| u.told(now))
     }
 
@@ -171,12 +171,12 @@
     }
 
     /// All upstreams, as listed.
-    pub fn listed(&self) -> impl Iterator<Item = &Listed> {
+    pub fn listed(&self) -> impl Iterator<Item = &UpstreamListing> {
         self.upstreams.values().map(|u| &u.listed)
     }
 
     /// An upstream, as listed.
-    pub fn get(&self, name: &UpstreamName) -> Option<&Listed> {
+    pub fn get(&self, name: &UpstreamName) -> Option<&UpstreamListing> {
         self.upstreams.get(name).map(|u| &u.listed)
     }
 
@@ -268,12 +268,12 @@
     }
 
     /// All engines.
-    pub fn engines(&self) -> impl Iterator<Item = &Listed> {
+    pub fn engines(&self) -> impl Iterator<Item = &UpstreamListing> {
         self.upstreams.values().filter(|u| u.engine.is_some()).map(|u| &u.listed)
     }
 
     /// The engines of a group.
-    pub fn engines_of(&self, group: Group) -> impl Iterator<Item = &Listed> {
+    pub fn engines_of(&self, group: Group) -> impl Iterator<Item = &UpstreamListing> {
         let of_group = self.index.of_group(group).filter_map(|name| self.upstreams.get(name));
         of_group.filter(|u| u.engine.is_some()).map(|u| &u.listed)
     }
--- a/src/placement/fleet/choosing.rs
+++ b/src/placement/fleet/choosing.rs
@@ -13,7 +13,7 @@
 use crate::placement::upstream::Context;
 use crate::placement::upstream::Plan;
 use crate::placement::upstream::Upstream;
-use crate::proxy::dialect::Prompt;
+use crate::proxy::adapter::Prompt;
 use crate::util::mix;
 
 /// Preferences for the engines to which a prompt's shared parts belong by their hash, the first one
--- a/src/placement/fleet/learned.rs
+++ b/src/placement/fleet/learned.rs
@@ -10,7 +10,7 @@
 use crate::placement::fleet::Fleet;
 use crate::placement::speed::Speed;
 use crate::placement::upstream::Upstream;
-use crate::proxy::dialect::Part;
+use crate::proxy::adapter::PromptPart;
 
 /// What a box has learned of engines, for one that has just started.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -29,7 +29,7 @@
     /// The engine.
     pub upstream: UpstreamName,
     /// Parts of prompts, those unused longest first.
-    pub parts: Vec<Part>,
+    pub parts: Vec<PromptPart>,
 }
 
 impl Fleet {
--- a/src/placement/fleet/reach.rs
+++ b/src/placement/fleet/reach.rs
@@ -5,7 +5,7 @@
 use crate::names::UpstreamName;
 use crate::placement::fleet::Fleet;
 use crate::placement::upstream::Upstream;
-use crate::proxy::dialect::Listed;
+use crate::proxy::adapter::UpstreamListing;
 
 impl Fleet {
     /// Notes that an upstream may not be reachable, by what this box saw itself or was told. True
@@ -40,7 +40,7 @@
 
     /// Upstreams that it is time to connect to, to see whether they can be reached. Each is given
     /// once until [`Fleet::not_reached`] is called for it, or for the longest pause.
-    pub fn take_doubted(&mut self, now: Duration) -> Vec<Listed> {
+    pub fn take_doubted(&mut self, now: Duration) -> Vec<UpstreamListing> {
         let upstreams = &mut self.upstreams;
         let due = self.doubted.iter().filter_map(|name| {
             let upstream = upstreams.get_mut(name)?;
--- a/src/placement/upstream.rs
+++ b/src/placement/upstream.rs
@@ -16,8 +16,8 @@
 use crate::placement::speed::Speed;
 use crate::placement::speed::Work;
 use crate::placement::tuning::Tuning;
-use crate::proxy::dialect::Listed;
-use crate::proxy::dialect::Prompt;
+use crate::proxy::adapter::Prompt;
+use crate::proxy::adapter::UpstreamListing;
 
 /// Fewest tokens that are worth a copy: twice those that are read in the time of its setup.
 pub const COPY_MIN: u32 = 400;
@@ -82,7 +82,7 @@
 /// One upstream.
 #[derive(Clone, Debug)]
 pub(super) struct Upstream {
-    pub(super) listed: Listed,
+    pub(super) listed: UpstreamListing,
     pub(super) engine: Option<Engine>,
     /// What runs there, where it is of a plain service.
     pub(super) plain: Plain,
@@ -115,7 +115,7 @@
 
 impl Upstream {
     /// An upstream that is believed to be well and, if it is an engine, idle and empty.
-    pub(super) fn new(listed: Listed, engine: Option<Engine>) -> Upstream {
+    pub(super) fn new(listed: UpstreamListing, engine: Option<Engine>) -> Upstream {
         Upstream {
             engine,
             plain: Plain::default(),
@@ -208,9 +208,9 @@
     }
 
     /// How it is listed, with what is known now of its start.
-    pub(super) fn told(&self, now: Duration) -> Listed {
+    pub(super) fn told(&self, now: Duration) -> UpstreamListing {
         let cold_for = self.engine.as_ref().map(|engine| engine.cold_for(now));
-        Listed { cold_for, ..self.listed.clone() }
+        UpstreamListing { cold_for, ..self.listed.clone() }
     }
 
     /// How this engine, which keeps `kept` tokens of a prompt, would come by it; nothing for plain
--- a/src/proxy/dialect.rs
+++ b/src/proxy/adapter.rs
@@ -28,7 +28,7 @@
 
 /// What the head of a caller's request says.
 #[derive(Clone, Debug)]
-pub struct Head {
+pub struct RequestHead {
     /// The caller's name for this try; answers of upstreams are compared with it.
     pub id: String,
     /// The host that the caller names.
@@ -36,7 +36,7 @@
     /// The API key.
     pub key: Option<String>,
     /// How long the caller waits.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// What a model is to read, where the request goes to one.
     pub prompt: Option<Prompt>,
     /// The last event that the caller has of an earlier try.
@@ -49,21 +49,21 @@
     /// Tokens to be read.
     pub tokens: u32,
     /// Tokens that may be written at most.
-    pub written_max: u32,
+    pub output_tokens_max: u32,
     /// The parts of the prompt, in order.
-    pub parts: Vec<Part>,
+    pub parts: Vec<PromptPart>,
 }
 
 impl Prompt {
     /// What a request is charged: a token that is written counts as two that are read.
     pub fn charge(&self) -> u64 {
-        u64::from(self.tokens) + 2 * u64::from(self.written_max)
+        u64::from(self.tokens) + 2 * u64::from(self.output_tokens_max)
     }
 }
 
 /// A part of a prompt that other prompts may share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
+pub struct PromptPart {
     /// Names the part's content.
     pub id: u64,
     /// Its length.
@@ -77,11 +77,11 @@
 
 /// What an upstream is told beside the caller's own headers.
 #[derive(Clone, Debug)]
-pub struct Outgoing<'a> {
+pub struct UpstreamRequestInfo<'a> {
     /// The upstream that is meant; any other must not run the request.
     pub upstream: &'a str,
     /// How long the caller still waits.
-    pub left: Duration,
+    pub remaining: Duration,
     /// Whom the request is charged to.
     pub workspace: Option<&'a str>,
     /// The last event that came, where a stream is gone on with.
@@ -103,7 +103,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Verdict {
     /// Whether it answers this request and no other.
-    pub own: bool,
+    pub matches_request: bool,
     /// Whether it says that the request did not run and won't.
     pub not_run: bool,
     /// Whether another upstream has the address now.
@@ -117,31 +117,31 @@
 impl Verdict {
     /// Whether the answer is sure to be of the upstream that was meant: it answers this request, and bears what an answer
     /// of this status has.
-    pub fn proves(&self, status: StatusCode) -> bool {
+    pub fn is_authentic(&self, status: StatusCode) -> bool {
         let is_known = self.signed || self.not_run || !status.is_success();
-        self.own && !self.misdirected && is_known
+        self.matches_request && !self.misdirected && is_known
     }
 }
 
 /// The headers of callers and upstreams.
-pub trait Dialect: Send + Sync {
+pub trait HeaderAdapter: Send + Sync {
     /// Reads a caller's head.
-    fn read(&self, head: &request::Parts) -> Result<Head, BadHead>;
+    fn parse_request(&self, head: &request::Parts) -> Result<RequestHead, BadHead>;
 
     /// The headers for an upstream.
-    fn outgoing(&self, headers: &HeaderMap, out: &Outgoing<'_>) -> HeaderMap;
+    fn upstream_headers(&self, headers: &HeaderMap, out: &UpstreamRequestInfo<'_>) -> HeaderMap;
 
     /// What an upstream's head says about the request named `id`.
-    fn judge(&self, id: &str, status: StatusCode, headers: &HeaderMap) -> Verdict;
+    fn check_response(&self, id: &str, status: StatusCode, headers: &HeaderMap) -> Verdict;
 
     /// The headers of an upstream's answer that its caller gets.
-    fn incoming(&self, headers: &HeaderMap) -> HeaderMap;
+    fn caller_headers(&self, headers: &HeaderMap) -> HeaderMap;
 }
 
 /// An upstream, as the platform lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
-    /// Names the upstream; starts of the same name differ by `born`.
+pub struct UpstreamListing {
+    /// Names the upstream; starts of the same name differ by `started_at_ms`.
     pub name: UpstreamName,
     /// What it serves.
     pub service: ServiceName,
@@ -155,57 +155,58 @@
     pub slots: u32,
     /// When it was started, in milliseconds since 1970 by its own clock; nothing if it doesn't say. Another start of
     /// the same name is another upstream: it holds nothing of what was sent before.
-    pub born: Option<u64>,
+    #[serde(rename = "born")]
+    pub started_at_ms: Option<u64>,
     /// Whether it is about to stop: it gets no new work.
     pub leaving: bool,
     /// How long it still bears less than usual after its start; nothing if that isn't known.
     pub cold_for: Option<Duration>,
 }
 
-impl Listed {
+impl UpstreamListing {
     /// Whether both say the same, but for what changes by itself.
-    pub fn is_same(&self, other: &Listed) -> bool {
-        *self == Listed { cold_for: self.cold_for, ..other.clone() }
+    pub fn eq_ignoring_cold_for(&self, other: &UpstreamListing) -> bool {
+        *self == UpstreamListing { cold_for: self.cold_for, ..other.clone() }
     }
 }
 
 /// What the platform's store tells.
 #[derive(Clone, Debug)]
-pub enum News {
+pub enum StoreUpdate {
     /// A configuration.
-    Configured(Arc<Table>),
+    Configuration(Arc<Table>),
     /// A configuration that can't be read; the one in force stays.
-    BadConfiguration(String),
+    InvalidConfiguration(String),
     /// All upstreams that there are.
-    Listed(Vec<Listed>),
+    AllUpstreams(Vec<UpstreamListing>),
     /// An upstream that is new or has changed.
-    Changed(Listed),
+    UpstreamChanged(UpstreamListing),
     /// An upstream's entry is gone.
-    Gone(UpstreamName),
+    UpstreamRemoved(UpstreamName),
     /// With this, the list of upstreams is whole up to a revision of the store.
-    UpTo(Revision),
+    CompleteUpTo(Revision),
     /// All zones that are evacuated.
-    Evacuated(Evacuated),
+    EvacuatedZones(Evacuated),
     /// Zones are evacuated or taken back.
-    Ordered {
+    EvacuationOrders {
         /// In turn.
         orders: Vec<Order>,
         /// As of which revision of the store.
         revision: Revision,
     },
     /// All orders to roll a version out, as of a revision of the store.
-    Rollouts(Vec<Entry>, Revision),
+    AllRollouts(Vec<Entry>, Revision),
     /// An order to roll a version out is new, has changed or ended, or is gone.
-    Rollout(Entry),
+    RolloutChanged(Entry),
     /// An order that can't be read. It orders nothing.
-    BadRollout {
+    InvalidRollout {
         /// The service, if that can be read.
         service: Option<ServiceName>,
         /// What is wrong with it.
         fault: String,
     },
     /// An entry that can't be read. It names no upstream to use.
-    BadEntry {
+    InvalidUpstreamEntry {
         /// The upstream's name, if that can be read.
         name: Option<UpstreamName>,
         /// What is wrong with it.
@@ -213,70 +214,70 @@
     },
     /// The era of the store that what follows is of. With each one the store has come back from an older copy: what
     /// was written since is gone and will be written again.
-    InEra(u64),
+    StoreEra(u64),
     /// The store gives no answer, or refuses.
-    Lost(String),
+    Unavailable(String),
     /// The store answers again.
-    Regained,
+    Available,
     /// The store isn't watched any more, since other boxes do that.
-    LeftToOthers,
+    WatchStopped,
 }
 
 /// Why an engine can't be asked what it keeps.
 #[derive(Debug, thiserror::Error)]
 #[error("the engine was not asked: {0}")]
-pub struct NotAsked(pub String);
+pub struct EngineQueryError(pub String);
 
 /// An engine's answer to a call beside requests.
 #[derive(Debug)]
-pub struct Reported<T> {
+pub struct EngineReply<T> {
     /// The engine that answered, if it says.
     pub name: Option<UpstreamName>,
     /// What it says of itself.
     pub notice: Notice,
     /// What was asked for.
-    pub content: Result<T, NotAsked>,
+    pub result: Result<T, EngineQueryError>,
 }
 
 /// Calls to engines beside requests.
-pub trait Engines: Send + Sync {
+pub trait EngineClient: Send + Sync {
     /// The parts of prompts that the engine at `addr` keeps, in no order.
-    fn kept(&self, addr: std::net::SocketAddr) -> BoxFuture<'static, Reported<Vec<Part>>>;
+    fn kept(&self, addr: std::net::SocketAddr) -> BoxFuture<'static, EngineReply<Vec<PromptPart>>>;
 
     /// How long the engine at `addr` still bears less than usual, as it says itself at `probe_path`.
     fn cold_for(
         &self,
         addr: std::net::SocketAddr,
         probe_path: &str,
-    ) -> BoxFuture<'static, Reported<Duration>>;
+    ) -> BoxFuture<'static, EngineReply<Duration>>;
 }
 
 /// Why something can't be kept or had back.
 #[derive(Debug, thiserror::Error)]
-pub enum NotKept {
+pub enum StoreError {
     /// The store gives no answer, or refuses for now.
     #[error("the store: {0}")]
-    Away(String),
+    Unavailable(String),
     /// The store will never take it.
     #[error("the store refuses: {0}")]
-    Refused(String),
+    Rejected(String),
 }
 
 /// What must outlast all boxes. Any box may keep, and what is kept may be lost when the store comes back from an older
 /// copy.
-pub trait Records: Send + Sync {
+pub trait SuspectStore: Send + Sync {
     /// Keeps a request that is held back. One that is kept already stays as it is.
-    fn keep(&self, suspect: &Suspect) -> BoxFuture<'static, Result<(), NotKept>>;
+    fn save(&self, suspect: &Suspect) -> BoxFuture<'static, Result<(), StoreError>>;
 
     /// All requests that are kept; what was kept in the last seconds may be missing.
-    fn kept(&self) -> BoxFuture<'static, Result<Vec<Suspect>, NotKept>>;
+    fn load_all(&self) -> BoxFuture<'static, Result<Vec<Suspect>, StoreError>>;
 
     /// Keeps a request no longer.
-    fn forget(&self, content: &Fingerprint) -> BoxFuture<'static, Result<(), NotKept>>;
+    fn delete(&self, content: &Fingerprint) -> BoxFuture<'static, Result<(), StoreError>>;
 }
 
 /// Where the operator reads how a roll-out goes.
-pub trait Rollouts: Send + Sync {
+pub trait RolloutReporter: Send + Sync {
     /// Writes how the roll-out of `target` goes, unless another one was ordered meanwhile or it has ended already; `None`
     /// while it is under way. Gives the end that the store holds then, if there is one.
     fn report(
@@ -284,11 +285,11 @@
         service: &ServiceName,
         target: &VersionName,
         outcome: Option<Outcome>,
-    ) -> BoxFuture<'static, Result<Option<Outcome>, NotKept>>;
+    ) -> BoxFuture<'static, Result<Option<Outcome>, StoreError>>;
 }
 
 /// The store that holds the configuration and the list of upstreams.
-pub trait Directory: Send + Sync {
+pub trait StoreWatcher: Send + Sync {
     /// Follows both until the receiver is gone, whenever `is_due` says so. Needs a runtime.
-    fn follow(&self, tx: mpsc::UnboundedSender<News>, is_due: watch::Receiver<bool>);
+    fn watch(&self, tx: mpsc::UnboundedSender<StoreUpdate>, is_due: watch::Receiver<bool>);
 }
--- a/src/proxy/admission.rs
+++ b/src/proxy/admission.rs
@@ -10,9 +10,9 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::names::WorkspaceName;
-use crate::proxy::answer::Refusal;
-use crate::proxy::dialect::Head;
+use crate::proxy::adapter::RequestHead;
 use crate::proxy::hub::Hub;
+use crate::proxy::refusal::Refusal;
 use crate::proxy::request::Run;
 use crate::proxy::table::Route;
 use crate::proxy::table::Table;
@@ -25,7 +25,8 @@
     parts: request::Parts,
     arrived: Duration,
 ) -> Result<Run, (Refusal, String)> {
-    let head = hub.dialect().read(&parts).map_err(|_| (Refusal::BadHead, String::new()))?;
+    let head =
+        hub.dialect().parse_request(&parts).map_err(|_| (Refusal::BadHead, String::new()))?;
     let fail = |cause| (cause, head.id.clone());
     let table = hub.table().ok_or_else(|| fail(Refusal::NotConfigured))?;
     let path = parts.uri.path();
@@ -34,7 +35,7 @@
     let draw = xxh3_64(head.id.as_bytes());
     let service = route.target(draw).ok_or_else(|| fail(Refusal::NoRoute))?.clone();
     let connections_max = table.service(&service).map_or(u32::MAX, |s| s.max_connections);
-    let patience = head.patience.map_or(route.timeout, |p| p.min(route.timeout));
+    let timeout = head.timeout.map_or(route.timeout, |p| p.min(route.timeout));
     hub.count_request(&service);
     Ok(Run {
         connections_max,
@@ -47,7 +48,7 @@
         body: Bytes::new(),
         fingerprint: OnceLock::new(),
         arrived,
-        deadline: arrived + patience,
+        deadline: arrived + timeout,
         tried: Vec::new(),
         sends: 0,
         begun_at: None,
@@ -59,7 +60,11 @@
     })
 }
 
-fn workspace(table: &Table, route: &Route, head: &Head) -> Result<Option<WorkspaceName>, Refusal> {
+fn workspace(
+    table: &Table,
+    route: &Route,
+    head: &RequestHead,
+) -> Result<Option<WorkspaceName>, Refusal> {
     if !table.has_keys() {
         return Ok(None);
     }
--- a/src/proxy/digests.rs
+++ b/src/proxy/digests.rs
@@ -11,7 +11,7 @@
 
 use crate::names::UpstreamName;
 use crate::placement::upstream;
-use crate::proxy::dialect::Listed;
+use crate::proxy::adapter::UpstreamListing;
 
 /// Buckets of names.
 const BUCKETS: usize = 128;
@@ -35,7 +35,7 @@
 
 impl Digests {
     /// The digests of a list, whatever its order: which upstreams are in use, and which of these are cold.
-    pub fn of<'a>(all: impl Iterator<Item = &'a Listed>) -> Digests {
+    pub fn of<'a>(all: impl Iterator<Item = &'a UpstreamListing>) -> Digests {
         let mut digests = [0u32; BUCKETS];
         for listed in all.filter(|l| !l.leaving) {
             let name = upstream::hash(&listed.name).to_le_bytes();
--- a/src/proxy/asking.rs
+++ b/src/proxy/engine_placement.rs
@@ -26,14 +26,14 @@
 use crate::placement::choice::Source;
 use crate::placement::cold::Role;
 use crate::placement::upstream;
-use crate::proxy::dialect::Prompt;
+use crate::proxy::adapter::Prompt;
+use crate::proxy::aligned_timer;
 use crate::proxy::hub::Hub;
-use crate::proxy::message::Answer;
-use crate::proxy::message::Ask;
 use crate::proxy::message::Message;
-use crate::proxy::message::Used;
+use crate::proxy::message::PlacementRequest;
+use crate::proxy::message::PlacementResponse;
+use crate::proxy::message::ShareUsage;
 use crate::proxy::notices;
-use crate::proxy::pace;
 
 /// How long an owner's answer is waited for: some round trips within a region, and the pauses of a
 /// box that is busy but well.
@@ -59,60 +59,60 @@
 pub const EXCEPT_MAX: usize = 40;
 
 /// What whoever keeps the models decides.
-pub type Decision = Result<Choice, Denial>;
+pub type PlacementResult = Result<Choice, Denial>;
 
 /// A decision and who made it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Decided {
+pub struct PlacementDecision {
     /// Where the request goes, or why it isn't placed.
-    pub decision: Decision,
+    pub result: PlacementResult,
     /// The box that decided.
-    pub by: IpAddr,
+    pub decided_by: IpAddr,
     /// By what right.
     pub role: Role,
     /// Names the send, as the decision does.
     pub request: u64,
 }
 
-impl Decided {
+impl PlacementDecision {
     /// Whether no upstream is known that may get the request.
     pub fn is_without_upstream(&self) -> bool {
-        self.decision.as_ref().is_err_and(|denied| denied.cause == NoChoice::NoUpstream)
+        self.result.as_ref().is_err_and(|denied| denied.cause == NoChoice::NoUpstream)
     }
 
     fn is_kept_elsewhere(&self) -> bool {
-        self.decision.as_ref().is_err_and(|denied| denied.cause == NoChoice::NotKept)
+        self.result.as_ref().is_err_and(|denied| denied.cause == NoChoice::NotKept)
     }
 }
 
 /// What this box has asked others.
 #[derive(Debug, Default)]
-pub struct Asking {
-    waiting: Mutex<FxHashMap<u64, oneshot::Sender<Decision>>>,
+pub struct OwnerRequests {
+    waiting: Mutex<FxHashMap<u64, oneshot::Sender<PlacementResult>>>,
     /// Boxes that gave no answer, and until when they aren't asked.
     suspects: Mutex<FxHashMap<IpAddr, Duration>>,
 }
 
-impl Asking {
-    fn expect(&self, request: u64) -> oneshot::Receiver<Decision> {
+impl OwnerRequests {
+    fn expect(&self, request: u64) -> oneshot::Receiver<PlacementResult> {
         let (tx, rx) = oneshot::channel();
         self.waiting.lock().expect("no panic under lock").insert(request, tx);
         rx
     }
 
-    fn take(&self, request: u64) -> Option<oneshot::Sender<Decision>> {
+    fn take(&self, request: u64) -> Option<oneshot::Sender<PlacementResult>> {
         self.waiting.lock().expect("no panic under lock").remove(&request)
     }
 
     /// Notes that a box gave no answer, or is behind.
-    pub fn suspect(&self, ip: IpAddr, now: Duration) {
+    pub fn mark_unresponsive(&self, ip: IpAddr, now: Duration) {
         let mut suspects = self.suspects.lock().expect("no panic under lock");
         suspects.retain(|_, until| now < *until);
         suspects.insert(ip, now + SUSPECT_FOR);
     }
 
     /// Whether a box is left alone for now.
-    pub fn is_suspect(&self, ip: IpAddr, now: Duration) -> bool {
+    pub fn is_unresponsive(&self, ip: IpAddr, now: Duration) -> bool {
         let suspects = self.suspects.lock().expect("no panic under lock");
         suspects.get(&ip).is_some_and(|until| now < *until)
     }
@@ -120,7 +120,7 @@
 
 /// Forgets a question when whoever asked it is gone.
 struct Pending<'a> {
-    asking: &'a Asking,
+    asking: &'a OwnerRequests,
     request: u64,
 }
 
@@ -131,7 +131,7 @@
 }
 
 /// Places a request, or says why it isn't placed.
-pub async fn place(hub: &Arc<Hub>, wish: Wish<'_>) -> Decided {
+pub async fn place(hub: &Arc<Hub>, wish: Wish<'_>) -> PlacementDecision {
     let owners = hub.peers().owners();
     if owners.is_none() {
         return place_for_all(hub, wish);
@@ -146,7 +146,7 @@
         let Some(owned) = owners.of(group) else { break };
         let Some(decided) = place_or_copy(hub, wish, &owners, group, owned).await else { break };
         wish.purpose = Purpose::Place;
-        match &decided.decision {
+        match &decided.result {
             Err(denial) if denial.may_go_on => wish.source = denial.source.or(wish.source),
             _ => return decided,
         }
@@ -163,7 +163,7 @@
     owners: &Owners,
     group: Group,
     owned: Owned,
-) -> Option<Decided> {
+) -> Option<PlacementDecision> {
     let decided = place_in(hub, wish, group, owned).await?;
     if !decided.is_kept_elsewhere() {
         return Some(decided);
@@ -173,7 +173,7 @@
 }
 
 /// Places a request by what this box believes, and tells all others.
-fn place_for_all(hub: &Hub, wish: Wish<'_>) -> Decided {
+fn place_for_all(hub: &Hub, wish: Wish<'_>) -> PlacementDecision {
     let role = Role::Peer { boxes: hub.peers().known(), draw: hub.peers().own_draw("") };
     let decision = hub.admit(Wish { is_last: true, purpose: Purpose::Place, role, ..wish });
     match &decision {
@@ -185,22 +185,37 @@
             }
         }
     }
-    Decided { decision, by: hub.peers().me(), role, request: wish.request }
+    PlacementDecision {
+        result: decision,
+        decided_by: hub.peers().me(),
+        role,
+        request: wish.request,
+    }
 }
 
 /// Places a request though nobody who keeps the models answers: by what little this box knows.
-fn place_alone(hub: &Hub, wish: Wish<'_>) -> Decided {
+fn place_alone(hub: &Hub, wish: Wish<'_>) -> PlacementDecision {
     let role = Role::Stranger;
     let decision = hub.admit(Wish { is_last: true, purpose: Purpose::Place, role, ..wish });
     if let Ok(choice) = &decision {
         // The count is told by the way of shares.
-        tell_keepers(hub, &choice.upstream, &told(&Wish { workspace: None, ..wish }, choice));
+        notify_keepers(hub, &choice.upstream, &told(&Wish { workspace: None, ..wish }, choice));
+    }
+    PlacementDecision {
+        result: decision,
+        decided_by: hub.peers().me(),
+        role,
+        request: wish.request,
     }
-    Decided { decision, by: hub.peers().me(), role, request: wish.request }
 }
 
 /// Has a request placed in a group of engines; nothing if nobody who keeps its models answers.
-async fn place_in(hub: &Arc<Hub>, wish: Wish<'_>, group: Group, owned: Owned) -> Option<Decided> {
+async fn place_in(
+    hub: &Arc<Hub>,
+    wish: Wish<'_>,
+    group: Group,
+    owned: Owned,
+) -> Option<PlacementDecision> {
     for ip in owned.keepers() {
         let role = owned.role(ip);
         if ip == hub.peers().me() {
@@ -208,14 +223,19 @@
             if let Ok(choice) = &decision {
                 tell_other_keeper(hub, &wish, choice, owned);
             }
-            return Some(Decided { decision, by: ip, role, request: wish.request });
+            return Some(PlacementDecision {
+                result: decision,
+                decided_by: ip,
+                role,
+                request: wish.request,
+            });
         }
-        if hub.asking().is_suspect(ip, hub.now()) {
+        if hub.owner_requests().is_unresponsive(ip, hub.now()) {
             continue;
         }
-        let request = asked_as(wish.request, ip);
-        let question = Message::Ask(question(hub, &Wish { request, ..wish }, group));
-        match ask(hub, ip, request, &question).await {
+        let request = request_id_at(wish.request, ip);
+        let question = Message::PlacementRequest(question(hub, &Wish { request, ..wish }, group));
+        match request_decision(hub, ip, request, &question).await {
             Some(Ok(choice)) if is_behind(hub, ip, &choice, wish.side) => {
                 notices::resend(hub, &choice.upstream, ip);
             }
@@ -224,18 +244,20 @@
                 withdraw(hub, request, owned.keepers());
                 continue;
             }
-            Some(decision) => return Some(Decided { decision, by: ip, role, request }),
+            Some(decision) => {
+                return Some(PlacementDecision { result: decision, decided_by: ip, role, request });
+            }
             None => info!(hub.log(), "no answer of an owner"; "ip" => %ip, "group" => %group),
         }
         withdraw(hub, request, owned.keepers());
-        hub.asking().suspect(ip, hub.now());
+        hub.owner_requests().mark_unresponsive(ip, hub.now());
     }
     None
 }
 
 /// The name of a send at a box that is asked to place it: what it decides may come too late, and another box may
 /// have decided by then.
-pub fn asked_as(request: u64, ip: IpAddr) -> u64 {
+pub fn request_id_at(request: u64, ip: IpAddr) -> u64 {
     xxh3_64_with_seed(ip.to_string().as_bytes(), request)
 }
 
@@ -253,11 +275,11 @@
     let elsewhere = owners.group(home);
     let wish = Wish { group: Some(elsewhere), purpose: Purpose::Look, ..wish };
     let looked = place_in(hub, wish, elsewhere, owners.of(elsewhere)?).await?;
-    looked.decision.err()?.source
+    looked.result.err()?.source
 }
 
-fn question(hub: &Hub, wish: &Wish<'_>, group: Group) -> Ask {
-    Ask {
+fn question(hub: &Hub, wish: &Wish<'_>, group: Group) -> PlacementRequest {
+    PlacementRequest {
         request: wish.request,
         group,
         service: ServiceName::from(wish.service),
@@ -298,8 +320,13 @@
 }
 
 /// Asks another box to place a request; nothing if it doesn't answer in time.
-pub async fn ask(hub: &Hub, ip: IpAddr, request: u64, question: &Message) -> Option<Decision> {
-    let asking = hub.asking();
+pub async fn request_decision(
+    hub: &Hub,
+    ip: IpAddr,
+    request: u64,
+    question: &Message,
+) -> Option<PlacementResult> {
+    let asking = hub.owner_requests();
     let mut answer = asking.expect(request);
     let _pending = Pending { asking, request };
     hub.peers().tell_now(ip, question);
@@ -314,7 +341,7 @@
 }
 
 /// Places a request that another box asks for.
-pub fn answer(hub: &Hub, ask: &Ask, from: IpAddr) {
+pub fn handle_request(hub: &Hub, ask: &PlacementRequest, from: IpAddr) {
     let prompt = Prompt::from(&ask.prompt);
     let owned = hub.peers().owners().of(ask.group);
     let wish = Wish {
@@ -341,14 +368,14 @@
     {
         tell_other_keeper(hub, &wish, choice, owned);
     }
-    hub.peers().tell_now(from, &Message::Answer(Answer { request, result }));
+    hub.peers().tell_now(from, &Message::PlacementResponse(PlacementResponse { request, result }));
 }
 
 /// Takes in an owner's answer. Where nobody waits for it any more, the request isn't sent.
-pub fn answered(hub: &Hub, answer: Answer, from: IpAddr) {
-    let Answer { request, result } = answer;
+pub fn handle_response(hub: &Hub, answer: PlacementResponse, from: IpAddr) {
+    let PlacementResponse { request, result } = answer;
     let upstream = result.as_ref().ok().map(|choice| choice.upstream.clone());
-    let waiting = hub.asking().take(request);
+    let waiting = hub.owner_requests().take(request);
     if waiting.is_some_and(|tx| tx.send(result).is_ok()) {
         return;
     }
@@ -379,30 +406,31 @@
 
 /// Tells the other owners what workspaces use at this one, until the process ends: shares are judged
 /// by what the whole fleet serves.
-pub async fn tell_shares(hub: Arc<Hub>) {
+pub async fn report_share_usage(hub: Arc<Hub>) {
     loop {
-        pace::wait(USED_EVERY).await;
+        aligned_timer::wait_for_tick(USED_EVERY).await;
         let own = hub.shares(|shares| shares.take_own());
         let owners = hub.peers().owners();
         if owners.is_none() || own.is_empty() {
             continue;
         }
-        let used: Vec<Used> =
-            own.into_iter().map(|(workspace, tokens)| Used { workspace, tokens }).collect();
+        let used: Vec<ShareUsage> =
+            own.into_iter().map(|(workspace, tokens)| ShareUsage { workspace, tokens }).collect();
         for used in used.chunks(USED_MAX) {
-            hub.peers().tell_some(owners.keepers().iter().copied(), &Message::Used(used.to_vec()));
+            hub.peers()
+                .tell_some(owners.keepers().iter().copied(), &Message::ShareUsage(used.to_vec()));
         }
     }
 }
 
 /// Whether this box keeps the model of an engine; each does in a small fleet.
-pub fn keeps(hub: &Hub, name: &UpstreamName) -> bool {
+pub fn keeps_model(hub: &Hub, name: &UpstreamName) -> bool {
     let owned = hub.peers().owners().of_hash(upstream::hash(name));
     owned.is_none_or(|owned| owned.keepers().any(|ip| ip == hub.peers().me()))
 }
 
 /// Tells those who keep the model of an engine; all boxes in a small fleet.
-pub fn tell_keepers(hub: &Hub, name: &UpstreamName, message: &Message) {
+pub fn notify_keepers(hub: &Hub, name: &UpstreamName, message: &Message) {
     let owners = hub.peers().owners();
     if owners.is_none() {
         hub.peers().tell(message);
--- a/src/proxy/figures.rs
+++ b/src/proxy/figures.rs
@@ -11,9 +11,9 @@
 use crate::metrics::Metrics;
 use crate::names::WorkspaceName;
 use crate::placement::share::Tokens;
-use crate::proxy::dialect::Notice;
+use crate::proxy::adapter::Notice;
 use crate::proxy::hub::Hub;
-use crate::proxy::placed::FirstToken;
+use crate::proxy::placed_request::FirstTokenTiming;
 use crate::proxy::view::View;
 
 /// Bounds of the histograms of times, in seconds; denser around the usual aims.
@@ -229,7 +229,7 @@
     }
 
     /// Notes the expected and the real time to a request's first token.
-    pub fn first_token(&self, first: FirstToken) {
+    pub fn first_token(&self, first: FirstTokenTiming) {
         let (expected, took) = (first.expected.as_secs_f64(), first.took.as_secs_f64());
         self.first_expected.record(expected, &[]);
         self.first_real.record(took, &[]);
--- a/src/proxy/front.rs
+++ b/src/proxy/front.rs
@@ -22,12 +22,12 @@
 use tokio::sync::watch;
 
 use crate::proxy::Stop;
-use crate::proxy::answer;
-use crate::proxy::answer::Refusal;
 use crate::proxy::door::Door;
 use crate::proxy::door::Entered;
 use crate::proxy::hub::Hub;
 use crate::proxy::link;
+use crate::proxy::refusal;
+use crate::proxy::refusal::Refusal;
 use crate::proxy::request;
 use crate::proxy::stream::Body;
 use crate::proxy::table::Limits;
@@ -163,7 +163,7 @@
 ) -> Result<Response<Body>, Infallible> {
     let stop = *stopping.borrow();
     let mut resp = match stop {
-        Stop::Late => answer::refusal(Refusal::Stopping),
+        Stop::Late => refusal::response(Refusal::Stopping),
         Stop::No | Stop::Begun => request::serve(hub.clone(), req).await,
     };
     // The caller's next connection leads to another box.
--- a/src/proxy/gossip.rs
+++ b/src/proxy/gossip.rs
@@ -15,14 +15,14 @@
 use crate::fleet::members::Beat;
 use crate::fleet::members::Heard;
 use crate::fleet::standing::Standing;
-use crate::proxy::asking;
+use crate::proxy::aligned_timer;
+use crate::proxy::engine_placement;
 use crate::proxy::hub::Hub;
 use crate::proxy::intake;
 use crate::proxy::message::Message;
-use crate::proxy::pace;
 use crate::proxy::peers::DATAGRAM_MAX;
 use crate::proxy::peers::State;
-use crate::proxy::plain;
+use crate::proxy::plain_placement;
 use crate::proxy::rollouts;
 use crate::proxy::side;
 use crate::proxy::view::View;
@@ -89,8 +89,12 @@
         buf = rest;
         match message {
             Message::Beat(beat) => hear(hub, &beat),
-            Message::Ask(ask) => asking::answer(hub, &ask, from.ip()),
-            Message::AskPlain(ask) => plain::answer(hub, &ask, from.ip()),
+            Message::PlacementRequest(ask) => {
+                engine_placement::handle_request(hub, &ask, from.ip())
+            }
+            Message::PlainPlacementRequest(ask) => {
+                plain_placement::handle_request(hub, &ask, from.ip())
+            }
             message => intake::message(hub, message, from.ip()),
         }
     }
@@ -155,7 +159,8 @@
         }
         peers.beat(state(&hub));
         // Whichever comes first.
-        let _ = tokio::time::timeout_at(pace::next(BEAT), peers.announced.notified()).await;
+        let _ = tokio::time::timeout_at(aligned_timer::next_tick(BEAT), peers.announced.notified())
+            .await;
     }
 }
 
@@ -166,7 +171,7 @@
     let mut asked_at = None;
     loop {
         // Whichever comes first. Many boxes hear of a configuration at once; they don't ask at once.
-        let due = pace::next(ASK_AFTER);
+        let due = aligned_timer::next_tick(ASK_AFTER);
         if tokio::time::timeout_at(due, hub.peers().behind.notified()).await.is_ok() {
             let part = rand::rng().random_range(0.0..1.0);
             tokio::time::sleep(ASK_SPREAD.mul_f64(part)).await;
--- a/src/proxy/ask.rs
+++ b/src/proxy/http_client.rs
@@ -50,7 +50,7 @@
 
 /// Asks one address, on one connection, which is made anew when it breaks.
 #[derive(Debug)]
-pub struct Asker {
+pub struct HttpClient {
     addr: SocketAddr,
     conn: Option<Conn>,
 }
@@ -67,10 +67,10 @@
     }
 }
 
-impl Asker {
+impl HttpClient {
     /// Connects when it is first used.
-    pub fn new(addr: SocketAddr) -> Asker {
-        Asker { addr, conn: None }
+    pub fn new(addr: SocketAddr) -> HttpClient {
+        HttpClient { addr, conn: None }
     }
 
     /// Gets a path; gives the status and the body of the answer, whatever they are.
@@ -79,12 +79,12 @@
         path: &str,
         timeout: Duration,
     ) -> Result<(StatusCode, Bytes), Error> {
-        let (head, body) = self.get_whole(path, timeout).await?;
+        let (head, body) = self.get_with_head(path, timeout).await?;
         Ok((head.status, body))
     }
 
     /// The same with the answer's head.
-    pub async fn get_whole(
+    pub async fn get_with_head(
         &mut self,
         path: &str,
         timeout: Duration,
--- a/src/proxy/hub.rs
+++ b/src/proxy/hub.rs
@@ -26,18 +26,18 @@
 use crate::placement::fleet::learned::Learned;
 use crate::placement::plain;
 use crate::placement::share::Shares;
-use crate::proxy::asking::Asking;
-use crate::proxy::budget::Budget;
+use crate::proxy::adapter::EngineClient;
+use crate::proxy::adapter::HeaderAdapter;
 use crate::proxy::capacity;
-use crate::proxy::dialect::Dialect;
-use crate::proxy::dialect::Engines;
+use crate::proxy::engine_placement::OwnerRequests;
 use crate::proxy::figures::Figures;
 use crate::proxy::link::Allowed;
 use crate::proxy::link::Links;
 use crate::proxy::link::Sharing;
 use crate::proxy::message::Message;
 use crate::proxy::peers::Peers;
-use crate::proxy::placed::InFlight;
+use crate::proxy::placed_request::CountGuard;
+use crate::proxy::retry_budget::RetryBudget;
 use crate::proxy::rollouts::RolloutState;
 use crate::proxy::settings::Settings;
 use crate::proxy::suspects;
@@ -51,14 +51,14 @@
 pub struct Hub {
     inner: Mutex<Inner>,
     clock: Arc<Clock>,
-    dialect: Arc<dyn Dialect>,
-    engines: Arc<dyn Engines>,
+    dialect: Arc<dyn HeaderAdapter>,
+    engines: Arc<dyn EngineClient>,
     links: Arc<Links>,
     peers: Peers,
     figures: Figures,
     log: Logger,
     in_flight: Arc<AtomicUsize>,
-    asking: Asking,
+    owner_requests: OwnerRequests,
     suspects: Suspects,
     rollouts: RolloutState,
     look: Notify,
@@ -75,7 +75,7 @@
 
 struct Inner {
     view: View,
-    budget: Budget,
+    budget: RetryBudget,
     shares: Shares,
     /// Of plain services, in requests.
     plain_shares: Shares,
@@ -86,8 +86,8 @@
     pub fn new(
         cfg: &Settings,
         clock: Arc<Clock>,
-        dialect: Arc<dyn Dialect>,
-        engines: Arc<dyn Engines>,
+        dialect: Arc<dyn HeaderAdapter>,
+        engines: Arc<dyn EngineClient>,
         peers: Peers,
         figures: Figures,
         log: Logger,
@@ -95,7 +95,7 @@
         let fleet = Fleet::new(cfg.identity.zone.clone(), cfg.tuning);
         let inner = Inner {
             view: View::new(fleet),
-            budget: Budget::new(cfg.repeats),
+            budget: RetryBudget::new(cfg.repeats),
             shares: Shares::new(cfg.share_window),
             plain_shares: Shares::new(cfg.share_window),
         };
@@ -109,7 +109,7 @@
             figures,
             log,
             in_flight: Arc::default(),
-            asking: Asking::default(),
+            owner_requests: OwnerRequests::default(),
             suspects: Suspects::default(),
             rollouts: RolloutState::new(cfg.exposure),
             look: Notify::new(),
@@ -128,18 +128,18 @@
     }
 
     /// How callers and upstreams speak.
-    pub fn dialect(&self) -> &dyn Dialect {
+    pub fn dialect(&self) -> &dyn HeaderAdapter {
         &*self.dialect
     }
 
     /// Calls to engines beside requests.
-    pub fn engines(&self) -> &dyn Engines {
+    pub fn engines(&self) -> &dyn EngineClient {
         &*self.engines
     }
 
     /// Counts a request until the guard is dropped.
-    pub fn enter(&self) -> InFlight {
-        InFlight::new(self.in_flight.clone())
+    pub fn enter(&self) -> CountGuard {
+        CountGuard::new(self.in_flight.clone())
     }
 
     /// Requests that are served now.
@@ -189,8 +189,8 @@
 
     /// Counts a stream until the guard is dropped, unless there are as many as this box can pass
     /// on.
-    pub fn enter_stream(&self) -> Option<InFlight> {
-        (self.streams() < self.streams_max()).then(|| InFlight::new(self.streams.clone()))
+    pub fn enter_stream(&self) -> Option<CountGuard> {
+        (self.streams() < self.streams_max()).then(|| CountGuard::new(self.streams.clone()))
     }
 
     /// Whether this box has as many streams as it can pass on, or has turned callers away lately; new
@@ -205,8 +205,8 @@
     }
 
     /// Counts a request until the guard is dropped, when it has been sent.
-    pub fn start(&self) -> InFlight {
-        InFlight::new(self.starts.clone())
+    pub fn start(&self) -> CountGuard {
+        CountGuard::new(self.starts.clone())
     }
 
     /// Requests that have come and not been sent yet.
@@ -225,8 +225,8 @@
     }
 
     /// Counts a caller's connection until the guard is dropped.
-    pub fn connected(&self) -> InFlight {
-        InFlight::new(self.connections.clone())
+    pub fn connected(&self) -> CountGuard {
+        CountGuard::new(self.connections.clone())
     }
 
     /// Callers' connections that are open.
@@ -346,8 +346,8 @@
     }
 
     /// What has been asked of other boxes.
-    pub fn asking(&self) -> &Asking {
-        &self.asking
+    pub fn owner_requests(&self) -> &OwnerRequests {
+        &self.owner_requests
     }
 
     /// Requests that may end upstreams.
@@ -368,14 +368,14 @@
     /// Counts a caller's request for the budget of repeats.
     pub fn count_request(&self, service: &ServiceName) {
         let now = self.now();
-        self.inner.lock().expect("no panic under lock").budget.request(service, now);
+        self.inner.lock().expect("no panic under lock").budget.record_request(service, now);
     }
 
     /// Takes a repeat out of the budget; false when it is used up.
     pub fn may_repeat(&self, service: &ServiceName) -> bool {
         let (now, boxes) = (self.now(), self.peers.live() + 1);
         let mut inner = self.inner.lock().expect("no panic under lock");
-        let allowed = inner.budget.repeat(service, boxes, now);
+        let allowed = inner.budget.try_take(service, boxes, now);
         drop(inner);
         self.figures.repeat(allowed);
         allowed
@@ -441,10 +441,10 @@
                 self.figures.store_restored();
                 self.suspects.keep_again();
             }
-            Change::Restarted(name, addr, born) => {
-                let cut = self.links.cut(*addr, *born);
+            Change::Restarted(name, addr, started_at_ms) => {
+                let cut = self.links.cut(*addr, *started_at_ms);
                 info!(self.log, "upstream restarted"; "name" => name.as_str(), "addr" => %addr,
-                    "born" => born, "connections_cut" => cut);
+                    "born" => started_at_ms, "connections_cut" => cut);
                 self.figures.upstream_restarted();
                 suspects::restarted(self, name);
             }
--- a/src/proxy/intake.rs
+++ b/src/proxy/intake.rs
@@ -13,9 +13,9 @@
 use crate::placement::share::Shares;
 use crate::placement::share::Tokens;
 use crate::placement::upstream;
-use crate::proxy::asking;
-use crate::proxy::dialect::News;
-use crate::proxy::dialect::Prompt;
+use crate::proxy::adapter::Prompt;
+use crate::proxy::adapter::StoreUpdate;
+use crate::proxy::engine_placement;
 use crate::proxy::hub::Hub;
 use crate::proxy::message::Message;
 use crate::proxy::notices;
@@ -24,39 +24,39 @@
 use crate::proxy::view::View;
 
 /// Takes in what the store tells.
-pub fn news(hub: &Hub, news: News) {
+pub fn news(hub: &Hub, news: StoreUpdate) {
     match news {
-        News::Configured(table) => hub.change(|view, now| view.configure(table, now)),
-        News::BadConfiguration(fault) => {
+        StoreUpdate::Configuration(table) => hub.change(|view, now| view.configure(table, now)),
+        StoreUpdate::InvalidConfiguration(fault) => {
             warn!(hub.log(), "configuration refused"; "fault" => fault);
         }
-        News::Listed(all) => hub.change(|view, now| view.list(all, now)),
-        News::Changed(listed) => hub.change(|view, now| view.set(listed, now)),
-        News::Gone(name) => hub.change(|view, now| view.gone(&name, now)),
-        News::UpTo(revision) => hub.change(|view, _| view.up_to(revision)),
-        News::Evacuated(all) => hub.change(|view, now| view.evacuate(&all, now)),
-        News::Ordered { orders, revision } => hub.change(|view, now| {
+        StoreUpdate::AllUpstreams(all) => hub.change(|view, now| view.list(all, now)),
+        StoreUpdate::UpstreamChanged(listed) => hub.change(|view, now| view.set(listed, now)),
+        StoreUpdate::UpstreamRemoved(name) => hub.change(|view, now| view.gone(&name, now)),
+        StoreUpdate::CompleteUpTo(revision) => hub.change(|view, _| view.up_to(revision)),
+        StoreUpdate::EvacuatedZones(all) => hub.change(|view, now| view.evacuate(&all, now)),
+        StoreUpdate::EvacuationOrders { orders, revision } => hub.change(|view, now| {
             let evacuated = view.evacuated().after(&orders, revision);
             view.evacuate(&evacuated, now);
         }),
-        News::Rollouts(all, revision) => rollouts::hear_all(hub, &all, revision),
-        News::Rollout(entry) => rollouts::hear_store(hub, &entry),
-        News::BadRollout { service, fault } => {
+        StoreUpdate::AllRollouts(all, revision) => rollouts::hear_all(hub, &all, revision),
+        StoreUpdate::RolloutChanged(entry) => rollouts::hear_store(hub, &entry),
+        StoreUpdate::InvalidRollout { service, fault } => {
             warn!(hub.log(), "order of a roll-out refused";
                 "service" => service.as_ref().map(|s| s.as_str()), "fault" => fault);
             hub.metrics().rollout_refused();
         }
-        News::BadEntry { name, fault } => bad_entry(hub, name.as_ref(), &fault),
-        News::InEra(era) => hub.change(|view, now| view.in_era(era, now)),
-        News::Lost(cause) => {
+        StoreUpdate::InvalidUpstreamEntry { name, fault } => bad_entry(hub, name.as_ref(), &fault),
+        StoreUpdate::StoreEra(era) => hub.change(|view, now| view.in_era(era, now)),
+        StoreUpdate::Unavailable(cause) => {
             if hub.read(View::reaches_store) {
                 warn!(hub.log(), "store lost"; "cause" => cause);
                 hub.metrics().store_lost();
             }
             hub.change(|view, _| view.store_lost());
         }
-        News::LeftToOthers => hub.change(|view, _| view.store_left_to_others()),
-        News::Regained => {
+        StoreUpdate::WatchStopped => hub.change(|view, _| view.store_left_to_others()),
+        StoreUpdate::Available => {
             if !hub.read(View::reaches_store) {
                 info!(hub.log(), "store reached");
             }
@@ -120,8 +120,10 @@
         Message::Draining(draining) => notices::receive(hub, &draining, sender),
         Message::Listed(listed) => hub.change(|view, now| view.told_listed(listed, now)),
         Message::Gone { upstream } => hub.change(|view, now| view.told_gone(&upstream, now)),
-        Message::Answer(answer) => asking::answered(hub, answer, sender),
-        Message::Used(all) => hub.shares(|shares| {
+        Message::PlacementResponse(answer) => {
+            engine_placement::handle_response(hub, answer, sender)
+        }
+        Message::ShareUsage(all) => hub.shares(|shares| {
             for used in &all {
                 shares.add(&used.workspace, used.tokens, now);
             }
@@ -132,7 +134,7 @@
         Message::Suspects(all) => suspects::hear(hub, &all),
         Message::Cleared { content } => suspects::cleared(hub, &content),
         // Taken in by the peers.
-        Message::Beat(_) | Message::Ask(_) | Message::AskPlain(_) => {}
+        Message::Beat(_) | Message::PlacementRequest(_) | Message::PlainPlacementRequest(_) => {}
     }
 }
 
--- a/src/proxy/link.rs
+++ b/src/proxy/link.rs
@@ -400,11 +400,11 @@
 
     /// An upstream has started anew at a time, in milliseconds since 1970: closes what rests there, and ends the
     /// requests on connections that were made before, which are lost. Gives how many connections.
-    pub fn cut(&self, addr: SocketAddr, born: u64) -> usize {
+    pub fn cut(&self, addr: SocketAddr, started_at_ms: u64) -> usize {
         let mut by_addr = self.by_addr.lock().expect("no panic under lock");
         let Some(upstream) = by_addr.get_mut(&addr) else { return 0 };
-        let old: Vec<Resting> = upstream.idle.extract_if(.., |c| c.made <= born).collect();
-        let busy = upstream.busy.iter().filter(|(made, _)| *made <= born);
+        let old: Vec<Resting> = upstream.idle.extract_if(.., |c| c.made <= started_at_ms).collect();
+        let busy = upstream.busy.iter().filter(|(made, _)| *made <= started_at_ms);
         let busy: Vec<Arc<Cut>> = busy.filter_map(|(_, cut)| cut.upgrade()).collect();
         // The counts take the lock.
         drop(by_addr);
--- a/src/proxy/message.rs
+++ b/src/proxy/message.rs
@@ -22,10 +22,10 @@
 use crate::placement::choice::Choice;
 use crate::placement::choice::Source;
 use crate::placement::share::Tokens;
-use crate::proxy::dialect::Listed;
-use crate::proxy::dialect::Part;
-use crate::proxy::dialect::Prompt;
-use crate::proxy::plain::AskPlain;
+use crate::proxy::adapter::Prompt;
+use crate::proxy::adapter::PromptPart;
+use crate::proxy::adapter::UpstreamListing;
+use crate::proxy::plain_placement::PlainPlacementRequest;
 
 /// What boxes tell each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -39,7 +39,7 @@
         /// Names the send.
         request: u64,
         /// What is to be read.
-        prompt: ToldPrompt,
+        prompt: PromptMessage,
         /// Tokens of it that the sender believes must be read.
         unread: u32,
         /// Tokens of it that are copied from another engine.
@@ -84,15 +84,15 @@
         upstream: UpstreamName,
     },
     /// A request to be placed.
-    Ask(Ask),
+    PlacementRequest(PlacementRequest),
     /// A request for a plain service to be placed.
-    AskPlain(AskPlain),
+    PlainPlacementRequest(PlainPlacementRequest),
     /// What came of it.
-    Answer(Answer),
+    PlacementResponse(PlacementResponse),
     /// What workspaces used at the sender.
-    Used(Vec<Used>),
+    ShareUsage(Vec<ShareUsage>),
     /// The store says that an upstream is new or has changed.
-    Listed(Listed),
+    Listed(UpstreamListing),
     /// The store says that an upstream leaves.
     Leaving {
         /// The upstream.
@@ -139,7 +139,7 @@
 
 /// A request that the owner of a group of engines is to place.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct PlacementRequest {
     /// Names the send.
     pub request: u64,
     /// The engines that are asked for.
@@ -147,7 +147,7 @@
     /// Their service.
     pub service: ServiceName,
     /// What is to be read.
-    pub prompt: ToldPrompt,
+    pub prompt: PromptMessage,
     /// Whom it is charged to.
     pub workspace: Option<WorkspaceName>,
     /// The availability zone of the box that asks.
@@ -170,7 +170,7 @@
 
 /// What the owner of a group of engines says.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct PlacementResponse {
     /// The send that it is about.
     pub request: u64,
     /// Where the request is placed, or why it isn't.
@@ -179,7 +179,7 @@
 
 /// What a workspace asked for and got at one box since it told last, in tokens.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Used {
+pub struct ShareUsage {
     /// The workspace.
     pub workspace: WorkspaceName,
     /// What it asked for and got.
@@ -188,22 +188,22 @@
 
 /// A prompt, as boxes tell it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldPrompt {
+pub struct PromptMessage {
     tokens: u32,
-    written_max: u32,
-    parts: Vec<Part>,
+    output_tokens_max: u32,
+    parts: Vec<PromptPart>,
 }
 
-impl From<&Prompt> for ToldPrompt {
-    fn from(prompt: &Prompt) -> ToldPrompt {
-        let Prompt { tokens, written_max, ref parts } = *prompt;
-        ToldPrompt { tokens, written_max, parts: parts.clone() }
+impl From<&Prompt> for PromptMessage {
+    fn from(prompt: &Prompt) -> PromptMessage {
+        let Prompt { tokens, output_tokens_max, ref parts } = *prompt;
+        PromptMessage { tokens, output_tokens_max, parts: parts.clone() }
     }
 }
 
-impl From<&ToldPrompt> for Prompt {
-    fn from(told: &ToldPrompt) -> Prompt {
-        let ToldPrompt { tokens, written_max, ref parts } = *told;
-        Prompt { tokens, written_max, parts: parts.clone() }
+impl From<&PromptMessage> for Prompt {
+    fn from(told: &PromptMessage) -> Prompt {
+        let PromptMessage { tokens, output_tokens_max, ref parts } = *told;
+        Prompt { tokens, output_tokens_max, parts: parts.clone() }
     }
 }
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -1,35 +1,34 @@
 //! The proxy: the process on each box that takes callers' requests to upstreams.
 //!
-//! It learns routes, workspaces and upstreams from a [`dialect::Directory`], speaks with callers
-//! and upstreams through a [`dialect::Dialect`], and tells the other boxes by datagrams what it
+//! It learns routes, workspaces and upstreams from a [`adapter::StoreWatcher`], speaks with callers
+//! and upstreams through a [`adapter::HeaderAdapter`], and tells the other boxes by datagrams what it
 //! sends where. Everything runs on one thread.
 
+pub mod adapter;
 pub mod admission;
-pub mod answer;
-pub mod ask;
-pub mod asking;
-pub mod budget;
+pub mod aligned_timer;
 pub mod capacity;
-pub mod dialect;
 pub mod digests;
 pub mod door;
+pub mod engine_placement;
 pub mod figures;
 pub mod front;
 pub mod gossip;
 pub mod history;
+pub mod http_client;
 pub mod hub;
 pub mod intake;
 pub mod link;
-pub mod look;
 pub mod message;
 pub mod notices;
-pub mod pace;
 pub mod peers;
-pub mod placed;
-pub mod placing;
-pub mod plain;
+pub mod placed_request;
+pub mod plain_placement;
 pub mod pump;
+pub mod reachability;
+pub mod refusal;
 pub mod request;
+pub mod retry_budget;
 pub mod rollouts;
 pub mod settings;
 pub mod side;
@@ -37,8 +36,9 @@
 pub mod suspects;
 pub mod table;
 pub mod turn_away;
+pub mod upstream_selection;
 pub mod view;
-pub mod warm;
+pub mod warm_up;
 
 use std::collections::BTreeSet;
 use std::io;
@@ -68,12 +68,12 @@
 use crate::metrics;
 use crate::metrics::Metrics;
 use crate::placement::cold;
+use crate::proxy::adapter::EngineClient;
+use crate::proxy::adapter::HeaderAdapter;
+use crate::proxy::adapter::RolloutReporter;
+use crate::proxy::adapter::StoreWatcher;
+use crate::proxy::adapter::SuspectStore;
 use crate::proxy::capacity::Capacity;
-use crate::proxy::dialect::Dialect;
-use crate::proxy::dialect::Directory;
-use crate::proxy::dialect::Engines;
-use crate::proxy::dialect::Records;
-use crate::proxy::dialect::Rollouts;
 use crate::proxy::door::Door;
 use crate::proxy::figures::Figures;
 use crate::proxy::hub::Hub;
@@ -123,15 +123,15 @@
 /// Where the proxy runs: how its surroundings speak.
 pub struct Surroundings {
     /// The headers of callers and upstreams.
-    pub dialect: Arc<dyn Dialect>,
+    pub dialect: Arc<dyn HeaderAdapter>,
     /// Calls to engines beside requests.
-    pub engines: Arc<dyn Engines>,
+    pub engines: Arc<dyn EngineClient>,
     /// The store.
-    pub directory: Arc<dyn Directory>,
+    pub directory: Arc<dyn StoreWatcher>,
     /// What the store keeps for this product.
-    pub records: Arc<dyn Records>,
+    pub records: Arc<dyn SuspectStore>,
     /// Where the operator reads how a roll-out goes.
-    pub rollouts: Arc<dyn Rollouts>,
+    pub rollouts: Arc<dyn RolloutReporter>,
 }
 
 /// Runs a proxy until it is told to stop. `path` is the settings file, which is read again when it
@@ -169,9 +169,9 @@
     let (due, is_due) = watch::channel(false);
     follow(&hub, &*around.directory, is_due);
     gossip::start(&hub);
-    tokio::spawn(warm::up(hub.clone(), around.engines.clone()));
-    tokio::spawn(warm::keep(hub.clone(), around.engines));
-    tokio::spawn(asking::tell_shares(hub.clone()));
+    tokio::spawn(warm_up::run_at_start(hub.clone(), around.engines.clone()));
+    tokio::spawn(warm_up::run_for_kept_groups(hub.clone(), around.engines));
+    tokio::spawn(engine_placement::report_share_usage(hub.clone()));
     tokio::spawn(rollouts::run(hub.clone(), around.rollouts));
     tokio::spawn(suspects::catch_up(hub.clone()));
     tokio::spawn(suspects::keep(hub.clone(), around.records.clone()));
@@ -180,7 +180,7 @@
     }
     due.send_replace(hub.peers().is_store_due());
     tokio::spawn(tick(hub.clone(), due));
-    tokio::spawn(look::run(hub.clone()));
+    tokio::spawn(reachability::run(hub.clone()));
     tokio::spawn(reload(hub.clone(), path));
     tokio::spawn(side::serve_ready(ready, hub.clone(), stopping.clone()));
     tokio::spawn(side::serve_peers(peer_port, hub.clone()));
@@ -197,9 +197,9 @@
     TcpListener::bind(addr).await.map_err(|source| Error::Io { what, source })
 }
 
-fn follow(hub: &Arc<Hub>, directory: &dyn Directory, is_due: watch::Receiver<bool>) {
+fn follow(hub: &Arc<Hub>, directory: &dyn StoreWatcher, is_due: watch::Receiver<bool>) {
     let (tx, mut rx) = mpsc::unbounded_channel();
-    directory.follow(tx, is_due);
+    directory.watch(tx, is_due);
     let hub = hub.clone();
     tokio::spawn(async move {
         while let Some(news) = rx.recv().await {
@@ -215,7 +215,7 @@
     let mut kept: BTreeSet<Group> = BTreeSet::new();
     let mut meter = SuspensionMeter::new(hub.clock().clone());
     loop {
-        let due = pace::next(TICK);
+        let due = aligned_timer::next_tick(TICK);
         tokio::time::sleep_until(due).await;
         if let Some(suspended) = meter.suspended() {
             wake(&hub, suspended);
@@ -301,7 +301,7 @@
     loop {
         let signalled = tokio::select! {
             _ = hangup.recv() => true,
-            () = pace::wait(SETTINGS_POLL) => false,
+            () = aligned_timer::wait_for_tick(SETTINGS_POLL) => false,
         };
         let now = modified(&path);
         if !signalled && now == seen {
--- a/src/proxy/notices.rs
+++ b/src/proxy/notices.rs
@@ -13,13 +13,13 @@
 use crate::fleet::owners::Owned;
 use crate::names::UpstreamName;
 use crate::placement::upstream;
-use crate::proxy::dialect::NotAsked;
-use crate::proxy::dialect::Notice;
-use crate::proxy::dialect::Reported;
+use crate::proxy::adapter::EngineQueryError;
+use crate::proxy::adapter::EngineReply;
+use crate::proxy::adapter::Notice;
 use crate::proxy::hub::Hub;
 use crate::proxy::message::Message;
-use crate::proxy::placed::Placed;
-use crate::proxy::plain;
+use crate::proxy::placed_request::PlacedRequest;
+use crate::proxy::plain_placement;
 use crate::util;
 
 /// An answer in which an upstream says something of itself.
@@ -28,7 +28,7 @@
     /// The upstream.
     pub upstream: &'a UpstreamName,
     /// The incarnation that was asked, as far as it was known.
-    pub born: Option<u64>,
+    pub started_at_ms: Option<u64>,
     /// The request that it answers; empty for a question of this box's own.
     pub request: &'a str,
     /// When that was sent.
@@ -57,7 +57,7 @@
 }
 
 /// Why an upstream doesn't get a request that is placed there; nothing if it does.
-pub fn withheld(hub: &Hub, placed: &Placed) -> Option<Withheld> {
+pub fn withheld(hub: &Hub, placed: &PlacedRequest) -> Option<Withheld> {
     let (upstream, now) = (placed.upstream(), hub.now());
     hub.read(|view| {
         if view.is_barred(upstream) {
@@ -93,7 +93,7 @@
     }
     if is_new {
         info!(hub.log(), "upstream backing off"; "name" => said.upstream.as_str(),
-            "born" => said.born, "id" => said.request, "ms" => length.as_millis() as u64);
+            "born" => said.started_at_ms, "id" => said.request, "ms" => length.as_millis() as u64);
     }
 }
 
@@ -103,11 +103,12 @@
     if noted.is_some_and(|noted| noted < said.sent) {
         hub.metrics().reached_anyway("draining");
     }
-    let draining = Draining { upstream, born: said.born, said_at: util::unix_millis() };
+    let draining =
+        Draining { upstream, started_at_ms: said.started_at_ms, said_at: util::unix_millis() };
     if !hub.change(|view, now| view.drain(&draining, now)) {
         return;
     }
-    info!(hub.log(), "upstream draining"; "name" => said.upstream.as_str(), "born" => said.born,
+    info!(hub.log(), "upstream draining"; "name" => said.upstream.as_str(), "born" => said.started_at_ms,
         "id" => said.request);
     announce(hub, draining);
 }
@@ -118,7 +119,7 @@
         return;
     }
     info!(hub.log(), "upstream draining"; "name" => draining.upstream.as_str(),
-        "born" => draining.born, "by" => %from);
+        "born" => draining.started_at_ms, "by" => %from);
     let owned = owned(hub, &draining.upstream);
     if owned.is_some_and(|owned| owned.owner == hub.peers().me()) {
         hub.peers().tell(&Message::Draining(draining.clone()));
@@ -139,19 +140,20 @@
 pub async fn query<T>(
     hub: &Hub,
     upstream: &UpstreamName,
-    answer: impl Future<Output = Reported<T>>,
-) -> Result<T, NotAsked> {
+    answer: impl Future<Output = EngineReply<T>>,
+) -> Result<T, EngineQueryError> {
     if hub.is_backing_off(upstream) {
         hub.metrics().withheld(Withheld::Backoff.code());
-        return Err(NotAsked("this box backs off from it".to_owned()));
+        return Err(EngineQueryError("this box backs off from it".to_owned()));
     }
-    let (sent, born) = (hub.now(), hub.read(|view| view.fleet().get(upstream)?.born));
-    let Reported { name, notice, content } = answer.await;
+    let (sent, started_at_ms) =
+        (hub.now(), hub.read(|view| view.fleet().get(upstream)?.started_at_ms));
+    let EngineReply { name, notice, result } = answer.await;
     if let Some(other) = name.filter(|name| name != upstream) {
-        return Err(NotAsked(format!("{} answers in its place", other.as_str())));
+        return Err(EngineQueryError(format!("{} answers in its place", other.as_str())));
     }
-    apply(hub, Said { upstream, born, request: "", sent, notice });
-    content
+    apply(hub, Said { upstream, started_at_ms, request: "", sent, notice });
+    result
 }
 
 /// Sends the draining notice of an upstream to a box that has chosen it all the same.
@@ -170,7 +172,7 @@
         service.filter(|_| !fleet.is_engine(name))
     });
     match service {
-        Some(service) => plain::owned(hub, &service),
+        Some(service) => plain_placement::keepers(hub, &service),
         None => hub.peers().owners().of_hash(upstream::hash(name)),
     }
 }
--- a/src/proxy/placed.rs
+++ b/src/proxy/placed_request.rs
@@ -17,27 +17,27 @@
 use crate::placement::backoff::Trial;
 use crate::placement::choice::Choice;
 use crate::placement::upstream::Health;
-use crate::proxy::asking;
-use crate::proxy::dialect::Prompt;
+use crate::proxy::adapter::Prompt;
+use crate::proxy::engine_placement;
 use crate::proxy::hub::Hub;
 use crate::proxy::message::Message;
-use crate::proxy::plain;
+use crate::proxy::plain_placement;
 use crate::proxy::request::Run;
 use crate::proxy::rollouts::Mark;
 
 /// Counts a request while it is served.
 #[derive(Debug)]
-pub struct InFlight(Arc<AtomicUsize>);
+pub struct CountGuard(Arc<AtomicUsize>);
 
-impl InFlight {
+impl CountGuard {
     /// Counts one more in `count`.
-    pub fn new(count: Arc<AtomicUsize>) -> InFlight {
+    pub fn new(count: Arc<AtomicUsize>) -> CountGuard {
         count.fetch_add(1, Ordering::Relaxed);
-        InFlight(count)
+        CountGuard(count)
     }
 }
 
-impl Drop for InFlight {
+impl Drop for CountGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
@@ -45,7 +45,7 @@
 
 /// Time from a send to the first token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FirstToken {
+pub struct FirstTokenTiming {
     /// As the models had it.
     pub expected: Duration,
     /// As it was.
@@ -53,7 +53,7 @@
 }
 
 /// A request's entry in the models, from before it is sent until it has ended.
-pub struct Placed {
+pub struct PlacedRequest {
     hub: Arc<Hub>,
     upstream: UpstreamName,
     request: u64,
@@ -63,7 +63,7 @@
     service: ServiceName,
     is_model: bool,
     /// When the upstream was started, as far as it was known then.
-    born: Option<u64>,
+    started_at_ms: Option<u64>,
     version: Option<VersionName>,
     /// By what the answer is judged, where a version is rolled out.
     mark: Option<Mark>,
@@ -79,22 +79,22 @@
     may_run: bool,
 }
 
-impl Placed {
+impl PlacedRequest {
     /// The entry of a send that `choice` was made for; `request` names it.
-    pub fn new(run: &Run, choice: &Choice, request: u64) -> Placed {
+    pub fn new(run: &Run, choice: &Choice, request: u64) -> PlacedRequest {
         let Run { hub, service, workspace, .. } = run;
         let now = hub.now();
-        let (trial, born, version) = hub.fleet(|fleet| {
+        let (trial, started_at_ms, version) = hub.fleet(|fleet| {
             fleet.sent(&choice.upstream);
-            let listed = fleet.get(&choice.upstream).map(|l| (l.born, l.version.clone()));
-            let (born, version) = listed.unzip();
-            (fleet.enter_trial(&choice.upstream, now), born, version)
+            let listed = fleet.get(&choice.upstream).map(|l| (l.started_at_ms, l.version.clone()));
+            let (started_at_ms, version) = listed.unzip();
+            (fleet.enter_trial(&choice.upstream, now), started_at_ms, version)
         });
         let mark = version
             .as_ref()
             .and_then(|version| hub.rollouts().mark(service, version, &run.route.name));
         let charge = run.head.prompt.as_ref().map(Prompt::charge);
-        Placed {
+        PlacedRequest {
             hub: hub.clone(),
             upstream: choice.upstream.clone(),
             request,
@@ -102,7 +102,7 @@
             expected: choice.first_token,
             service: service.clone(),
             is_model: run.head.prompt.is_some(),
-            born: born.flatten(),
+            started_at_ms: started_at_ms.flatten(),
             version,
             mark,
             first_at: Mutex::default(),
@@ -125,13 +125,13 @@
     }
 
     /// When it was sent.
-    pub fn sent(&self) -> Duration {
+    pub fn sent_at(&self) -> Duration {
         self.sent
     }
 
     /// When the upstream was started, as far as it was known when the request was placed.
-    pub fn born(&self) -> Option<u64> {
-        self.born
+    pub fn started_at_ms(&self) -> Option<u64> {
+        self.started_at_ms
     }
 
     /// The version of the upstream, as far as it was known when the request was placed.
@@ -140,12 +140,12 @@
     }
 
     /// Notes that the answer is a failure of the upstream's.
-    pub fn failed(&self) {
+    pub fn record_failure(&self) {
         self.found(Some(Finding::Failed));
     }
 
     /// Notes that the answer came whole, in so many pieces.
-    pub fn paced(&self, pieces: u32) {
+    pub fn record_pace(&self, pieces: u32) {
         let first_at = *self.first_at.lock().expect("no panic under lock");
         let took = first_at.map(|at| self.hub.now().saturating_sub(at));
         self.found(took.filter(|_| 1 < pieces).map(|took| Mark::pace(took, pieces - 1)));
@@ -158,7 +158,7 @@
     }
 
     /// Notes the first token, here and at those who keep the engine's model; nothing if this isn't the first.
-    pub fn first(&self) -> Option<FirstToken> {
+    pub fn record_first_token(&self) -> Option<FirstTokenTiming> {
         if self.begun.swap(true, Ordering::Relaxed) {
             return None;
         }
@@ -177,7 +177,7 @@
         if let Some((workspace, tokens)) = &self.charged {
             self.hub.metrics().workspace_begun(workspace, *tokens);
         }
-        let first = FirstToken { expected: self.expected, took };
+        let first = FirstTokenTiming { expected: self.expected, took };
         self.hub.metrics().first_token(first);
         Some(first)
     }
@@ -185,13 +185,13 @@
     /// Tells those who keep the model, or count what runs there.
     fn tell(&self, message: &Message) {
         match self.is_model {
-            true => asking::tell_keepers(&self.hub, &self.upstream, message),
-            false => plain::tell(&self.hub, &self.service, message),
+            true => engine_placement::notify_keepers(&self.hub, &self.upstream, message),
+            false => plain_placement::notify_keepers(&self.hub, &self.service, message),
         }
     }
 
     /// Notes how the request went, before it has ended.
-    pub fn note(&self, health: Health) {
+    pub fn record_health(&self, health: Health) {
         let now = self.hub.now();
         let is_over = self.hub.fleet(|fleet| {
             fleet.note(&self.upstream, health, now);
@@ -214,7 +214,7 @@
     }
 }
 
-impl Drop for Placed {
+impl Drop for PlacedRequest {
     fn drop(&mut self) {
         let now = self.hub.now();
         self.hub.fleet(|fleet| {
--- a/src/proxy/plain.rs
+++ b/src/proxy/plain_placement.rs
@@ -19,18 +19,18 @@
 use crate::placement::choice::Choice;
 use crate::placement::cold::Role;
 use crate::placement::plain::Wish;
-use crate::proxy::asking;
-use crate::proxy::asking::Decided;
-use crate::proxy::asking::Decision;
-use crate::proxy::dialect::Prompt;
+use crate::proxy::adapter::Prompt;
+use crate::proxy::engine_placement;
+use crate::proxy::engine_placement::PlacementDecision;
+use crate::proxy::engine_placement::PlacementResult;
 use crate::proxy::hub::Hub;
-use crate::proxy::message::Answer;
 use crate::proxy::message::Message;
+use crate::proxy::message::PlacementResponse;
 use crate::proxy::notices;
 
 /// A request that the owner of a plain service is to place.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AskPlain {
+pub struct PlainPlacementRequest {
     /// Names the send.
     pub request: u64,
     /// The service.
@@ -50,50 +50,62 @@
 }
 
 /// The boxes that count the upstreams of a plain service; nothing where each box does.
-pub fn owned(hub: &Hub, service: &str) -> Option<Owned> {
+pub fn keepers(hub: &Hub, service: &str) -> Option<Owned> {
     hub.peers().owners().of_hash(xxh3_64(service.as_bytes()))
 }
 
 /// Places a request, or says why it isn't placed; nothing if nobody who counts answers.
-pub async fn place(hub: &Arc<Hub>, wish: Wish<'_>) -> Option<Decided> {
+pub async fn place(hub: &Arc<Hub>, wish: Wish<'_>) -> Option<PlacementDecision> {
     let (me, request) = (hub.peers().me(), wish.request);
     if hub.peers().owners().is_none() {
         let role = Role::Peer { boxes: hub.peers().known(), draw: hub.peers().own_draw("") };
-        return Some(Decided { decision: place_for_all(hub, wish), by: me, role, request });
+        return Some(PlacementDecision {
+            result: place_for_all(hub, wish),
+            decided_by: me,
+            role,
+            request,
+        });
     }
-    let owned = owned(hub, wish.service)?;
+    let owned = keepers(hub, wish.service)?;
     for ip in owned.keepers() {
         let role = owned.role(ip);
         if ip == me {
-            return Some(Decided { decision: place_here(hub, wish, owned), by: me, role, request });
+            return Some(PlacementDecision {
+                result: place_here(hub, wish, owned),
+                decided_by: me,
+                role,
+                request,
+            });
         }
-        if hub.asking().is_suspect(ip, hub.now()) {
+        if hub.owner_requests().is_unresponsive(ip, hub.now()) {
             continue;
         }
-        let request = asking::asked_as(wish.request, ip);
-        let question = Message::AskPlain(question(&Wish { request, ..wish }));
-        match asking::ask(hub, ip, request, &question).await {
-            Some(Ok(choice)) if asking::is_behind(hub, ip, &choice, wish.side) => {
+        let request = engine_placement::request_id_at(wish.request, ip);
+        let question = Message::PlainPlacementRequest(question(&Wish { request, ..wish }));
+        match engine_placement::request_decision(hub, ip, request, &question).await {
+            Some(Ok(choice)) if engine_placement::is_behind(hub, ip, &choice, wish.side) => {
                 notices::resend(hub, &choice.upstream, ip);
             }
             // The backoff began while the owner was asked.
             Some(Ok(choice)) if hub.is_backing_off(&choice.upstream) => {
-                asking::withdraw(hub, request, owned.keepers());
+                engine_placement::withdraw(hub, request, owned.keepers());
                 continue;
             }
-            Some(decision) => return Some(Decided { decision, by: ip, role, request }),
+            Some(decision) => {
+                return Some(PlacementDecision { result: decision, decided_by: ip, role, request });
+            }
             None => {
                 info!(hub.log(), "no answer of an owner"; "ip" => %ip, "service" => wish.service)
             }
         }
-        asking::withdraw(hub, request, owned.keepers());
-        hub.asking().suspect(ip, hub.now());
+        engine_placement::withdraw(hub, request, owned.keepers());
+        hub.owner_requests().mark_unresponsive(ip, hub.now());
     }
     None
 }
 
 /// Places a request that another box asks for.
-pub fn answer(hub: &Hub, ask: &AskPlain, from: IpAddr) {
+pub fn handle_request(hub: &Hub, ask: &PlainPlacementRequest, from: IpAddr) {
     let wish = Wish {
         request: ask.request,
         service: &ask.service,
@@ -105,23 +117,26 @@
         zone: &ask.zone,
         sender: Some(from),
     };
-    let result = match owned(hub, &ask.service) {
+    let result = match keepers(hub, &ask.service) {
         Some(owned) => place_here(hub, wish, owned),
         None => hub.admit_plain(wish),
     };
-    hub.peers().tell_now(from, &Message::Answer(Answer { request: ask.request, result }));
+    hub.peers().tell_now(
+        from,
+        &Message::PlacementResponse(PlacementResponse { request: ask.request, result }),
+    );
 }
 
 /// Tells those who count the upstreams of a plain service; all boxes in a small fleet.
-pub fn tell(hub: &Hub, service: &str, message: &Message) {
-    match owned(hub, service) {
+pub fn notify_keepers(hub: &Hub, service: &str, message: &Message) {
+    match keepers(hub, service) {
         Some(owned) => hub.peers().tell_some(owned.keepers(), message),
         None => hub.peers().tell(message),
     }
 }
 
 /// Places a request by what this box counts, which tells the other one of owner and standby.
-fn place_here(hub: &Hub, wish: Wish<'_>, owned: Owned) -> Decision {
+fn place_here(hub: &Hub, wish: Wish<'_>, owned: Owned) -> PlacementResult {
     let placed = hub.admit_plain(wish);
     if let Ok(choice) = &placed {
         let message = told(&Wish { workspace: None, ..wish }, choice);
@@ -130,7 +145,7 @@
     placed
 }
 
-fn place_for_all(hub: &Hub, wish: Wish<'_>) -> Decision {
+fn place_for_all(hub: &Hub, wish: Wish<'_>) -> PlacementResult {
     let placed = hub.admit_plain(wish);
     if let Ok(choice) = &placed {
         hub.peers().tell(&told(&wish, choice));
@@ -138,16 +153,16 @@
     placed
 }
 
-fn question(wish: &Wish<'_>) -> AskPlain {
-    AskPlain {
+fn question(wish: &Wish<'_>) -> PlainPlacementRequest {
+    PlainPlacementRequest {
         request: wish.request,
         service: ServiceName::from(wish.service),
         workspace: wish.workspace.cloned(),
         zone: wish.zone.clone(),
-        except: wish.except.iter().take(asking::EXCEPT_MAX).cloned().collect(),
+        except: wish.except.iter().take(engine_placement::EXCEPT_MAX).cloned().collect(),
         side: wish.side,
-        aim_ms: asking::millis(wish.aim),
-        waited_ms: asking::millis(wish.waited),
+        aim_ms: engine_placement::millis(wish.aim),
+        waited_ms: engine_placement::millis(wish.waited),
     }
 }
 
--- a/src/proxy/pump.rs
+++ b/src/proxy/pump.rs
@@ -22,7 +22,7 @@
 
 use crate::proxy::link;
 use crate::proxy::link::AnswerBody;
-use crate::proxy::placed::Placed;
+use crate::proxy::placed_request::PlacedRequest;
 use crate::proxy::request;
 use crate::proxy::request::Reply;
 use crate::proxy::request::Run;
@@ -59,7 +59,7 @@
 struct Source {
     body: AnswerBody,
     headers: HeaderMap,
-    placed: Placed,
+    placed: PlacedRequest,
 }
 
 /// Where the next piece comes from.
@@ -95,7 +95,7 @@
 /// Answers with the stream that begins with `reply`.
 pub fn start(run: Run, reply: Reply) -> Response<Body> {
     let status = reply.resp.status();
-    let headers = run.hub.dialect().incoming(reply.resp.headers());
+    let headers = run.hub.dialect().caller_headers(reply.resp.headers());
     let pump = Pump {
         timed_out: run.hub.clock().clone().sleep_until(run.deadline).boxed(),
         run: Some(Box::new(run)),
@@ -216,7 +216,7 @@
         }
         self.begun = true;
         self.pieces += 1;
-        if let Some(first) = source.placed.first() {
+        if let Some(first) = source.placed.record_first_token() {
             run.first_token.get_or_insert(first);
         }
         if run.route.repeat != Repeat::AfterEvent {
@@ -230,7 +230,7 @@
         if let State::Passing(source) = std::mem::replace(&mut self.state, State::Ended) {
             let Source { body, headers, placed } = *source;
             body.keep(&headers);
-            placed.paced(self.pieces);
+            placed.record_pace(self.pieces);
             placed.close(None);
             self.run.iter().for_each(|run| run.ended_well());
         }
--- a/src/proxy/look.rs
+++ b/src/proxy/reachability.rs
@@ -8,12 +8,12 @@
 use slog::info;
 
 use crate::names::UpstreamName;
-use crate::proxy::asking;
-use crate::proxy::dialect::Listed;
+use crate::proxy::adapter::UpstreamListing;
+use crate::proxy::aligned_timer;
+use crate::proxy::engine_placement;
 use crate::proxy::hub::Hub;
 use crate::proxy::message::Message;
 use crate::proxy::notices;
-use crate::proxy::pace;
 use crate::proxy::suspects;
 use crate::util;
 
@@ -23,7 +23,7 @@
 /// Notes that an upstream may not be reachable. The other boxes hear of it only when a
 /// connection fails: an answer that is lost says little of the upstream, and each box would
 /// connect to it.
-pub fn unreachable(hub: &Hub, upstream: &UpstreamName) {
+pub fn mark_unreachable(hub: &Hub, upstream: &UpstreamName) {
     let now = hub.now();
     if hub.fleet(|fleet| fleet.doubt(upstream, true, now)) {
         info!(hub.log(), "upstream in doubt"; "name" => upstream.as_str());
@@ -36,7 +36,7 @@
     loop {
         tokio::select! {
             () = hub.looking() => {}
-            () = pace::wait(LOOK_INTERVAL) => {}
+            () = aligned_timer::wait_for_tick(LOOK_INTERVAL) => {}
         }
         let now = hub.now();
         for listed in hub.fleet(|fleet| fleet.take_doubted(now)) {
@@ -45,8 +45,8 @@
     }
 }
 
-async fn look_for(hub: Arc<Hub>, listed: Listed) {
-    let Listed { name, addr, .. } = listed;
+async fn look_for(hub: Arc<Hub>, listed: UpstreamListing) {
+    let UpstreamListing { name, addr, .. } = listed;
     if let Err(e) = hub.links().warm(addr).await {
         let now = hub.now();
         if e.is_refused() {
@@ -57,7 +57,7 @@
                 "error" => util::with_causes(&e));
             let message = Message::Unreachable { upstream: name.clone() };
             match hub.read(|view| view.fleet().is_engine(&name)) {
-                true => asking::tell_keepers(&hub, &name, &message),
+                true => engine_placement::notify_keepers(&hub, &name, &message),
                 false => hub.peers().tell(&message),
             }
         }
@@ -76,7 +76,8 @@
 /// An engine that was away may have started anew. Those who keep its model ask it how long it is cold; if it
 /// doesn't say, it is taken for one that has just started.
 async fn note_start(hub: &Hub, name: &UpstreamName, addr: SocketAddr) {
-    if !hub.read(|view| view.fleet().may_be_cold(name)) || !asking::keeps(hub, name) {
+    if !hub.read(|view| view.fleet().may_be_cold(name)) || !engine_placement::keeps_model(hub, name)
+    {
         return;
     }
     let Some(path) = hub.read(|view| view.probe_path(name)) else { return };
--- a/src/proxy/answer.rs
+++ b/src/proxy/refusal.rs
@@ -126,8 +126,8 @@
 const ELSEWHERE_RETRY: Duration = Duration::from_millis(50);
 
 /// The answer for a refusal, as it is written on a connection.
-pub fn prepared(cause: Refusal) -> Vec<u8> {
-    let resp = refusal(cause);
+pub fn http1_bytes(cause: Refusal) -> Vec<u8> {
+    let resp = response(cause);
     let text = text(cause);
     let mut buf = format!("HTTP/1.1 {}\r\n", resp.status()).into_bytes();
     for (name, value) in resp.headers() {
@@ -145,7 +145,7 @@
 }
 
 /// The answer for a refusal.
-pub fn refusal(cause: Refusal) -> Response<Body> {
+pub fn response(cause: Refusal) -> Response<Body> {
     let mut resp = Response::new(stream::whole(Bytes::from(text(cause))));
     *resp.status_mut() = cause.status();
     let headers = resp.headers_mut();
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -26,30 +26,30 @@
 use crate::names::WorkspaceName;
 use crate::placement::choice::Choice;
 use crate::placement::upstream::Health;
+use crate::proxy::adapter::RequestHead;
+use crate::proxy::adapter::UpstreamRequestInfo;
+use crate::proxy::adapter::Verdict;
 use crate::proxy::admission;
-use crate::proxy::answer;
-use crate::proxy::answer::Refusal;
-use crate::proxy::dialect::Head;
-use crate::proxy::dialect::Outgoing;
-use crate::proxy::dialect::Verdict;
 use crate::proxy::hub::Hub;
 use crate::proxy::link;
 use crate::proxy::link::AnswerBody;
-use crate::proxy::look;
 use crate::proxy::notices;
 use crate::proxy::notices::Said;
-use crate::proxy::placed::FirstToken;
-use crate::proxy::placed::InFlight;
-use crate::proxy::placed::Placed;
-use crate::proxy::placing::NO_UPSTREAM_RETRY;
-use crate::proxy::placing::OVERLOAD_RETRY_MIN;
+use crate::proxy::placed_request::CountGuard;
+use crate::proxy::placed_request::FirstTokenTiming;
+use crate::proxy::placed_request::PlacedRequest;
 use crate::proxy::pump;
+use crate::proxy::reachability;
+use crate::proxy::refusal;
+use crate::proxy::refusal::Refusal;
 use crate::proxy::stream;
 use crate::proxy::stream::Body;
 use crate::proxy::suspects;
 use crate::proxy::suspects::Break;
 use crate::proxy::table::Repeat;
 use crate::proxy::table::Route;
+use crate::proxy::upstream_selection::NO_UPSTREAM_RETRY;
+use crate::proxy::upstream_selection::OVERLOAD_RETRY_MIN;
 use crate::util;
 use crate::web;
 use crate::web::BodyFault;
@@ -72,7 +72,7 @@
     /// The process.
     pub hub: Arc<Hub>,
     /// What the caller's head says.
-    pub head: Head,
+    pub head: RequestHead,
     /// The caller's head itself.
     pub parts: request::Parts,
     /// The route.
@@ -100,13 +100,13 @@
     /// Sends that broke off.
     pub breaks: u32,
     /// When the first token came, once it has.
-    pub first_token: Option<FirstToken>,
+    pub first_token: Option<FirstTokenTiming>,
     /// Counts it until all of its answer has been passed on.
-    pub in_flight: InFlight,
+    pub in_flight: CountGuard,
     /// The same until it has been sent for the first time.
-    pub start: Option<InFlight>,
+    pub start: Option<CountGuard>,
     /// The same among the streams, if it is one.
-    pub stream: Option<InFlight>,
+    pub stream: Option<CountGuard>,
 }
 
 /// What became of one send.
@@ -146,7 +146,7 @@
     /// The answer; its body closes the connection when it is dropped.
     pub resp: Response<AnswerBody>,
     /// The request's entry in the models.
-    pub placed: Placed,
+    pub placed: PlacedRequest,
 }
 
 /// Serves one request.
@@ -174,7 +174,7 @@
 fn refuse(hub: &Hub, id: &str, cause: Refusal) -> Response<Body> {
     info!(hub.log(), "refused"; "id" => id, "cause" => cause.code(), "version" => hub.version());
     hub.metrics().refused(cause.code());
-    answer::refusal(cause)
+    refusal::response(cause)
 }
 
 impl Run {
@@ -207,7 +207,7 @@
         if let (Some(workspace), Some(prompt)) = (&self.workspace, &self.head.prompt) {
             hub.metrics().workspace_refused(workspace, prompt.charge(), cause.code());
         }
-        answer::refusal(cause)
+        refusal::response(cause)
     }
 
     /// Sends the request until there is an answer to pass on.
@@ -300,15 +300,15 @@
     }
 
     /// Notes that the answer broke off, and ends the request's entry in the models. `is_sure` if the upstream has ended.
-    pub fn broke_off(&mut self, placed: Placed, is_sure: bool) {
+    pub fn broke_off(&mut self, placed: PlacedRequest, is_sure: bool) {
         let upstream = placed.upstream().clone();
         // One that has ended, or leaves, says nothing of its version's answers.
         if !is_sure && self.hub.read(|view| view.fleet().is_open(&upstream)) {
-            placed.failed();
+            placed.record_failure();
         }
-        let start = suspects::start_of(&upstream, placed.born());
+        let start = suspects::start_of(&upstream, placed.started_at_ms());
         self.breaks += 1;
-        look::unreachable(&self.hub, &upstream);
+        reachability::mark_unreachable(&self.hub, &upstream);
         placed.close(Some(Health::Broken));
         // One that leaves ends by itself.
         if is_sure || self.hub.read(|view| view.fleet().is_open(&upstream)) {
@@ -330,7 +330,12 @@
     }
 
     /// Sends the request to an upstream, from the event after `resume_after` on if that is given.
-    async fn send(&mut self, choice: &Choice, placed: Placed, resume_after: Option<u64>) -> Sent {
+    async fn send(
+        &mut self,
+        choice: &Choice,
+        placed: PlacedRequest,
+        resume_after: Option<u64>,
+    ) -> Sent {
         self.start = None;
         self.tried.push(choice.upstream.clone());
         let req = self.request_for(choice, resume_after);
@@ -347,7 +352,7 @@
                     link::Error::Withheld(reason) => self.hub.metrics().withheld(reason.code()),
                     // Our own limit says nothing about the upstream.
                     link::Error::NoneFree => {}
-                    _ => look::unreachable(&self.hub, &choice.upstream),
+                    _ => reachability::mark_unreachable(&self.hub, &choice.upstream),
                 }
                 placed.withdraw(None);
                 return Sent::Unsent(e);
@@ -363,11 +368,12 @@
         };
         self.sends += 1;
         let status = resp.status();
-        let verdict = self.hub.dialect().judge(&self.head.id, status, resp.headers());
-        if resp.body_mut().prove(verdict.proves(status)) && !verdict.misdirected {
-            let (upstream, born, sent) = (placed.upstream(), placed.born(), placed.sent());
+        let verdict = self.hub.dialect().check_response(&self.head.id, status, resp.headers());
+        if resp.body_mut().prove(verdict.is_authentic(status)) && !verdict.misdirected {
+            let (upstream, started_at_ms, sent) =
+                (placed.upstream(), placed.started_at_ms(), placed.sent_at());
             let (request, notice) = (&self.head.id, verdict.notice);
-            notices::apply(&self.hub, Said { upstream, born, request, sent, notice });
+            notices::apply(&self.hub, Said { upstream, started_at_ms, request, sent, notice });
         }
         self.judge(resp, placed, verdict, began)
     }
@@ -375,7 +381,7 @@
     fn judge(
         &self,
         resp: Response<AnswerBody>,
-        placed: Placed,
+        placed: PlacedRequest,
         verdict: Verdict,
         began: Instant,
     ) -> Sent {
@@ -386,12 +392,12 @@
             placed.withdraw(Some(gone.unwrap_or(Health::Failed)));
             return Sent::NotRun;
         }
-        let is_odd = !verdict.own
+        let is_odd = !verdict.matches_request
             || (status.is_success() && !verdict.signed)
             || resp.headers().contains_key(CONTENT_ENCODING);
         if is_odd {
             self.log_answer(&resp, &placed, verdict, "odd");
-            placed.failed();
+            placed.record_failure();
             placed.close(Some(Health::Failed));
             return Sent::Unsure(None);
         }
@@ -404,13 +410,13 @@
         let reply = Box::new(Reply { resp, placed });
         if status.is_server_error() {
             self.log_answer(&reply.resp, &reply.placed, verdict, "failed");
-            reply.placed.note(Health::Failed);
-            reply.placed.failed();
+            reply.placed.record_health(Health::Failed);
+            reply.placed.record_failure();
             return Sent::Unsure(Some(reply));
         }
-        reply.placed.note(Health::Good(began.elapsed()));
+        reply.placed.record_health(Health::Good(began.elapsed()));
         if self.head.prompt.is_none() {
-            reply.placed.first();
+            reply.placed.record_first_token();
         }
         Sent::Answer(reply)
     }
@@ -419,13 +425,13 @@
     fn log_answer(
         &self,
         resp: &Response<AnswerBody>,
-        placed: &Placed,
+        placed: &PlacedRequest,
         verdict: Verdict,
         taken_for: &'static str,
     ) {
         info!(self.hub.log(), "answered"; "id" => &self.head.id,
             "upstream" => placed.upstream().as_str(), "status" => resp.status().as_u16(),
-            "taken_for" => taken_for, "own" => verdict.own, "signed" => verdict.signed,
+            "taken_for" => taken_for, "own" => verdict.matches_request, "signed" => verdict.signed,
             "try" => self.tried.len());
     }
 
@@ -449,9 +455,9 @@
     }
 
     fn request_for(&self, choice: &Choice, resume_after: Option<u64>) -> Request<Full<Bytes>> {
-        let out = Outgoing {
+        let out = UpstreamRequestInfo {
             upstream: &choice.upstream,
-            left: self.left(),
+            remaining: self.left(),
             workspace: self.workspace.as_ref().map(WorkspaceName::as_str),
             resume_after,
             copy_from: choice.copy_from,
@@ -459,7 +465,7 @@
         let mut req = Request::new(Full::new(self.body.clone()));
         *req.method_mut() = self.parts.method.clone();
         *req.uri_mut() = self.parts.uri.clone();
-        *req.headers_mut() = self.hub.dialect().outgoing(&self.parts.headers, &out);
+        *req.headers_mut() = self.hub.dialect().upstream_headers(&self.parts.headers, &out);
         if !self.body.is_empty() {
             req.headers_mut().insert(CONTENT_LENGTH, HeaderValue::from(self.body.len()));
         }
@@ -485,7 +491,7 @@
                 placed.close(None);
                 self.ended_well();
                 self.log_end(head.status, "whole");
-                let headers = self.hub.dialect().incoming(&head.headers);
+                let headers = self.hub.dialect().caller_headers(&head.headers);
                 respond(head.status, headers, stream::whole(bytes))
             }
             Err(fault) => {
--- a/src/proxy/budget.rs
+++ b/src/proxy/retry_budget.rs
@@ -12,7 +12,7 @@
 
 /// What the fleet may repeat.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bounds {
+pub struct RetryBounds {
     /// Repeats per request.
     pub ratio: f64,
     /// Repeats allowed on top, by the whole fleet in a window.
@@ -23,8 +23,8 @@
 
 /// The budget of one box.
 #[derive(Debug)]
-pub struct Budget {
-    bounds: Bounds,
+pub struct RetryBudget {
+    bounds: RetryBounds,
     services: HashMap<ServiceName, Counted>,
 }
 
@@ -34,14 +34,14 @@
     repeats: VecDeque<Duration>,
 }
 
-impl Budget {
+impl RetryBudget {
     /// A budget of which nothing is used.
-    pub fn new(bounds: Bounds) -> Budget {
-        Budget { bounds, services: HashMap::new() }
+    pub fn new(bounds: RetryBounds) -> RetryBudget {
+        RetryBudget { bounds, services: HashMap::new() }
     }
 
     /// Counts a caller's request.
-    pub fn request(&mut self, service: &ServiceName, now: Duration) {
+    pub fn record_request(&mut self, service: &ServiceName, now: Duration) {
         let window = self.bounds.window;
         let counted = self.services.entry(service.clone()).or_default();
         counted.requests.push_back(now);
@@ -49,7 +49,7 @@
     }
 
     /// Takes a repeat out of the budget, shared by `boxes` boxes; false when it is used up.
-    pub fn repeat(&mut self, service: &ServiceName, boxes: usize, now: Duration) -> bool {
+    pub fn try_take(&mut self, service: &ServiceName, boxes: usize, now: Duration) -> bool {
         let bounds = self.bounds;
         let counted = self.services.entry(service.clone()).or_default();
         expire(&mut counted.requests, bounds.window, now);
--- a/src/proxy/rollouts.rs
+++ b/src/proxy/rollouts.rs
@@ -27,11 +27,11 @@
 use crate::fleet::rollout::judge::step;
 use crate::names::ServiceName;
 use crate::names::VersionName;
-use crate::proxy::dialect;
+use crate::proxy::adapter;
+use crate::proxy::aligned_timer;
 use crate::proxy::hub::Hub;
 use crate::proxy::message::Message;
-use crate::proxy::pace;
-use crate::proxy::plain;
+use crate::proxy::plain_placement;
 
 /// Time between looks at roll-outs, and between what is told of answers: a twenty-fifth of the time in which a bad version
 /// must get nothing any more.
@@ -240,9 +240,9 @@
 }
 
 /// Tells what became of answers, and judges, until the process ends.
-pub async fn run(hub: Arc<Hub>, adapter: Arc<dyn dialect::Rollouts>) {
+pub async fn run(hub: Arc<Hub>, adapter: Arc<dyn adapter::RolloutReporter>) {
     loop {
-        pace::wait(TICK).await;
+        aligned_timer::wait_for_tick(TICK).await;
         if !hub.rollouts().is_any() {
             continue;
         }
@@ -269,13 +269,13 @@
         (evidence.target.clone(), std::mem::take(&mut evidence.untold))
     });
     let Some(target) = target else { return };
-    let keepers = plain::owned(hub, service);
+    let keepers = plain_placement::keepers(hub, service);
     if keepers.is_none_or(|owned| owned.keepers().any(|ip| ip == hub.peers().me())) {
         hub.rollouts().observe(service, &target, &untold);
     }
     for all in untold.chunks(TOLD_MAX) {
         let (service, target) = (service.clone(), target.clone());
-        plain::tell(
+        plain_placement::notify_keepers(
             hub,
             &service.clone(),
             &Message::Observed { service, target, all: all.to_vec() },
@@ -286,7 +286,7 @@
 /// Whether this box raises the stage: the owner of the service and its standby, or the first two boxes of a small fleet.
 /// Both hear the same, and the stage is the greater of what they find, so neither waits for the other.
 fn is_judge(hub: &Hub, service: &ServiceName) -> bool {
-    match plain::owned(hub, service) {
+    match plain_placement::keepers(hub, service) {
         Some(owned) => owned.keepers().any(|ip| ip == hub.peers().me()),
         None => hub.peers().rank_for(service.as_bytes()) < JUDGES,
     }
@@ -320,7 +320,7 @@
 
 /// Writes to the store how the roll-out goes, where that is news. Its end frees the old engines, so it isn't written while
 /// any box that lives has a request there or hasn't said that it sends none.
-async fn report(hub: &Hub, service: &ServiceName, adapter: &dyn dialect::Rollouts) {
+async fn report(hub: &Hub, service: &ServiceName, adapter: &dyn adapter::RolloutReporter) {
     let Some((target, stage, reported)) = hub.rollouts().with(|inner| {
         let (order, stage) = inner.rollouts.under_way(service)?;
         let target = order.target.clone();
--- a/src/proxy/settings.rs
+++ b/src/proxy/settings.rs
@@ -9,7 +9,7 @@
 use crate::config::settings::Reader;
 use crate::placement::cold::ColdBound;
 use crate::placement::tuning::Tuning;
-use crate::proxy::budget::Bounds;
+use crate::proxy::retry_budget::RetryBounds;
 
 /// Seconds that a watch of the store waits. Each costs a call, so longer is cheaper; probes notice
 /// what it can't: a store that has fallen silent. A silence between two probes that loses a watch is
@@ -55,7 +55,7 @@
     /// `[stop] within-s`: time from the signal to stop until the process must have ended.
     pub stop_within: Duration,
     /// `[repeats]`: what the fleet may send again.
-    pub repeats: Bounds,
+    pub repeats: RetryBounds,
     /// `[streams] late-max-ms`: by how much a piece of a stream may be late; zero where it is passed on at once.
     pub late_max: Duration,
     /// `[shares] window-s`: over how long fair shares are counted.
@@ -86,7 +86,7 @@
         exposure: rdr.optional("rollouts", "exposure", EXPOSURE),
         seeds: seeds(&mut rdr),
         stop_within: Duration::from_secs_f64(rdr.optional("stop", "within-s", 8.0)),
-        repeats: Bounds {
+        repeats: RetryBounds {
             ratio: rdr.optional("repeats", "ratio", 0.1),
             slack: rdr.optional("repeats", "slack", 0.0),
             window: Duration::from_secs_f64(rdr.optional("repeats", "window-s", 10.0)),
--- a/src/proxy/side.rs
+++ b/src/proxy/side.rs
@@ -20,8 +20,8 @@
 use crate::fleet::quarantine::Suspect;
 use crate::placement::fleet::learned::Learned;
 use crate::proxy::Stop;
-use crate::proxy::ask;
-use crate::proxy::ask::Asker;
+use crate::proxy::http_client;
+use crate::proxy::http_client::HttpClient;
 use crate::proxy::hub::Hub;
 use crate::proxy::view::Snapshot;
 use crate::proxy::view::View;
@@ -56,7 +56,7 @@
 pub enum AskError {
     /// It gives no whole answer in time.
     #[error(transparent)]
-    NoAnswer(#[from] ask::Error),
+    NoAnswer(#[from] http_client::Error),
     /// It doesn't tell.
     #[error("status {0}")]
     Status(StatusCode),
@@ -109,7 +109,7 @@
 }
 
 async fn ask_for(addr: SocketAddr, path: &str) -> Result<Bytes, AskError> {
-    let (status, body) = Asker::new(addr).get(path, ASK_TIMEOUT).await?;
+    let (status, body) = HttpClient::new(addr).get(path, ASK_TIMEOUT).await?;
     if status != StatusCode::OK {
         return Err(AskError::Status(status));
     }
--- a/src/proxy/suspects.rs
+++ b/src/proxy/suspects.rs
@@ -25,11 +25,11 @@
 use crate::fleet::quarantine::Suspect;
 use crate::fleet::quarantine::Verdict;
 use crate::names::UpstreamName;
-use crate::proxy::dialect::NotKept;
-use crate::proxy::dialect::Records;
+use crate::proxy::adapter::StoreError;
+use crate::proxy::adapter::SuspectStore;
+use crate::proxy::aligned_timer;
 use crate::proxy::hub::Hub;
 use crate::proxy::message::Message;
-use crate::proxy::pace;
 use crate::proxy::side;
 
 /// How long a request that broke off waits for a word on its upstream: three heartbeats in which an entry lapses, and
@@ -70,8 +70,8 @@
 const LOOK_EVERY: Duration = Duration::from_millis(500);
 
 /// A start of an upstream as all boxes name it.
-pub fn start_of(name: &UpstreamName, born: Option<u64>) -> u64 {
-    xxh3_64_with_seed(name.as_bytes(), born.unwrap_or_default())
+pub fn start_of(name: &UpstreamName, started_at_ms: Option<u64>) -> u64 {
+    xxh3_64_with_seed(name.as_bytes(), started_at_ms.unwrap_or_default())
 }
 
 /// A break that waits for a word on its upstream.
@@ -327,7 +327,7 @@
 /// off, or have started since.
 pub async fn catch_up(hub: Arc<Hub>) {
     loop {
-        pace::wait(LOOK_EVERY).await;
+        aligned_timer::wait_for_tick(LOOK_EVERY).await;
         let own = hub.suspects().read(|quarantine| quarantine.digest(hub.now()));
         let Some(addr) = hub.peers().with_other_held(own) else { continue };
         match side::ask_held(addr).await {
@@ -339,7 +339,7 @@
 
 /// Keeps in the store what this box holds back by its own sight, until the process ends: all boxes may lose their memory
 /// at once.
-pub async fn keep(hub: Arc<Hub>, records: Arc<dyn Records>) {
+pub async fn keep(hub: Arc<Hub>, records: Arc<dyn SuspectStore>) {
     let mut pause = KEEP_AGAIN;
     loop {
         let Some(content) = hub.suspects().with(|inner| inner.unkept.front().copied()) else {
@@ -348,13 +348,13 @@
         };
         let told = hub.suspects().read(|quarantine| quarantine.told(&content, hub.now()));
         let kept = match &told {
-            Some(suspect) => records.keep(suspect).await,
+            Some(suspect) => records.save(suspect).await,
             // Nothing is held against it any more.
             None => Ok(()),
         };
         if let Err(e) = kept {
             info!(hub.log(), "request not kept"; "content" => %content, "error" => %e);
-            if let NotKept::Away(_) = e {
+            if let StoreError::Unavailable(_) = e {
                 tokio::time::sleep(pause).await;
                 pause = (pause * 2).min(KEEP_AGAIN_MAX);
                 continue;
@@ -372,11 +372,11 @@
 
 /// Asks the store for what other boxes kept before this one started, if it is one of those that ask the store at all;
 /// the others are told.
-pub async fn recall(hub: Arc<Hub>, records: Arc<dyn Records>) {
+pub async fn recall(hub: Arc<Hub>, records: Arc<dyn SuspectStore>) {
     let mut recalls = 0;
     for _ in 0..RECALL_TRIES {
         if hub.peers().is_store_due() {
-            match records.kept().await {
+            match records.load_all().await {
                 Ok(all) => {
                     recalls += 1;
                     take_kept(&hub, &*records, &all).await;
@@ -393,7 +393,7 @@
     }
 }
 
-async fn take_kept(hub: &Hub, records: &dyn Records, all: &[Suspect]) {
+async fn take_kept(hub: &Hub, records: &dyn SuspectStore, all: &[Suspect]) {
     hear(hub, all);
     for Suspect { content, .. } in all {
         let verdict = hub.suspects().read(|known| known.verdict(content, hub.now()));
@@ -401,7 +401,7 @@
             continue;
         }
         // It was long ago. Another box may do the same at the same time.
-        if let Err(e) = records.forget(content).await {
+        if let Err(e) = records.delete(content).await {
             debug!(hub.log(), "request not forgotten"; "content" => %content, "error" => %e);
         }
     }
--- a/src/proxy/turn_away.rs
+++ b/src/proxy/turn_away.rs
@@ -15,9 +15,9 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use crate::proxy::answer;
-use crate::proxy::answer::Refusal;
 use crate::proxy::hub::Hub;
+use crate::proxy::refusal;
+use crate::proxy::refusal::Refusal;
 
 /// Connections that may wait for their requests; what comes beyond them is closed unread. A box of
 /// 0.12 cores turns away some 1,000 a second at the most, so these are half a second's.
@@ -62,7 +62,7 @@
 }
 
 async fn run(hub: Arc<Hub>, mut rx: mpsc::Receiver<TcpStream>) {
-    let prepared = answer::prepared(Refusal::BoxBusy);
+    let prepared = refusal::http1_bytes(Refusal::BoxBusy);
     let mut buf = vec![0; BUF];
     let mut waiting: Vec<Turned> = Vec::new();
     loop {
--- a/src/proxy/placing.rs
+++ b/src/proxy/upstream_selection.rs
@@ -16,12 +16,12 @@
 use crate::placement::choice::Wanted;
 use crate::placement::cold::Role;
 use crate::placement::plain::Wish as PlainWish;
-use crate::proxy::answer::Refusal;
-use crate::proxy::asking;
-use crate::proxy::asking::Decided;
-use crate::proxy::dialect::Prompt;
-use crate::proxy::placed::Placed;
-use crate::proxy::plain;
+use crate::proxy::adapter::Prompt;
+use crate::proxy::engine_placement;
+use crate::proxy::engine_placement::PlacementDecision;
+use crate::proxy::placed_request::PlacedRequest;
+use crate::proxy::plain_placement;
+use crate::proxy::refusal::Refusal;
 use crate::proxy::request::Run;
 
 /// When to come back where no upstream can be had: entries come back within seconds.
@@ -32,28 +32,28 @@
 
 impl Run {
     /// Chooses an upstream and enters the request there, or says why it can't be served in time.
-    pub async fn place(&mut self) -> Result<(Choice, Placed), Refusal> {
+    pub async fn place(&mut self) -> Result<(Choice, PlacedRequest), Refusal> {
         let name = format!("{}/{}", self.head.id, self.tried.len());
         let request = xxh3_64(name.as_bytes());
         let side = self.side();
         let mut decided = self.decide(request, side).await;
-        let has_no_room = side == Side::Target && decided.decision.is_err();
+        let has_no_room = side == Side::Target && decided.result.is_err();
         if has_no_room && self.begun_at.is_none() && self.may_fall_back() {
             decided = self.decide(request, Side::Others).await;
         }
-        match &decided.decision {
+        match &decided.result {
             Ok(choice) => self.log_placed(choice, &decided),
             Err(denial) => self.log_denial(denial, &decided),
         }
-        let choice = match decided.decision {
+        let choice = match decided.result {
             Ok(choice) => choice,
             Err(denial) => return Err(self.refusal(denial.cause, denial.wait_max)),
         };
-        let placed = Placed::new(self, &choice, decided.request);
+        let placed = PlacedRequest::new(self, &choice, decided.request);
         Ok((choice, placed))
     }
 
-    async fn decide(&self, request: u64, side: Side) -> Decided {
+    async fn decide(&self, request: u64, side: Side) -> PlacementDecision {
         match &self.head.prompt {
             Some(prompt) => self.place_prompt(prompt, request, side).await,
             None => self.place_plain(request, side).await,
@@ -73,7 +73,7 @@
         self.hub.rollouts().may_fall_back(&self.service)
     }
 
-    async fn place_prompt(&self, prompt: &Prompt, request: u64, side: Side) -> Decided {
+    async fn place_prompt(&self, prompt: &Prompt, request: u64, side: Side) -> PlacementDecision {
         let except = self.except();
         let wish = Wish {
             request,
@@ -92,10 +92,10 @@
             is_last: false,
             role: Role::Stranger,
         };
-        asking::place(&self.hub, wish).await
+        engine_placement::place(&self.hub, wish).await
     }
 
-    async fn place_plain(&self, request: u64, side: Side) -> Decided {
+    async fn place_plain(&self, request: u64, side: Side) -> PlacementDecision {
         let now = self.hub.now();
         let resting = self.hub.read(|view| view.fleet().resting(&self.service, now));
         let except: Vec<UpstreamName> = self.except().into_iter().chain(resting).collect();
@@ -110,7 +110,7 @@
             zone: self.hub.peers().zone(),
             sender: None,
         };
-        match plain::place(&self.hub, wish).await {
+        match plain_placement::place(&self.hub, wish).await {
             Some(decided) if !decided.is_without_upstream() => decided,
             // Nobody who counts answers, or all that are left rest.
             _ => self.choose_plain(request, side),
@@ -118,7 +118,7 @@
     }
 
     /// Chooses any upstream of a plain service; nobody counts that.
-    fn choose_plain(&self, request: u64, side: Side) -> Decided {
+    fn choose_plain(&self, request: u64, side: Side) -> PlacementDecision {
         let except = self.except();
         let any = Wanted::any(&self.service, None, &except, Duration::MAX);
         let wanted = Wanted { side, ..any };
@@ -130,7 +130,12 @@
             may_go_on: false,
         };
         let decision = self.hub.choose(wanted).map_err(denial);
-        Decided { decision, by: self.hub.peers().me(), role: Role::Stranger, request }
+        PlacementDecision {
+            result: decision,
+            decided_by: self.hub.peers().me(),
+            role: Role::Stranger,
+            request,
+        }
     }
 
     /// Upstreams that are out of the question: tried, or this box backs off from them.
@@ -164,7 +169,7 @@
         }
     }
 
-    fn log_denial(&self, denial: &Denial, decided: &Decided) {
+    fn log_denial(&self, denial: &Denial, decided: &PlacementDecision) {
         let wait = match denial.cause {
             NoChoice::Busy { wait } => Some(wait.as_millis() as u64),
             _ => None,
@@ -174,11 +179,11 @@
             "workspace" => self.workspace.as_ref().map(WorkspaceName::as_str),
             "share_used" => (denial.share_used * 100.0).round() / 100.0,
             "wait_ms" => wait, "wait_max_ms" => denial.wait_max.as_millis() as u64,
-            "by" => %decided.by, "as" => decided.role.code(),
+            "by" => %decided.decided_by, "as" => decided.role.code(),
             "tried" => self.tried.len(), "version" => self.hub.version());
     }
 
-    fn log_placed(&self, choice: &Choice, decided: &Decided) {
+    fn log_placed(&self, choice: &Choice, decided: &PlacementDecision) {
         info!(self.hub.log(), "placed"; "id" => &self.head.id, "route" => &self.route.name,
             "workspace" => self.workspace.as_ref().map(WorkspaceName::as_str),
             "upstream" => choice.upstream.as_str(), "prompt" => self.head.prompt.as_ref().map_or(0, |p| p.tokens),
@@ -187,7 +192,7 @@
             "copied" => choice.copied, "running" => choice.running,
             "running_tokens" => choice.running_tokens, "wait_ms" => choice.wait.as_millis() as u64,
             "expected_ms" => choice.first_token.as_millis() as u64,
-            "by" => %decided.by, "as" => decided.role.code(),
+            "by" => %decided.decided_by, "as" => decided.role.code(),
             "version" => self.hub.version(), "try" => self.tried.len() + 1);
     }
 }
--- a/src/proxy/view.rs
+++ b/src/proxy/view.rs
@@ -19,7 +19,7 @@
 use crate::names::ZoneName;
 use crate::placement::fleet::Fleet;
 use crate::placement::fleet::learned::Learned;
-use crate::proxy::dialect::Listed;
+use crate::proxy::adapter::UpstreamListing;
 use crate::proxy::digests;
 use crate::proxy::digests::Digests;
 use crate::proxy::history::History;
@@ -48,7 +48,7 @@
     /// The configuration in force; nothing if whoever asks has it.
     pub table: Option<Arc<Table>>,
     /// All upstreams in use or leaving that are in these buckets.
-    pub upstreams: Vec<Listed>,
+    pub upstreams: Vec<UpstreamListing>,
     /// The buckets of upstreams that are told of; all if nothing is given.
     pub buckets: Option<BTreeSet<u8>>,
     /// Others that are gone.
@@ -67,7 +67,7 @@
     /// All upstreams are known for the first time, so many. Others have them, or ask for them.
     Listed(usize),
     /// An upstream is new or has changed.
-    Upstream(Listed),
+    Upstream(UpstreamListing),
     /// An upstream leaves: it gets no new work.
     Leaving(UpstreamName),
     /// Another box says that an upstream leaves or is gone.
@@ -91,7 +91,7 @@
     /// When that was known.
     at: Duration,
     /// Which start of it.
-    born: Option<u64>,
+    started_at_ms: Option<u64>,
 }
 
 /// What this box knows.
@@ -111,7 +111,7 @@
     dropped: BTreeMap<UpstreamName, Dropped>,
     /// Upstreams that are listed though there is reason to believe that they are gone or draining, and when the list is
     /// believed.
-    returned: BTreeMap<UpstreamName, (Listed, Duration)>,
+    returned: BTreeMap<UpstreamName, (UpstreamListing, Duration)>,
     /// Entries that can't be read, and why.
     unreadable: BTreeMap<UpstreamName, String>,
     /// The store's era, if this box has heard it from the store itself.
@@ -317,7 +317,7 @@
         }
         self.changes.push(Change::Configured(table.version));
         self.table = Some(table);
-        let known: Vec<Listed> = self.fleet.listed().cloned().collect();
+        let known: Vec<UpstreamListing> = self.fleet.listed().cloned().collect();
         for listed in known {
             let limits = self.engine_limits(&listed);
             let is_new = limits.is_some() && !self.fleet.is_engine(&listed.name);
@@ -330,7 +330,7 @@
     }
 
     /// Takes over the store's whole list of upstreams.
-    pub fn list(&mut self, all: Vec<Listed>, now: Duration) {
+    pub fn list(&mut self, all: Vec<UpstreamListing>, now: Duration) {
         let names: FxHashSet<&UpstreamName> = all.iter().map(|l| &l.name).collect();
         let absent: Vec<UpstreamName> = self
             .fleet
@@ -363,7 +363,7 @@
     }
 
     /// Takes over one upstream.
-    pub fn set(&mut self, mut listed: Listed, now: Duration) {
+    pub fn set(&mut self, mut listed: UpstreamListing, now: Duration) {
         if self.is_older_start(&listed) {
             return;
         }
@@ -373,7 +373,7 @@
         self.returned.remove(&listed.name);
         self.unreadable.remove(&listed.name);
         let has_drained = self.draining.get(&listed.name).is_some();
-        let drains = self.draining.covers(&listed.name, listed.born, now);
+        let drains = self.draining.covers(&listed.name, listed.started_at_ms, now);
         let is_other_start = is_restarted || has_drained && !drains;
         if drains {
             if !listed.leaving {
@@ -391,7 +391,8 @@
                 self.restart(&listed);
             }
         }
-        let is_known = self.fleet.get(&listed.name).is_some_and(|known| known.is_same(&listed));
+        let is_known =
+            self.fleet.get(&listed.name).is_some_and(|known| known.eq_ignoring_cold_for(&listed));
         let is_colder = self.fleet.chill(&listed.name, listed.cold_for, now);
         if is_known && !is_colder {
             return;
@@ -410,27 +411,31 @@
     }
 
     /// The start of an upstream that this box knows or knew.
-    fn born(&self, name: &UpstreamName) -> Option<u64> {
-        let dropped = || self.dropped.get(name)?.born;
-        self.fleet.get(name).map_or_else(dropped, |known| known.born)
+    fn started_at_ms(&self, name: &UpstreamName) -> Option<u64> {
+        let dropped = || self.dropped.get(name)?.started_at_ms;
+        self.fleet.get(name).map_or_else(dropped, |known| known.started_at_ms)
     }
 
     /// Whether this is an earlier start of an upstream than the one that is known. By the clock of its machine: where
     /// that was set back before it started, it is believed once it says a later time or its entry was gone for as long
     /// as that is remembered.
-    fn is_older_start(&self, listed: &Listed) -> bool {
-        self.born(&listed.name).zip(listed.born).is_some_and(|(known, new)| new < known)
+    fn is_older_start(&self, listed: &UpstreamListing) -> bool {
+        self.started_at_ms(&listed.name)
+            .zip(listed.started_at_ms)
+            .is_some_and(|(known, new)| new < known)
     }
 
-    fn is_newer_start(&self, listed: &Listed) -> bool {
-        self.born(&listed.name).zip(listed.born).is_some_and(|(known, new)| known < new)
+    fn is_newer_start(&self, listed: &UpstreamListing) -> bool {
+        self.started_at_ms(&listed.name)
+            .zip(listed.started_at_ms)
+            .is_some_and(|(known, new)| known < new)
     }
 
     /// Forgets what was known of the start before: what it kept, what ran there, how it went.
-    fn restart(&mut self, listed: &Listed) {
+    fn restart(&mut self, listed: &UpstreamListing) {
         let Some(known) = self.fleet.get(&listed.name) else { return };
-        let (addr, born) = (known.addr, listed.born.unwrap_or_default());
-        self.changes.push(Change::Restarted(listed.name.clone(), addr, born));
+        let (addr, started_at_ms) = (known.addr, listed.started_at_ms.unwrap_or_default());
+        self.changes.push(Change::Restarted(listed.name.clone(), addr, started_at_ms));
         self.fleet.remove(&listed.name);
         self.fleet.end_backoff(&listed.name);
     }
@@ -453,7 +458,7 @@
     /// Whether this box knows that an upstream must get no requests: it leaves or is gone, or its zone
     /// is evacuated. Another box that was cut off may still believe in it.
     pub fn is_barred(&self, name: &UpstreamName) -> bool {
-        let is_closed = |l: &Listed| {
+        let is_closed = |l: &UpstreamListing| {
             let zone = &l.zone;
             l.leaving || self.evacuated.zones.contains(zone) || self.held_zones.contains_key(zone)
         };
@@ -472,7 +477,7 @@
         }
         if let Some(listed) = self.fleet.get(name).cloned() {
             // A newer incarnation may be listed by now.
-            if !self.draining.covers(name, listed.born, now) {
+            if !self.draining.covers(name, listed.started_at_ms, now) {
                 return false;
             }
             if listed.leaving {
@@ -487,8 +492,8 @@
     }
 
     /// Opens an upstream that drains later, if its listing turns out to be of a newer incarnation.
-    fn reopen_later(&mut self, listed: &Listed) {
-        if let Some(due) = self.draining.uncertain_until(&listed.name, listed.born) {
+    fn reopen_later(&mut self, listed: &UpstreamListing) {
+        if let Some(due) = self.draining.uncertain_until(&listed.name, listed.started_at_ms) {
             self.returned.insert(listed.name.clone(), (listed.clone(), due));
         }
     }
@@ -525,7 +530,7 @@
     }
 
     /// Another box, which sees the store, says that an upstream is new or has changed.
-    pub fn told_listed(&mut self, listed: Listed, now: Duration) {
+    pub fn told_listed(&mut self, listed: UpstreamListing, now: Duration) {
         let is_leaving = self.fleet.get(&listed.name).is_some_and(|known| known.leaving);
         let is_known = is_leaving || self.dropped.contains_key(&listed.name);
         if !self.reached && (!is_known || self.is_newer_start(&listed)) {
@@ -548,8 +553,8 @@
         }
         // Nothing differs from what was told one by one.
         let is_changes = snapshot.buckets.as_ref().is_some_and(BTreeSet::is_empty);
-        let is_same = is_changes && self.fleet.listed().next().is_some();
-        let is_useful = !snapshot.upstreams.is_empty() || is_same;
+        let eq_ignoring_cold_for = is_changes && self.fleet.listed().next().is_some();
+        let is_useful = !snapshot.upstreams.is_empty() || eq_ignoring_cold_for;
         // What it hasn't heard of yet isn't gone.
         if snapshot.revision < self.revision() {
             return;
@@ -621,10 +626,10 @@
         self.said_gone.retain(|name, said| {
             let is_kept = now < *said + SAID_GONE_KEPT;
             if !is_kept {
-                let born = fleet.get(name).and_then(|known| known.born);
+                let started_at_ms = fleet.get(name).and_then(|known| known.started_at_ms);
                 fleet.remove(name);
                 history.note(name, now);
-                dropped.insert(name.clone(), Dropped { at: now, born });
+                dropped.insert(name.clone(), Dropped { at: now, started_at_ms });
             }
             is_kept
         });
@@ -638,8 +643,8 @@
 
     /// Believes what a copy of the store said, once what was written since would have been written again.
     fn tick_restored(&mut self, now: Duration) {
-        let is_due = |(_, due): &&(Listed, Duration)| *due <= now;
-        let returned: Vec<Listed> =
+        let is_due = |(_, due): &&(UpstreamListing, Duration)| *due <= now;
+        let returned: Vec<UpstreamListing> =
             self.returned.values().filter(is_due).map(|(listed, _)| listed.clone()).collect();
         returned.into_iter().for_each(|listed| self.set(listed, now));
         let held = self.held_zones.iter().filter(|(_, until)| **until <= now);
@@ -655,8 +660,8 @@
     fn drop_upstream(&mut self, name: &UpstreamName, now: Duration) {
         self.missing.remove(name);
         self.history.note(name, now);
-        let born = self.fleet.get(name).and_then(|known| known.born);
-        self.dropped.insert(name.clone(), Dropped { at: now, born });
+        let started_at_ms = self.fleet.get(name).and_then(|known| known.started_at_ms);
+        self.dropped.insert(name.clone(), Dropped { at: now, started_at_ms });
         self.fleet.remove(name);
         self.changes.push(Change::Gone(name.clone()));
     }
@@ -667,7 +672,7 @@
         Some(self.table.as_ref()?.service(service)?.probe_path.clone())
     }
 
-    fn engine_limits(&self, listed: &Listed) -> Option<EngineLimits> {
+    fn engine_limits(&self, listed: &UpstreamListing) -> Option<EngineLimits> {
         self.table.as_ref()?.service(&listed.service)?.engine
     }
 }
--- a/src/proxy/warm.rs
+++ b/src/proxy/warm_up.rs
@@ -14,11 +14,11 @@
 use crate::names::UpstreamName;
 use crate::placement::fleet::learned::Kept;
 use crate::placement::fleet::learned::Learned;
-use crate::proxy::dialect::Engines;
-use crate::proxy::dialect::Listed;
+use crate::proxy::adapter::EngineClient;
+use crate::proxy::adapter::UpstreamListing;
+use crate::proxy::aligned_timer;
 use crate::proxy::hub::Hub;
 use crate::proxy::notices;
-use crate::proxy::pace;
 use crate::proxy::side;
 use crate::proxy::view::View;
 
@@ -35,7 +35,7 @@
 const GIVE_UP: Duration = Duration::from_secs(5);
 
 /// Learns of the engines, once.
-pub async fn up(hub: Arc<Hub>, engines: Arc<dyn Engines>) {
+pub async fn run_at_start(hub: Arc<Hub>, engines: Arc<dyn EngineClient>) {
     let began = Instant::now();
     while began.elapsed() < GIVE_UP && hub.peers().owners().is_none() {
         tokio::time::sleep(INTERVAL).await;
@@ -64,10 +64,10 @@
 }
 
 /// Learns of the engines of groups whose models this box comes to keep, until the process ends.
-pub async fn keep(hub: Arc<Hub>, engines: Arc<dyn Engines>) {
+pub async fn run_for_kept_groups(hub: Arc<Hub>, engines: Arc<dyn EngineClient>) {
     let mut known: BTreeSet<Group> = BTreeSet::new();
     loop {
-        pace::wait(SETTLE).await;
+        aligned_timer::wait_for_tick(SETTLE).await;
         let me = hub.peers().me();
         let kept: BTreeMap<Group, Owned> = hub.peers().owners().kept_by(me).collect();
         known.retain(|group| kept.contains_key(group));
@@ -81,7 +81,7 @@
 
 /// Learns of the engines of a group from whoever else keeps their models. Where nobody knows of them,
 /// the owner asks the engines.
-async fn learn(hub: Arc<Hub>, engines: Arc<dyn Engines>, group: Group, owned: Owned) {
+async fn learn(hub: Arc<Hub>, engines: Arc<dyn EngineClient>, group: Group, owned: Owned) {
     let me = hub.peers().me();
     let other = owned.keepers().find(|ip| *ip != me).and_then(|ip| hub.peers().addr_of(ip));
     if let Some(addr) = other {
@@ -100,9 +100,9 @@
     }
 }
 
-async fn from_engines(hub: &Hub, engines: &dyn Engines, group: Option<Group>) -> Vec<Kept> {
+async fn from_engines(hub: &Hub, engines: &dyn EngineClient, group: Option<Group>) -> Vec<Kept> {
     let known: Vec<(UpstreamName, _)> = hub.read(|view| {
-        let asked = |l: &Listed| (l.name.clone(), l.addr);
+        let asked = |l: &UpstreamListing| (l.name.clone(), l.addr);
         match group {
             Some(group) => view.fleet().engines_of(group).map(asked).collect(),
             None => view.fleet().engines().map(asked).collect(),
--- a/tests/fleet_cold.rs
+++ b/tests/fleet_cold.rs
@@ -17,9 +17,9 @@
 use frostdyke::placement::engine::Placement;
 use frostdyke::placement::fleet::Fleet;
 use frostdyke::placement::tuning::Tuning;
-use frostdyke::proxy::dialect::Listed;
-use frostdyke::proxy::dialect::Part;
-use frostdyke::proxy::dialect::Prompt;
+use frostdyke::proxy::adapter::Prompt;
+use frostdyke::proxy::adapter::PromptPart;
+use frostdyke::proxy::adapter::UpstreamListing;
 use frostdyke::proxy::table::EngineLimits;
 use rand::Rng;
 use rand::SeedableRng;
@@ -46,22 +46,22 @@
     UpstreamName::from("engine")
 }
 
-fn listed(cold_for: Option<Duration>) -> Listed {
-    Listed {
+fn listed(cold_for: Option<Duration>) -> UpstreamListing {
+    UpstreamListing {
         name: engine(),
         service: ServiceName::from("llm"),
         addr: ([127, 0, 0, 1], 80).into(),
         zone: ZoneName::from("a"),
         version: VersionName::from("v1"),
         slots: 32,
-        born: None,
+        started_at_ms: None,
         leaving: false,
         cold_for,
     }
 }
 
 fn prompt(n: u64) -> Prompt {
-    Prompt { tokens: 100, written_max: 10, parts: vec![Part { id: n, tokens: 100 }] }
+    Prompt { tokens: 100, output_tokens_max: 10, parts: vec![PromptPart { id: n, tokens: 100 }] }
 }
 
 /// A box that decides by a role of its own.
--- a/tests/fleet_evacuated.rs
+++ b/tests/fleet_evacuated.rs
@@ -17,9 +17,9 @@
 use frostdyke::placement::cold::Role;
 use frostdyke::placement::fleet::Fleet;
 use frostdyke::placement::tuning::Tuning;
-use frostdyke::proxy::dialect::Listed;
-use frostdyke::proxy::dialect::Part;
-use frostdyke::proxy::dialect::Prompt;
+use frostdyke::proxy::adapter::Prompt;
+use frostdyke::proxy::adapter::PromptPart;
+use frostdyke::proxy::adapter::UpstreamListing;
 use frostdyke::proxy::table::EngineLimits;
 use frostdyke::proxy::table::Limits;
 use frostdyke::proxy::table::Service;
@@ -120,14 +120,14 @@
     let services = [(ServiceName::from("llm"), service)].into();
     let table = Table::new(1, Vec::new(), services, None, Limits::default());
     view.configure(table.into(), Duration::ZERO);
-    let listed = |n: u8, name: &str| Listed {
+    let listed = |n: u8, name: &str| UpstreamListing {
         name: UpstreamName::from(&*format!("e{n}")),
         service: ServiceName::from("llm"),
         addr: ([127, 0, 0, n], 80).into(),
         zone: zone(name),
         version: VersionName::from("v1"),
         slots: 8,
-        born: None,
+        started_at_ms: None,
         leaving: false,
         cold_for: Some(Duration::ZERO),
     };
@@ -136,7 +136,11 @@
 }
 
 fn choose(view: &View, role: Role, now: Duration) -> Result<String, NoChoice> {
-    let prompt = Prompt { tokens: 100, written_max: 10, parts: vec![Part { id: 1, tokens: 100 }] };
+    let prompt = Prompt {
+        tokens: 100,
+        output_tokens_max: 10,
+        parts: vec![PromptPart { id: 1, tokens: 100 }],
+    };
     let wanted = Wanted { role, ..Wanted::any("llm", Some(&prompt), &[], Duration::MAX) };
     view.fleet().choose(wanted, now).map(|choice| choice.upstream.as_str().to_owned())
 }
--- a/tests/fleet_placement.rs
+++ b/tests/fleet_placement.rs
@@ -22,12 +22,12 @@
 use frostdyke::placement::fleet::Fleet;
 use frostdyke::placement::share::Shares;
 use frostdyke::placement::tuning::Tuning;
-use frostdyke::proxy::dialect::Listed;
-use frostdyke::proxy::dialect::Part;
-use frostdyke::proxy::dialect::Prompt;
-use frostdyke::proxy::message::Answer;
-use frostdyke::proxy::message::Ask;
+use frostdyke::proxy::adapter::Prompt;
+use frostdyke::proxy::adapter::PromptPart;
+use frostdyke::proxy::adapter::UpstreamListing;
 use frostdyke::proxy::message::Message;
+use frostdyke::proxy::message::PlacementRequest;
+use frostdyke::proxy::message::PlacementResponse;
 use frostdyke::proxy::table::EngineLimits;
 use rand::Rng;
 use rand::SeedableRng;
@@ -89,14 +89,14 @@
 fn fleet() -> Fleet {
     let mut fleet = Fleet::new(ZoneName::from("zone-0"), Tuning::default());
     for n in 0..ENGINES {
-        let listed = Listed {
+        let listed = UpstreamListing {
             name: name(n),
             service: ServiceName::from("llm"),
             addr: ([10, 9, (n / 256) as u8, (n % 256) as u8], 80).into(),
             zone: ZoneName::from(&*format!("zone-{}", n % 5)),
             version: VersionName::from("v1"),
             slots: 12,
-            born: None,
+            started_at_ms: None,
             leaving: false,
             cold_for: None,
         };
@@ -170,9 +170,11 @@
         outcome.asked += 1;
         let shared = rng.random_range(0..SHARED);
         let own = rng.random_range(200..5_000);
-        let parts =
-            vec![Part { id: shared, tokens: 9_000 }, Part { id: 1_000_000 + request, tokens: own }];
-        let prompt = Prompt { tokens: 9_000 + own, written_max: 120, parts };
+        let parts = vec![
+            PromptPart { id: shared, tokens: 9_000 },
+            PromptPart { id: 1_000_000 + request, tokens: own },
+        ];
+        let prompt = Prompt { tokens: 9_000 + own, output_tokens_max: 120, parts };
         let now = Duration::from_secs_f64(t);
         let mut group = None;
         let mut source = None;
@@ -206,7 +208,10 @@
                 outcome.tell(
                     owner,
                     1,
-                    &Message::Answer(Answer { request, result: result.clone() }),
+                    &Message::PlacementResponse(PlacementResponse {
+                        request,
+                        result: result.clone(),
+                    }),
                 );
                 // The standby hears of it, too.
                 outcome.tell(owner, 1, &ask);
@@ -267,7 +272,7 @@
 }
 
 fn ask(wish: &Wish<'_>, asker: &Candidate) -> Message {
-    Message::Ask(Ask {
+    Message::PlacementRequest(PlacementRequest {
         request: wish.request,
         group: wish.group.unwrap_or_default(),
         service: ServiceName::from(wish.service),
--- a/tests/fleet_size.rs
+++ b/tests/fleet_size.rs
@@ -19,9 +19,9 @@
 use frostdyke::placement::choice::Wanted;
 use frostdyke::placement::fleet::Fleet;
 use frostdyke::placement::tuning::Tuning;
-use frostdyke::proxy::dialect::Listed;
-use frostdyke::proxy::dialect::Part;
-use frostdyke::proxy::dialect::Prompt;
+use frostdyke::proxy::adapter::Prompt;
+use frostdyke::proxy::adapter::PromptPart;
+use frostdyke::proxy::adapter::UpstreamListing;
 use frostdyke::proxy::table::EngineLimits;
 
 const ZONES: usize = 5;
@@ -29,16 +29,16 @@
 const LIMITS: EngineLimits =
     EngineLimits { cold: None, slots: 16, memory_tokens: 460_000, copied_per_s: 1_000_000 };
 
-fn listed(n: usize) -> Listed {
+fn listed(n: usize) -> UpstreamListing {
     let port = 1000 + (n % 50_000) as u16;
-    Listed {
+    UpstreamListing {
         name: UpstreamName::from(&*format!("i-{n:08x}")),
         service: ServiceName::from("llm"),
         addr: SocketAddr::from(([10, 0, (n / 50_000) as u8, 1], port)),
         zone: ZoneName::from(&*format!("zone-{}", n % ZONES)),
         version: VersionName::from("v1"),
         slots: 16,
-        born: None,
+        started_at_ms: None,
         leaving: false,
         cold_for: None,
     }
@@ -51,8 +51,11 @@
 }
 
 fn prompt(n: u64) -> Prompt {
-    let parts = vec![Part { id: n * 7 + 1, tokens: 3_000 }, Part { id: n * 7 + 2, tokens: 500 }];
-    Prompt { tokens: 3_500, written_max: 100, parts }
+    let parts = vec![
+        PromptPart { id: n * 7 + 1, tokens: 3_000 },
+        PromptPart { id: n * 7 + 2, tokens: 500 },
+    ];
+    Prompt { tokens: 3_500, output_tokens_max: 100, parts }
 }
 
 fn boxes(count: usize) -> Vec<Candidate> {
@@ -94,8 +97,9 @@
     for engines in [1_000, 10_000, 20_000] {
         let fleet = fleet(engines);
         let owners = Owners::new(&boxes(engines / 10), engines);
-        let group =
-            |listed: &Listed| owners.group(frostdyke::placement::upstream::hash(&listed.name));
+        let group = |listed: &UpstreamListing| {
+            owners.group(frostdyke::placement::upstream::hash(&listed.name))
+        };
         let most = fleet.listed().map(|l| fleet.engines_of(group(l)).count()).max();
         assert!(most.is_some_and(|most| most <= 40), "{most:?} of {engines} in a group");
     }
@@ -143,7 +147,7 @@
     assert_eq!(one.digest(), other.digest());
     one.leave(&listed(3).name);
     assert_ne!(one.digest(), other.digest());
-    other.set(Listed { leaving: true, ..listed(3) }, Some(LIMITS));
+    other.set(UpstreamListing { leaving: true, ..listed(3) }, Some(LIMITS));
     assert_eq!(one.digest(), other.digest());
     assert_eq!((one.engine_count(), other.engine_count()), (100, 100));
     assert!(one.has_addr(&listed(3).addr));
--- a/tests/proxy_admit.rs
+++ b/tests/proxy_admit.rs
@@ -23,9 +23,9 @@
 use frostdyke::placement::share::Shares;
 use frostdyke::placement::share::Tokens;
 use frostdyke::placement::tuning::Tuning;
-use frostdyke::proxy::dialect::Listed;
-use frostdyke::proxy::dialect::Part;
-use frostdyke::proxy::dialect::Prompt;
+use frostdyke::proxy::adapter::Prompt;
+use frostdyke::proxy::adapter::PromptPart;
+use frostdyke::proxy::adapter::UpstreamListing;
 use frostdyke::proxy::table::EngineLimits;
 
 const LIMITS: EngineLimits =
@@ -46,21 +46,21 @@
     shares: Shares,
     requests: u64,
     /// What all prompts share from now on.
-    shared: Option<Part>,
+    shared: Option<PromptPart>,
 }
 
 impl Desk {
     fn new(engines: u8) -> Desk {
         let mut fleet = Fleet::new(ZoneName::from("a"), Tuning::default());
         for n in 1..=engines {
-            let listed = Listed {
+            let listed = UpstreamListing {
                 name: UpstreamName::from(&*format!("e{n}")),
                 service: ServiceName::from("llm"),
                 addr: ([127, 0, 0, n], 80).into(),
                 zone: ZoneName::from("a"),
                 version: VersionName::from("v1"),
                 slots: 64,
-                born: None,
+                started_at_ms: None,
                 leaving: false,
                 cold_for: None,
             };
@@ -76,10 +76,10 @@
         is_last: bool,
     ) -> Result<Choice, Denial> {
         self.requests += 1;
-        let own = Part { id: 1000 + self.requests, tokens: 3_000 };
-        let parts: Vec<Part> = self.shared.into_iter().chain([own]).collect();
+        let own = PromptPart { id: 1000 + self.requests, tokens: 3_000 };
+        let parts: Vec<PromptPart> = self.shared.into_iter().chain([own]).collect();
         let tokens = parts.iter().map(|p| p.tokens).sum();
-        let prompt = Prompt { tokens, written_max: 10, parts };
+        let prompt = Prompt { tokens, output_tokens_max: 10, parts };
         let wish = Wish {
             request: self.requests,
             service: "llm",
@@ -136,8 +136,8 @@
         desk.had(1, 2.0 - used.min(2.0));
         let first = desk.ask(2, None, true).expect("there is room");
         for request in 50_000..50_003 {
-            let own = Part { id: request, tokens: 3_000 };
-            let prompt = Prompt { tokens: 3_000, written_max: 10, parts: vec![own] };
+            let own = PromptPart { id: request, tokens: 3_000 };
+            let prompt = Prompt { tokens: 3_000, output_tokens_max: 10, parts: vec![own] };
             let placement = Placement {
                 request,
                 prompt: &prompt,
@@ -148,11 +148,11 @@
             };
             desk.fleet.place(&first.upstream, placement, NOW);
         }
-        desk.shared = Some(Part { id: 7, tokens: 20_000 });
+        desk.shared = Some(PromptPart { id: 7, tokens: 20_000 });
         desk.fleet.take_over(&Learned {
             kept: vec![Kept {
                 upstream: first.upstream.clone(),
-                parts: vec![Part { id: 7, tokens: 20_000 }],
+                parts: vec![PromptPart { id: 7, tokens: 20_000 }],
             }],
             ..Learned::default()
         });
--- a/tests/proxy_backoff.rs
+++ b/tests/proxy_backoff.rs
@@ -9,7 +9,7 @@
 use frostdyke::placement::backoff::Trial;
 use frostdyke::placement::fleet::Fleet;
 use frostdyke::placement::tuning::Tuning;
-use frostdyke::proxy::dialect::Listed;
+use frostdyke::proxy::adapter::UpstreamListing;
 
 const SLOTS: u32 = 8;
 
@@ -21,15 +21,15 @@
     UpstreamName::from(name)
 }
 
-fn upstream(upstream: &str) -> Listed {
-    Listed {
+fn upstream(upstream: &str) -> UpstreamListing {
+    UpstreamListing {
         name: name(upstream),
         service: ServiceName::from("s"),
         addr: ([127, 0, 0, 1], 80).into(),
         zone: ZoneName::from("z"),
         version: VersionName::from("v1"),
         slots: SLOTS,
-        born: None,
+        started_at_ms: None,
         leaving: false,
         cold_for: None,
     }
@@ -113,7 +113,7 @@
     let mut fleet = fleet();
     fleet.back_off(&name("a"), BACKOFF, MOMENT);
     let first = enter_all(&mut fleet, MOMENT + BACKOFF);
-    fleet.set(Listed { slots: 1, ..upstream("a") }, None);
+    fleet.set(UpstreamListing { slots: 1, ..upstream("a") }, None);
     assert!(fleet.trial_accepted(&name("a"), Some(first[0])));
     fleet.back_off(&name("a"), BACKOFF, 2 * BACKOFF);
     assert!(!fleet.trial_accepted(&name("a"), Some(first[0])));
@@ -131,7 +131,7 @@
     assert_eq!(fleet.resumes_in("s", MOMENT), None);
     fleet.back_off(&name("b"), 2 * BACKOFF, Duration::ZERO);
     assert_eq!(fleet.resumes_in("s", MOMENT), Some(BACKOFF - MOMENT));
-    fleet.set(Listed { leaving: true, ..upstream("a") }, None);
+    fleet.set(UpstreamListing { leaving: true, ..upstream("a") }, None);
     assert_eq!(fleet.resumes_in("s", MOMENT), Some(2 * BACKOFF - MOMENT));
     assert_eq!(fleet.resumes_in("another", MOMENT), None);
 }
--- a/tests/proxy_behind.rs
+++ b/tests/proxy_behind.rs
@@ -16,7 +16,7 @@
 use frostdyke::names::ZoneName;
 use frostdyke::placement::fleet::Fleet;
 use frostdyke::placement::tuning::Tuning;
-use frostdyke::proxy::dialect::Listed;
+use frostdyke::proxy::adapter::UpstreamListing;
 use frostdyke::proxy::view::Change;
 use frostdyke::proxy::view::Snapshot;
 use frostdyke::proxy::view::View;
@@ -69,15 +69,15 @@
     UpstreamName::from(&*format!("i-{n:010x}"))
 }
 
-fn listed(n: u64) -> Listed {
-    Listed {
+fn listed(n: u64) -> UpstreamListing {
+    UpstreamListing {
         name: name(n),
         service: ServiceName::from("s"),
         addr: ([127, 0, 0, 1], 80).into(),
         zone: ZoneName::from("a"),
         version: VersionName::from("v1"),
         slots: 1,
-        born: None,
+        started_at_ms: None,
         leaving: false,
         cold_for: None,
     }
--- a/tests/proxy_budget.rs
+++ b/tests/proxy_budget.rs
@@ -3,24 +3,25 @@
 use std::time::Duration;
 
 use frostdyke::names::ServiceName;
-use frostdyke::proxy::budget::Bounds;
-use frostdyke::proxy::budget::Budget;
+use frostdyke::proxy::retry_budget::RetryBounds;
+use frostdyke::proxy::retry_budget::RetryBudget;
 
-const BOUNDS: Bounds = Bounds { ratio: 0.2, slack: 50.0, window: Duration::from_secs(10) };
+const BOUNDS: RetryBounds =
+    RetryBounds { ratio: 0.2, slack: 50.0, window: Duration::from_secs(10) };
 
 fn millis(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-fn repeats(budget: &mut Budget, service: &ServiceName, boxes: usize, ms: u64) -> usize {
-    (0..1_000).take_while(|_| budget.repeat(service, boxes, millis(ms))).count()
+fn repeats(budget: &mut RetryBudget, service: &ServiceName, boxes: usize, ms: u64) -> usize {
+    (0..1_000).take_while(|_| budget.try_take(service, boxes, millis(ms))).count()
 }
 
 #[test]
 fn a_box_keeps_within_its_part_of_the_fleets_bound() {
     let service = ServiceName::from("s");
-    let mut budget = Budget::new(BOUNDS);
-    (0..100).for_each(|ms| budget.request(&service, millis(ms)));
+    let mut budget = RetryBudget::new(BOUNDS);
+    (0..100).for_each(|ms| budget.record_request(&service, millis(ms)));
     // Two fifths of 0.2 x 100 + 50 / 10.
     assert_eq!(repeats(&mut budget, &service, 10, 100), 10);
     assert_eq!(repeats(&mut budget, &service, 10, 5_000), 0);
@@ -29,7 +30,7 @@
 #[test]
 fn the_budget_comes_back_with_the_window() {
     let service = ServiceName::from("s");
-    let mut budget = Budget::new(BOUNDS);
+    let mut budget = RetryBudget::new(BOUNDS);
     assert_eq!(repeats(&mut budget, &service, 2, 0), 10);
     assert_eq!(repeats(&mut budget, &service, 2, 10_001), 10);
 }
@@ -39,8 +40,8 @@
     let service = ServiceName::from("s");
     let sum: usize = (0..10)
         .map(|_| {
-            let mut budget = Budget::new(BOUNDS);
-            (0..30).for_each(|ms| budget.request(&service, millis(ms)));
+            let mut budget = RetryBudget::new(BOUNDS);
+            (0..30).for_each(|ms| budget.record_request(&service, millis(ms)));
             repeats(&mut budget, &service, 10, 100)
         })
         .sum();
--- a/tests/proxy_draining.rs
+++ b/tests/proxy_draining.rs
@@ -10,7 +10,7 @@
 use frostdyke::names::ZoneName;
 use frostdyke::placement::fleet::Fleet;
 use frostdyke::placement::tuning::Tuning;
-use frostdyke::proxy::dialect::Listed;
+use frostdyke::proxy::adapter::UpstreamListing;
 use frostdyke::proxy::view::Snapshot;
 use frostdyke::proxy::view::View;
 
@@ -22,26 +22,26 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn upstream(name: &str, born: u64) -> Listed {
-    Listed {
+fn upstream(name: &str, born: u64) -> UpstreamListing {
+    UpstreamListing {
         name: UpstreamName::from(name),
         service: ServiceName::from("s"),
         addr: ([127, 0, 0, 1], 80).into(),
         zone: ZoneName::from("z"),
         version: VersionName::from("v1"),
         slots: 1,
-        born: Some(born),
+        started_at_ms: Some(born),
         leaving: false,
         cold_for: None,
     }
 }
 
-fn all() -> Vec<Listed> {
+fn all() -> Vec<UpstreamListing> {
     vec![upstream("a", BORN), upstream("b", BORN)]
 }
 
 fn notice(born: Option<u64>) -> Draining {
-    Draining { upstream: UpstreamName::from("a"), born, said_at: SAID_AT }
+    Draining { upstream: UpstreamName::from("a"), started_at_ms: born, said_at: SAID_AT }
 }
 
 /// A view that sees the store, and to which `a` has said that it drains.
@@ -146,7 +146,7 @@
 fn a_notice_that_the_store_lists_is_not_new() {
     let mut view = View::new(Fleet::new(ZoneName::from("z"), Tuning::default()));
     view.store_regained(Duration::ZERO);
-    view.list(vec![Listed { leaving: true, ..upstream("a", BORN) }], Duration::ZERO);
+    view.list(vec![UpstreamListing { leaving: true, ..upstream("a", BORN) }], Duration::ZERO);
     assert!(!view.drain(&notice(Some(BORN)), NOW));
     view.set(upstream("a", BORN), NOW + SECOND);
     assert!(!is_open(&view));
--- a/tests/proxy_placement.rs
+++ b/tests/proxy_placement.rs
@@ -13,9 +13,9 @@
 use frostdyke::placement::fleet::Fleet;
 use frostdyke::placement::tuning::Tuning;
 use frostdyke::placement::upstream::Health;
-use frostdyke::proxy::dialect::Listed;
-use frostdyke::proxy::dialect::Part;
-use frostdyke::proxy::dialect::Prompt;
+use frostdyke::proxy::adapter::Prompt;
+use frostdyke::proxy::adapter::PromptPart;
+use frostdyke::proxy::adapter::UpstreamListing;
 use frostdyke::proxy::table::EngineLimits;
 
 const LIMITS: EngineLimits =
@@ -25,15 +25,15 @@
     Duration::from_millis(ms)
 }
 
-fn listed(n: u8) -> Listed {
-    Listed {
+fn listed(n: u8) -> UpstreamListing {
+    UpstreamListing {
         name: UpstreamName::from(&*format!("e{n}")),
         service: ServiceName::from("llm"),
         addr: ([127, 0, 0, n], 80).into(),
         zone: ZoneName::from(if n < 3 { "a" } else { "b" }),
         version: VersionName::from("v1"),
         slots: 64,
-        born: None,
+        started_at_ms: None,
         leaving: false,
         cold_for: None,
     }
@@ -47,8 +47,9 @@
 
 /// A prompt with a shared part of 13,000 tokens and an own one of 3,000.
 fn prompt(shared: u64, own: u64) -> Prompt {
-    let parts = vec![Part { id: shared, tokens: 13_000 }, Part { id: own, tokens: 3_000 }];
-    Prompt { tokens: 16_000, written_max: 100, parts }
+    let parts =
+        vec![PromptPart { id: shared, tokens: 13_000 }, PromptPart { id: own, tokens: 3_000 }];
+    Prompt { tokens: 16_000, output_tokens_max: 100, parts }
 }
 
 fn choose(fleet: &Fleet, prompt: &Prompt, ms: u64) -> Result<Choice, NoChoice> {
@@ -117,7 +118,7 @@
     let (gone, alive) = (Some([10, 0, 0, 1].into()), Some([10, 0, 0, 2].into()));
     for request in 0..64 {
         let sender = if request < 40 { gone } else { alive };
-        let small = Prompt { tokens: 10, written_max: 1, parts: Vec::new() };
+        let small = Prompt { tokens: 10, output_tokens_max: 1, parts: Vec::new() };
         let placement =
             Placement { request, prompt: &small, unread: 10, copied: 0, sender, decided: None };
         fleet.place(&UpstreamName::from("e1"), placement, millis(0));
--- a/tests/proxy_plain.rs
+++ b/tests/proxy_plain.rs
@@ -24,7 +24,7 @@
 use frostdyke::placement::share::Shares;
 use frostdyke::placement::tuning::Tuning;
 use frostdyke::placement::upstream::Health;
-use frostdyke::proxy::dialect::Listed;
+use frostdyke::proxy::adapter::UpstreamListing;
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -110,14 +110,14 @@
 fn fleet(upstreams: usize) -> Fleet {
     let mut fleet = Fleet::new(ZoneName::from("a"), Tuning::default());
     for n in 0..upstreams {
-        let listed = Listed {
+        let listed = UpstreamListing {
             name: name(n),
             service: ServiceName::from("ledger"),
             addr: ([127, 0, 0, n as u8 + 1], 80).into(),
             zone: ZoneName::from(["a", "b", "c"][n % 3]),
             version: VersionName::from("v1"),
             slots: SLOTS,
-            born: None,
+            started_at_ms: None,
             leaving: false,
             cold_for: None,
         };
--- a/tests/proxy_speed.rs
+++ b/tests/proxy_speed.rs
@@ -12,9 +12,9 @@
 use frostdyke::placement::fleet::Fleet;
 use frostdyke::placement::speed::Speed;
 use frostdyke::placement::tuning::Tuning;
-use frostdyke::proxy::dialect::Listed;
-use frostdyke::proxy::dialect::Part;
-use frostdyke::proxy::dialect::Prompt;
+use frostdyke::proxy::adapter::Prompt;
+use frostdyke::proxy::adapter::PromptPart;
+use frostdyke::proxy::adapter::UpstreamListing;
 use frostdyke::proxy::table::EngineLimits;
 use rand::Rng;
 use rand::SeedableRng;
@@ -59,14 +59,14 @@
 impl Scene {
     fn new(seed: u64, tokens_per_ms: f64) -> Scene {
         let mut fleet = Fleet::new(ZoneName::from("a"), tuning(tokens_per_ms));
-        let listed = Listed {
+        let listed = UpstreamListing {
             name: UpstreamName::from("e1"),
             service: ServiceName::from("llm"),
             addr: ([127, 0, 0, 1], 80).into(),
             zone: ZoneName::from("a"),
             version: VersionName::from("v1"),
             slots: 64,
-            born: None,
+            started_at_ms: None,
             leaving: false,
             cold_for: None,
         };
@@ -102,8 +102,8 @@
     fn send(&mut self, truth: Truth, tokens: u32, late_one_in: u32) {
         let (request, now) = (self.next, Duration::from_secs_f64(self.now));
         self.next += 1;
-        let parts = vec![Part { id: request, tokens }];
-        let prompt = Prompt { tokens, written_max: 100, parts };
+        let parts = vec![PromptPart { id: request, tokens }];
+        let prompt = Prompt { tokens, output_tokens_max: 100, parts };
         let choice = self.choose(&prompt, now);
         let placement = Placement {
             request,
--- a/tests/proxy_turn_away.rs
+++ b/tests/proxy_turn_away.rs
@@ -6,8 +6,8 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-use frostdyke::proxy::answer;
-use frostdyke::proxy::answer::Refusal;
+use frostdyke::proxy::refusal;
+use frostdyke::proxy::refusal::Refusal;
 use frostdyke::proxy::turn_away::Turned;
 use tokio::time::Instant;
 
@@ -40,7 +40,7 @@
 }
 
 fn step(turned: &mut Turned) -> bool {
-    turned.step(&answer::prepared(Refusal::BoxBusy), &mut vec![0; BUF])
+    turned.step(&refusal::http1_bytes(Refusal::BoxBusy), &mut vec![0; BUF])
 }
 
 /// Takes steps until one says `goes_on` and the caller was told or not: what was written on one end of a connection may
@@ -57,7 +57,7 @@
 
 #[test]
 fn the_prepared_answer_says_not_run_and_when_to_come_back() {
-    let text = String::from_utf8(answer::prepared(Refusal::BoxBusy)).expect("text");
+    let text = String::from_utf8(refusal::http1_bytes(Refusal::BoxBusy)).expect("text");
     let (head, body) = text.split_once("\r\n\r\n").expect("a head");
     assert!(head.starts_with("HTTP/1.1 503 Service Unavailable\r\n"), "{head}");
     assert!(head.contains("\r\nretry-after: 0.0"), "{head}");
--- a/tests/proxy_view.rs
+++ b/tests/proxy_view.rs
@@ -11,7 +11,7 @@
 use frostdyke::names::ZoneName;
 use frostdyke::placement::fleet::Fleet;
 use frostdyke::placement::tuning::Tuning;
-use frostdyke::proxy::dialect::Listed;
+use frostdyke::proxy::adapter::UpstreamListing;
 use frostdyke::proxy::digests;
 use frostdyke::proxy::digests::Digests;
 use frostdyke::proxy::view::Change;
@@ -24,15 +24,15 @@
     Duration::from_millis(ms)
 }
 
-fn upstream(name: &str) -> Listed {
-    Listed {
+fn upstream(name: &str) -> UpstreamListing {
+    UpstreamListing {
         name: UpstreamName::from(name),
         service: ServiceName::from("s"),
         addr: ([127, 0, 0, 1], 80).into(),
         zone: ZoneName::from("a"),
         version: VersionName::from("v1"),
         slots: 1,
-        born: None,
+        started_at_ms: None,
         leaving: false,
         cold_for: None,
     }
@@ -57,7 +57,7 @@
 fn a_box_that_starts_tells_nobody_what_all_know() {
     let mut view = View::new(Fleet::new(ZoneName::from("a"), Tuning::default()));
     view.store_regained(millis(0));
-    let leaving = Listed { leaving: true, ..upstream("c") };
+    let leaving = UpstreamListing { leaving: true, ..upstream("c") };
     view.list(vec![upstream("a"), upstream("b"), leaving], millis(0));
     let changes = [Change::Leaving(UpstreamName::from("c")), Change::Listed(3)];
     assert_eq!(view.take_changes(), changes);
@@ -76,7 +76,7 @@
     box_.up_to(Revision::new(1, 5));
     box_.store_left_to_others();
     watcher.told_leaving(&UpstreamName::from("a"), now);
-    watcher.set(Listed { leaving: true, ..upstream("a") }, now);
+    watcher.set(UpstreamListing { leaving: true, ..upstream("a") }, now);
     watcher.up_to(Revision::new(1, 6));
     let changes = watcher.since(0, box_.revision(), now).expect("they are known");
     box_.take_over(changes, now);
@@ -101,7 +101,7 @@
     assert!(!is_open(&box_, "a"));
     late.store_lost();
     late.store_regained(now);
-    late.set(Listed { slots: 2, ..upstream("a") }, now);
+    late.set(UpstreamListing { slots: 2, ..upstream("a") }, now);
     late.gone(&UpstreamName::from("a"), now);
     late.up_to(Revision::new(1, 8));
     let told = late.since(0, box_.revision(), now).expect("it is known");
@@ -112,7 +112,7 @@
     box_.take_over(late.difference(version, &digests, now), now);
     assert!(!is_open(&box_, "a"), "nor by what differs");
     // One that lists it again doesn't bring it back either.
-    late.set(Listed { slots: 2, ..upstream("a") }, now);
+    late.set(UpstreamListing { slots: 2, ..upstream("a") }, now);
     late.up_to(Revision::new(1, 9));
     box_.take_over(late.since(0, box_.revision(), now).expect("it is known"), now);
     assert!(!is_open(&box_, "a"));
@@ -253,7 +253,7 @@
     let mut view = view();
     let cold_for = Some(millis(2_500));
     for n in 0..300 {
-        let listed = Listed { cold_for, ..upstream(&format!("i-{n:010x}")) };
+        let listed = UpstreamListing { cold_for, ..upstream(&format!("i-{n:010x}")) };
         view.set(listed, millis(1_000));
     }
     let snapshot = view.snapshot(millis(1_000));
@@ -295,11 +295,11 @@
 /// That an engine has turned cold again is missed by a box like anything else.
 #[test]
 fn digests_tell_which_engines_are_cold_and_nothing_of_those_that_leave() {
-    let digests = |all: &[Listed]| Digests::of(all.iter());
-    let cold = Listed { cold_for: Some(millis(3_000)), ..upstream("a") };
-    let leaving = Listed { leaving: true, ..upstream("c") };
+    let digests = |all: &[UpstreamListing]| Digests::of(all.iter());
+    let cold = UpstreamListing { cold_for: Some(millis(3_000)), ..upstream("a") };
+    let leaving = UpstreamListing { leaving: true, ..upstream("c") };
     // Of an engine that is warm a box tells that it is cold for no time.
-    let warm = Listed { cold_for: Some(Duration::ZERO), ..upstream("a") };
+    let warm = UpstreamListing { cold_for: Some(Duration::ZERO), ..upstream("a") };
     let warm = digests(&[warm, upstream("b")]);
     let differing = warm.differing(&digests(&[upstream("b"), cold.clone()]));
     assert_eq!(differing, BTreeSet::from([digests::bucket(&cold.name)]));
@@ -346,8 +346,8 @@
     }
 }
 
-fn born(name: &str, born: u64) -> Listed {
-    Listed { born: Some(born), ..upstream(name) }
+fn born(name: &str, born: u64) -> UpstreamListing {
+    UpstreamListing { started_at_ms: Some(born), ..upstream(name) }
 }
 
 /// The store has come back from a copy in which `b` isn't listed yet and `c`, which is gone, still is.
@@ -455,7 +455,7 @@
     let mut view = view();
     let name = UpstreamName::from("c");
     view.set(born("c", 100), millis(0));
-    view.set(Listed { leaving: true, ..born("c", 100) }, millis(10));
+    view.set(UpstreamListing { leaving: true, ..born("c", 100) }, millis(10));
     view.set(born("c", 100), millis(20));
     assert!(!is_open(&view, "c"), "no start returns from leaving");
     view.take_changes();
