--- a/src/proxy/adapter.rs
+++ b/src/proxy/adapter.rs
@@ -242,7 +242,10 @@
 /// Queries engines about their state.
 pub trait EngineClient: Send + Sync {
     /// The prompt parts that the engine at `addr` has cached, in no order.
-    fn kept(&self, addr: std::net::SocketAddr) -> BoxFuture<'static, EngineReply<Vec<PromptPart>>>;
+    fn cached_parts(
+        &self,
+        addr: std::net::SocketAddr,
+    ) -> BoxFuture<'static, EngineReply<Vec<PromptPart>>>;
 
     /// How long the capacity of the engine at `addr` is still reduced, as it reports at `probe_path`.
     fn cold_for(
--- a/src/proxy/engine_placement.rs
+++ b/src/proxy/engine_placement.rs
@@ -43,8 +43,8 @@
 /// have arrived.
 const STALL_THRESHOLD: Duration = Duration::from_millis(10);
 
-/// A box that did not respond isn't asked again for this long. Until the other boxes have detected
-/// that it is dead, this limits the cost to one delayed request per interval.
+/// A box that did not respond isn't asked again for this long, the time in which the other boxes detect
+/// that a box is dead. Finding out whether it responds again delays one request per interval.
 const UNRESPONSIVE_FOR: Duration = Duration::from_millis(1000);
 
 /// Groups of engines tried for one request: its own and one more, which makes twenty engines.
--- a/src/proxy/placed_request.rs
+++ b/src/proxy/placed_request.rs
@@ -68,7 +68,7 @@
     mark: Option<Mark>,
     /// When the first chunk of the response arrived.
     first_chunk_at: Mutex<Option<Duration>>,
-    /// The workspace that is charge, and the tokens.
+    /// The workspace that is charged, and the tokens.
     charge: Option<(WorkspaceName, u64)>,
     has_first_token: AtomicBool,
     health: Option<Health>,
--- a/src/proxy/refusal.rs
+++ b/src/proxy/refusal.rs
@@ -152,7 +152,7 @@
     let headers = resp.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
     if cause == Refusal::BoxBusy {
-        // A retry on a new connection may reach another box; keeping this one open has no use.
+        // Callers retry on a new connection, so this one would only stay idle.
         headers.insert(CONNECTION, HeaderValue::from_static("close"));
     }
     if let Some(after) = cause.retry_after() {
--- a/src/proxy/retry_budget.rs
+++ b/src/proxy/retry_budget.rs
@@ -17,7 +17,7 @@
     pub ratio: f64,
     /// Additional retries per window, over the whole fleet.
     pub slack: f64,
-    /// Period over which requests and retries are counts.
+    /// Period over which requests and retries are counted.
     pub window: Duration,
 }
 
--- a/src/proxy/warm_up.rs
+++ b/src/proxy/warm_up.rs
@@ -28,7 +28,8 @@
 /// Running boxes reply to the first heartbeat within this time: several round trips within a region.
 const HEARTBEAT_REPLIES_WITHIN: Duration = Duration::from_millis(120);
 
-/// Boxes that start together agree on the owners of engines within this time.
+/// Interval between checks for new groups. Boxes that start together agree on the owners of groups
+/// within this time.
 const OWNER_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
 /// After this, the box learns only from the requests that it sends.
@@ -59,7 +60,10 @@
     let addr = hub.peers().warm()?;
     side::ask_learned(addr, None)
         .await
-        .inspect_err(|e| debug!(hub.log(), "could not fetch engine state from box"; "addr" => %addr, "error" => %e))
+        .inspect_err(|e| {
+            debug!(hub.log(), "could not fetch engine state from box"; "addr" => %addr,
+                "error" => %e);
+        })
         .ok()
 }
 
@@ -93,7 +97,8 @@
             }
             Ok(_) => {}
             Err(e) => {
-                debug!(hub.log(), "could not fetch engine state from box"; "addr" => %addr, "error" => %e)
+                debug!(hub.log(), "could not fetch engine state from box"; "addr" => %addr,
+                    "error" => %e)
             }
         }
     }
@@ -112,7 +117,7 @@
         }
     });
     let queries = known.into_iter().map(|(upstream, addr)| {
-        let reply = engines.kept(addr);
+        let reply = engines.cached_parts(addr);
         async move {
             match notices::query(hub, &upstream, reply).await {
                 Ok(parts) => Some(Kept { upstream, parts }),
