--- a/src/proxy/adapter.rs
+++ b/src/proxy/adapter.rs
@@ -1,5 +1,6 @@
-//! Interfaces to the platform on which the proxy runs: the headers of callers and upstreams, calls to
-//! engines, and the store. An adapter implements the traits; the rest of the proxy uses typed values.
+//! Interfaces to the platform on which the proxy runs: the headers of callers and upstreams, calls
+//! to engines, and the store. An adapter implements the traits; the rest of the proxy uses typed
+//! values.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -153,8 +154,8 @@
     pub version: VersionName,
     /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// When it was started, in milliseconds since 1970 by its own clock, if known. Another instance of
-    /// the same name is another upstream: it has none of the requests that were sent before.
+    /// When it was started, in milliseconds since 1970 by its own clock, if known. Another instance
+    /// of the same name is another upstream: it has none of the requests that were sent before.
     #[serde(rename = "born")]
     pub started_at_ms: Option<u64>,
     /// Whether it is about to stop, and gets no new requests.
@@ -212,8 +213,8 @@
         /// Why it can't be parsed.
         fault: String,
     },
-    /// The era of the store in the updates that follow. A new era means that the store was restored from
-    /// an older copy: later writes are lost and will be made again.
+    /// The era of the store in the updates that follow. A new era means that the store was restored
+    /// from an older copy: later writes are lost and will be made again.
     StoreEra(u64),
     /// The store doesn't respond, or rejects calls.
     Unavailable(String),
@@ -247,7 +248,8 @@
         addr: std::net::SocketAddr,
     ) -> BoxFuture<'static, EngineReply<Vec<PromptPart>>>;
 
-    /// How long the capacity of the engine at `addr` is still reduced, as it reports at `probe_path`.
+    /// How long the capacity of the engine at `addr` is still reduced, as it reports at
+    /// `probe_path`.
     fn cold_for(
         &self,
         addr: std::net::SocketAddr,
@@ -266,8 +268,8 @@
     Rejected(String),
 }
 
-/// Stores reports of requests that may crash upstreams, which must outlive the boxes. Any box may write
-/// them. They may be lost when the store is restored from an older copy.
+/// Stores reports of requests that may crash upstreams, which must outlive the boxes. Any box may
+/// write them. They may be lost when the store is restored from an older copy.
 pub trait SuspectStore: Send + Sync {
     /// Saves a request that is held back. One that is already saved is left unchanged.
     fn save(&self, suspect: &Suspect) -> BoxFuture<'static, Result<(), StoreError>>;
@@ -281,9 +283,9 @@
 
 /// Reports the progress of rollouts where the operator reads it.
 pub trait RolloutReporter: Send + Sync {
-    /// Writes the state of the rollout of `target`, unless another one was ordered meanwhile or it has
-    /// already ended. An `outcome` of `None` means that it is in progress. Returns the outcome that the
-    /// store has then, if any.
+    /// Writes the state of the rollout of `target`, unless another one was ordered meanwhile or it
+    /// has already ended. An `outcome` of `None` means that it is in progress. Returns the outcome
+    /// that the store has then, if any.
     fn report(
         &self,
         service: &ServiceName,
--- a/src/proxy/admission.rs
+++ b/src/proxy/admission.rs
@@ -19,8 +19,8 @@
 use crate::web;
 use crate::web::BodyFault;
 
-/// Resolves the route, service and workspace of a request from its head. On failure, returns the id of
-/// the request too, as far as it could be read.
+/// Resolves the route, service and workspace of a request from its head. On failure, returns the id
+/// of the request too, as far as it could be read.
 pub fn admit(
     hub: &Arc<Hub>,
     parts: request::Parts,
--- a/src/proxy/engine_placement.rs
+++ b/src/proxy/engine_placement.rs
@@ -1,5 +1,5 @@
-//! Places requests for engines. The decision is made by the box that tracks the engines' state: this
-//! box, or the owner of a group of engines, which is asked by a datagram.
+//! Places requests for engines. The decision is made by the box that tracks the engines' state:
+//! this box, or the owner of a group of engines, which is asked by a datagram.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -35,16 +35,17 @@
 use crate::proxy::message::ShareUsage;
 use crate::proxy::notices;
 
-/// How long to wait for an owner's response: several round trips within a region, plus the pauses of
-/// a healthy box under load.
+/// How long to wait for an owner's response: several round trips within a region, plus the pauses
+/// of a healthy box under load.
 const OWNER_RESPONSE_TIMEOUT: Duration = Duration::from_millis(40);
 
 /// A timer that fires later than this shows that this process was stalled; the response may already
 /// have arrived.
 const STALL_THRESHOLD: Duration = Duration::from_millis(10);
 
-/// A box that did not respond isn't asked again for this long, the time in which the other boxes detect
-/// that a box is dead. Finding out whether it responds again delays one request per interval.
+/// A box that did not respond isn't asked again for this long, the time in which the other boxes
+/// detect that a box is dead. Finding out whether it responds again delays one request per
+/// interval.
 const UNRESPONSIVE_FOR: Duration = Duration::from_millis(1000);
 
 /// Groups of engines tried for one request: its own and one more, which makes twenty engines.
@@ -158,8 +159,8 @@
     last_denied.unwrap_or_else(|| place_without_owner(hub, Wish { group: None, ..wish }))
 }
 
-/// Places a request in a group of engines. If none of them has cached the shared part of the prompt,
-/// looks for an engine in another group to copy it from, and tries again.
+/// Places a request in a group of engines. If none of them has cached the shared part of the
+/// prompt, looks for an engine in another group to copy it from, and tries again.
 async fn place_with_copy_source(
     hub: &Arc<Hub>,
     wish: Wish<'_>,
@@ -314,7 +315,8 @@
     });
     if is_stale {
         let upstream = choice.upstream.as_str();
-        info!(hub.log(), "owner chose an upstream that must get no requests"; "ip" => %ip, "upstream" => upstream);
+        info!(hub.log(), "owner chose an upstream that must get no requests"; "ip" => %ip,
+            "upstream" => upstream);
     }
     is_stale
 }
@@ -371,8 +373,8 @@
     hub.peers().tell_now(from, &Message::PlacementResponse(PlacementResponse { request, result }));
 }
 
-/// Delivers an owner's response to the task that awaits it. If none does any more, the request isn't
-/// sent, so its placement is cancelled.
+/// Delivers an owner's response to the task that awaits it. If none does any more, the request
+/// isn't sent, so its placement is cancelled.
 pub fn handle_response(hub: &Hub, response: PlacementResponse, from: IpAddr) {
     let PlacementResponse { request, result } = response;
     let upstream = result.as_ref().ok().map(|choice| choice.upstream.clone());
@@ -385,8 +387,8 @@
     withdraw(hub, request, standby.chain([from]));
 }
 
-/// Sends a placement to the other one of a group's owner and standby. The workspace is left out: its
-/// usage is sent by [`report_share_usage`].
+/// Sends a placement to the other one of a group's owner and standby. The workspace is left out:
+/// its usage is sent by [`report_share_usage`].
 fn notify_other_owner(hub: &Hub, wish: &Wish<'_>, choice: &Choice, owned: Owned) {
     let message = placed_message(&Wish { workspace: None, ..*wish }, choice);
     hub.peers().tell_some(owned.keepers(), &message);
@@ -405,8 +407,8 @@
     }
 }
 
-/// Sends the usage of workspaces at this box to the other owners, until the process ends: shares are
-/// enforced over the whole fleet.
+/// Sends the usage of workspaces at this box to the other owners, until the process ends: shares
+/// are enforced over the whole fleet.
 pub async fn report_share_usage(hub: Arc<Hub>) {
     loop {
         aligned_timer::wait_for_tick(SHARE_REPORT_INTERVAL).await;
--- a/src/proxy/placed_request.rs
+++ b/src/proxy/placed_request.rs
@@ -154,8 +154,8 @@
         }
     }
 
-    /// Records the first token, here and at the boxes that track the upstream; `None` if this isn't the
-    /// first one, or the service is a plain one.
+    /// Records the first token, here and at the boxes that track the upstream; `None` if this isn't
+    /// the first one, or the service is a plain one.
     pub fn record_first_token(&self) -> Option<FirstTokenTiming> {
         if self.has_first_token.swap(true, Ordering::Relaxed) {
             return None;
--- a/src/proxy/plain_placement.rs
+++ b/src/proxy/plain_placement.rs
@@ -1,6 +1,6 @@
-//! Places requests for plain services. The decision is made by the box that counts the requests of all
-//! boxes at the service's upstreams: the owner of the service, or in a small fleet each box, from what
-//! all boxes broadcast.
+//! Places requests for plain services. The decision is made by the box that counts the requests of
+//! all boxes at the service's upstreams: the owner of the service, or in a small fleet each box,
+//! from what all boxes broadcast.
 
 use std::net::IpAddr;
 use std::sync::Arc;
--- a/src/proxy/reachability.rs
+++ b/src/proxy/reachability.rs
@@ -20,9 +20,9 @@
 /// Interval between checks for due probes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Marks an upstream as possibly unreachable, so that this box probes it. The other boxes are notified
-/// only if the probe fails: a lost response is weak evidence, and each of them would connect to the
-/// upstream.
+/// Marks an upstream as possibly unreachable, so that this box probes it. The other boxes are
+/// notified only if the probe fails: a lost response is weak evidence, and each of them would
+/// connect to the upstream.
 pub fn mark_unreachable(hub: &Hub, upstream: &UpstreamName) {
     let now = hub.now();
     if hub.fleet(|fleet| fleet.doubt(upstream, true, now)) {
@@ -73,8 +73,8 @@
     }
 }
 
-/// An engine that was unreachable may have restarted. The boxes that track it query how long it stays
-/// cold. If it doesn't say, it is treated as one that has just started.
+/// An engine that was unreachable may have restarted. The boxes that track it query how long it
+/// stays cold. If it doesn't say, it is treated as one that has just started.
 async fn update_cold_time(hub: &Hub, name: &UpstreamName, addr: SocketAddr) {
     if !hub.read(|view| view.fleet().may_be_cold(name))
         || !engine_placement::tracks_engine(hub, name)
--- a/src/proxy/refusal.rs
+++ b/src/proxy/refusal.rs
@@ -14,8 +14,8 @@
 use crate::proxy::stream;
 use crate::proxy::stream::Body;
 
-/// Why the proxy itself responds to a request. A text with "not run" is sent only if no upstream has
-/// run the request or ever will.
+/// Why the proxy itself responds to a request. A text with "not run" is sent only if no upstream
+/// has run the request or ever will.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
     /// The request's head is malformed.
@@ -54,7 +54,8 @@
         /// When a retry is worthwhile.
         retry_after: Duration,
     },
-    /// Upstreams crashed each time they ran this request, so it isn't sent again. Not run this time.
+    /// Upstreams crashed each time they ran this request, so it isn't sent again. Not run this
+    /// time.
     #[error(
         "upstreams end when they run this request; not run this time, nor before the time to come back; change it"
     )]
@@ -123,7 +124,8 @@
 /// A box has its configuration about this long after its start.
 const NOT_CONFIGURED_RETRY: Duration = Duration::from_millis(300);
 
-/// Other boxes can serve the request at once, and the caller's next connection is likely to reach one.
+/// Other boxes can serve the request at once, and the caller's next connection is likely to reach
+/// one.
 const OTHER_BOX_RETRY: Duration = Duration::from_millis(50);
 
 /// The response for a refusal in HTTP/1.1 wire format.
--- a/src/proxy/warm_up.rs
+++ b/src/proxy/warm_up.rs
@@ -25,7 +25,8 @@
 /// Interval between checks for a box that has the state.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Running boxes reply to the first heartbeat within this time: several round trips within a region.
+/// Running boxes reply to the first heartbeat within this time: several round trips within a
+/// region.
 const HEARTBEAT_REPLIES_WITHIN: Duration = Duration::from_millis(120);
 
 /// Interval between checks for new groups. Boxes that start together agree on the owners of groups
@@ -84,8 +85,8 @@
     }
 }
 
-/// Loads the state of a group's engines from the other one of owner and standby. If that one has none,
-/// the owner queries the engines.
+/// Loads the state of a group's engines from the other one of owner and standby. If that one has
+/// none, the owner queries the engines.
 async fn learn_group(hub: Arc<Hub>, engines: Arc<dyn EngineClient>, group: Group, owned: Owned) {
     let me = hub.peers().me();
     let other = owned.keepers().find(|ip| *ip != me).and_then(|ip| hub.peers().addr_of(ip));
