--- a/src/placement/registry/reachability.rs
+++ b/src/placement/registry/reachability.rs
@@ -5,7 +5,7 @@
 use crate::names::UpstreamName;
 use crate::placement::registry::UpstreamRegistry;
 use crate::placement::upstream::Upstream;
-use crate::proxy::dialect::Listed;
+use crate::proxy::adapter::UpstreamListing;
 
 impl UpstreamRegistry {
     /// Notes that an upstream may not be reachable, by what this box saw itself or was told. True
@@ -40,7 +40,7 @@
 
     /// Upstreams that it is time to connect to, to see whether they can be reached. Each is given
     /// once until [`Fleet::not_reached`] is called for it, or for the longest pause.
-    pub fn take_due_probes(&mut self, now: Duration) -> Vec<Listed> {
+    pub fn take_due_probes(&mut self, now: Duration) -> Vec<UpstreamListing> {
         let upstreams = &mut self.upstreams;
         let due = self.unverified.iter().filter_map(|name| {
             let upstream = upstreams.get_mut(name)?;
--- a/src/placement/registry/selection.rs
+++ b/src/placement/registry/selection.rs
@@ -5,15 +5,15 @@
 use crate::fleet::owners::EngineGroup;
 use crate::fleet::rollout::VersionFilter;
 use crate::placement::choice::Choice;
-use crate::placement::choice::ChoiceError;
-use crate::placement::choice::CopySource;
 use crate::placement::choice::SelectionCriteria;
+use crate::placement::choice::CopySource;
+use crate::placement::choice::ChoiceError;
 use crate::placement::registry::UpstreamRegistry;
 use crate::placement::speed::Work;
 use crate::placement::upstream::Context;
 use crate::placement::upstream::Plan;
 use crate::placement::upstream::Upstream;
-use crate::proxy::dialect::Prompt;
+use crate::proxy::adapter::Prompt;
 use crate::util::mix;
 
 /// Preferences for the engines to which a prompt's shared parts belong by their hash, the first one
--- a/src/proxy/connection_rejecter.rs
+++ b/src/proxy/connection_rejecter.rs
@@ -15,8 +15,8 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use crate::proxy::answer;
-use crate::proxy::answer::Refusal;
+use crate::proxy::refusal;
+use crate::proxy::refusal::Refusal;
 use crate::proxy::hub::Hub;
 
 /// Connections that may wait for their requests; what comes beyond them is closed unread. A box of
@@ -62,7 +62,7 @@
 }
 
 async fn run(hub: Arc<Hub>, mut rx: mpsc::Receiver<TcpStream>) {
-    let prepared = answer::prepared(Refusal::BoxBusy);
+    let prepared = refusal::http1_bytes(Refusal::BoxBusy);
     let mut buf = vec![0; BUF];
     let mut waiting: Vec<RejectedConnection> = Vec::new();
     loop {
--- a/src/proxy/gossip.rs
+++ b/src/proxy/gossip.rs
@@ -11,20 +11,20 @@
 use slog::info;
 use tokio::time::Instant;
 
-use crate::fleet::members::HEARTBEAT_INTERVAL;
-use crate::fleet::members::HeartbeatMessage;
 use crate::fleet::members::HeartbeatOutcome;
+use crate::fleet::members::HeartbeatMessage;
+use crate::fleet::members::HEARTBEAT_INTERVAL;
 use crate::fleet::sync_state::SyncState;
-use crate::proxy::asking;
-use crate::proxy::box_api;
+use crate::proxy::plain_placement;
 use crate::proxy::hub::Hub;
+use crate::proxy::state_updates;
 use crate::proxy::message::Message;
-use crate::proxy::pace;
-use crate::proxy::peers::DATAGRAM_MAX_BYTES;
+use crate::proxy::engine_placement;
 use crate::proxy::peers::OwnState;
-use crate::proxy::plain;
+use crate::proxy::peers::DATAGRAM_MAX_BYTES;
+use crate::proxy::aligned_timer;
 use crate::proxy::rollouts;
-use crate::proxy::state_updates;
+use crate::proxy::box_api;
 use crate::proxy::view::View;
 
 /// Datagrams taken in before others get their turn.
@@ -89,8 +89,12 @@
         buf = rest;
         match message {
             Message::Heartbeat(beat) => hear(hub, &beat),
-            Message::PlacementRequest(ask) => asking::answer(hub, &ask, from.ip()),
-            Message::PlainPlacementRequest(ask) => plain::answer(hub, &ask, from.ip()),
+            Message::PlacementRequest(ask) => {
+                engine_placement::handle_request(hub, &ask, from.ip())
+            }
+            Message::PlainPlacementRequest(ask) => {
+                plain_placement::handle_request(hub, &ask, from.ip())
+            }
             message => state_updates::apply_message(hub, message, from.ip()),
         }
     }
@@ -156,8 +160,7 @@
         }
         peers.send_heartbeats(state(&hub));
         // Whichever comes first.
-        let _ = tokio::time::timeout_at(
-            pace::next(HEARTBEAT_INTERVAL),
+        let _ = tokio::time::timeout_at(aligned_timer::next_tick(HEARTBEAT_INTERVAL),
             peers.heartbeat_requested.notified(),
         )
         .await;
@@ -171,7 +174,7 @@
     let mut asked_at = None;
     loop {
         // Whichever comes first. Many boxes hear of a configuration at once; they don't ask at once.
-        let due = pace::next(ASK_AFTER);
+        let due = aligned_timer::next_tick(ASK_AFTER);
         if tokio::time::timeout_at(due, hub.peers().newer_configuration.notified()).await.is_ok() {
             let part = rand::rng().random_range(0.0..1.0);
             tokio::time::sleep(ASK_SPREAD.mul_f64(part)).await;
--- a/src/proxy/hub.rs
+++ b/src/proxy/hub.rs
@@ -20,29 +20,29 @@
 use crate::placement::admit::Denial;
 use crate::placement::admit::PlacementQuery;
 use crate::placement::choice::Choice;
-use crate::placement::choice::ChoiceError;
 use crate::placement::choice::SelectionCriteria;
-use crate::placement::plain;
+use crate::placement::choice::ChoiceError;
 use crate::placement::registry::UpstreamRegistry;
 use crate::placement::registry::learned::LearnedReport;
+use crate::placement::plain;
 use crate::placement::share::Shares;
-use crate::proxy::asking::Asking;
-use crate::proxy::budget::Budget;
+use crate::proxy::retry_budget::RetryBudget;
+use crate::proxy::placed_request::CountGuard;
 use crate::proxy::capacity;
-use crate::proxy::dialect::Dialect;
-use crate::proxy::dialect::Engines;
+use crate::proxy::engine_placement::OwnerRequests;
+use crate::proxy::adapter::HeaderAdapter;
+use crate::proxy::upstream_connections::UpstreamConnections;
+use crate::proxy::upstream_connections::QuotaInputs;
+use crate::proxy::upstream_connections::ConnectionQuota;
+use crate::proxy::routing_table::RoutingTable;
 use crate::proxy::message::Message;
 use crate::proxy::peers::Peers;
-use crate::proxy::placed::InFlight;
-use crate::proxy::proxy_metrics::ProxyMetrics;
+use crate::proxy::adapter::EngineClient;
 use crate::proxy::rollouts::RolloutState;
-use crate::proxy::routing_table::RoutingTable;
 use crate::proxy::settings::Settings;
 use crate::proxy::suspects;
 use crate::proxy::suspects::Suspects;
-use crate::proxy::upstream_connections::ConnectionQuota;
-use crate::proxy::upstream_connections::QuotaInputs;
-use crate::proxy::upstream_connections::UpstreamConnections;
+use crate::proxy::proxy_metrics::ProxyMetrics;
 use crate::proxy::view::Change;
 use crate::proxy::view::Snapshot;
 use crate::proxy::view::View;
@@ -51,14 +51,14 @@
 pub struct Hub {
     inner: Mutex<Inner>,
     clock: Arc<Clock>,
-    dialect: Arc<dyn Dialect>,
-    engines: Arc<dyn Engines>,
+    dialect: Arc<dyn HeaderAdapter>,
+    engines: Arc<dyn EngineClient>,
     upstream_connections: Arc<UpstreamConnections>,
     peers: Peers,
     metrics: ProxyMetrics,
     log: Logger,
     in_flight: Arc<AtomicUsize>,
-    asking: Asking,
+    owner_requests: OwnerRequests,
     suspects: Suspects,
     rollouts: RolloutState,
     look: Notify,
@@ -75,7 +75,7 @@
 
 struct Inner {
     view: View,
-    budget: Budget,
+    budget: RetryBudget,
     shares: Shares,
     /// Of plain services, in requests.
     plain_shares: Shares,
@@ -86,8 +86,8 @@
     pub fn new(
         cfg: &Settings,
         clock: Arc<Clock>,
-        dialect: Arc<dyn Dialect>,
-        engines: Arc<dyn Engines>,
+        dialect: Arc<dyn HeaderAdapter>,
+        engines: Arc<dyn EngineClient>,
         peers: Peers,
         metrics: ProxyMetrics,
         log: Logger,
@@ -95,7 +95,7 @@
         let fleet = UpstreamRegistry::new(cfg.identity.zone.clone(), cfg.tuning);
         let inner = Inner {
             view: View::new(fleet),
-            budget: Budget::new(cfg.repeats),
+            budget: RetryBudget::new(cfg.repeats),
             shares: Shares::new(cfg.share_window),
             plain_shares: Shares::new(cfg.share_window),
         };
@@ -109,7 +109,7 @@
             metrics,
             log,
             in_flight: Arc::default(),
-            asking: Asking::default(),
+            owner_requests: OwnerRequests::default(),
             suspects: Suspects::default(),
             rollouts: RolloutState::new(cfg.exposure),
             look: Notify::new(),
@@ -128,18 +128,18 @@
     }
 
     /// How callers and upstreams speak.
-    pub fn dialect(&self) -> &dyn Dialect {
+    pub fn dialect(&self) -> &dyn HeaderAdapter {
         &*self.dialect
     }
 
     /// Calls to engines beside requests.
-    pub fn engines(&self) -> &dyn Engines {
+    pub fn engines(&self) -> &dyn EngineClient {
         &*self.engines
     }
 
     /// Counts a request until the guard is dropped.
-    pub fn track_request(&self) -> InFlight {
-        InFlight::new(self.in_flight.clone())
+    pub fn track_request(&self) -> CountGuard {
+        CountGuard::new(self.in_flight.clone())
     }
 
     /// Requests that are served now.
@@ -189,8 +189,8 @@
 
     /// Counts a stream until the guard is dropped, unless there are as many as this box can pass
     /// on.
-    pub fn try_track_stream(&self) -> Option<InFlight> {
-        (self.streams() < self.streams_max()).then(|| InFlight::new(self.streams.clone()))
+    pub fn try_track_stream(&self) -> Option<CountGuard> {
+        (self.streams() < self.streams_max()).then(|| CountGuard::new(self.streams.clone()))
     }
 
     /// Whether this box has as many streams as it can pass on, or has turned callers away lately; new
@@ -205,8 +205,8 @@
     }
 
     /// Counts a request until the guard is dropped, when it has been sent.
-    pub fn track_unsent(&self) -> InFlight {
-        InFlight::new(self.starts.clone())
+    pub fn track_unsent(&self) -> CountGuard {
+        CountGuard::new(self.starts.clone())
     }
 
     /// Requests that have come and not been sent yet.
@@ -225,8 +225,8 @@
     }
 
     /// Counts a caller's connection until the guard is dropped.
-    pub fn track_connection(&self) -> InFlight {
-        InFlight::new(self.connections.clone())
+    pub fn track_connection(&self) -> CountGuard {
+        CountGuard::new(self.connections.clone())
     }
 
     /// Callers' connections that are open.
@@ -347,8 +347,8 @@
     }
 
     /// What has been asked of other boxes.
-    pub fn asking(&self) -> &Asking {
-        &self.asking
+    pub fn owner_requests(&self) -> &OwnerRequests {
+        &self.owner_requests
     }
 
     /// Requests that may end upstreams.
@@ -369,14 +369,14 @@
     /// Counts a caller's request for the budget of repeats.
     pub fn count_request(&self, service: &ServiceName) {
         let now = self.now();
-        self.inner.lock().expect("no panic under lock").budget.request(service, now);
+        self.inner.lock().expect("no panic under lock").budget.record_request(service, now);
     }
 
     /// Takes a repeat out of the budget; false when it is used up.
     pub fn try_take_retry(&self, service: &ServiceName) -> bool {
         let (now, boxes) = (self.now(), self.peers.live_count() + 1);
         let mut inner = self.inner.lock().expect("no panic under lock");
-        let allowed = inner.budget.repeat(service, boxes, now);
+        let allowed = inner.budget.try_take(service, boxes, now);
         drop(inner);
         self.metrics.repeat(allowed);
         allowed
@@ -447,10 +447,10 @@
                 self.metrics.store_restored();
                 self.suspects.persist_again();
             }
-            Change::Restarted(name, addr, born) => {
-                let cut = self.upstream_connections.close_before_restart(*addr, *born);
+            Change::Restarted(name, addr, started_at_ms) => {
+                let cut = self.upstream_connections.close_before_restart(*addr, *started_at_ms);
                 info!(self.log, "upstream restarted"; "name" => name.as_str(), "addr" => %addr,
-                    "born" => born, "connections_cut" => cut);
+                    "born" => started_at_ms, "connections_cut" => cut);
                 self.metrics.upstream_restarted();
                 suspects::restarted(self, name);
             }
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -21,17 +21,17 @@
 use tokio::sync::Semaphore;
 use tokio::sync::watch;
 
-use crate::proxy::ShutdownPhase;
-use crate::proxy::answer;
-use crate::proxy::answer::Refusal;
-use crate::proxy::connection_limiter::AdmittedConnection;
-use crate::proxy::connection_limiter::ConnectionLimiter;
-use crate::proxy::connection_rejecter::ConnectionRejecter;
+use crate::proxy::upstream_connections;
+use crate::proxy::refusal;
+use crate::proxy::refusal::Refusal;
+use crate::proxy::routing_table::Limits;
+use crate::proxy::response_body::Body;
 use crate::proxy::hub::Hub;
+use crate::proxy::ShutdownPhase;
 use crate::proxy::request;
-use crate::proxy::response_body::Body;
-use crate::proxy::routing_table::Limits;
-use crate::proxy::upstream_connections;
+use crate::proxy::connection_rejecter::ConnectionRejecter;
+use crate::proxy::connection_limiter::ConnectionLimiter;
+use crate::proxy::connection_limiter::AdmittedConnection;
 
 /// Pause after a failure to accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
@@ -163,7 +163,7 @@
 ) -> Result<Response<Body>, Infallible> {
     let stop = *stopping.borrow();
     let mut resp = match stop {
-        ShutdownPhase::Refusing => answer::refusal(Refusal::Stopping),
+        ShutdownPhase::Refusing => refusal::response(Refusal::Stopping),
         ShutdownPhase::Running | ShutdownPhase::Closing => request::serve(hub.clone(), req).await,
     };
     // The caller's next connection leads to another box.
--- a/src/proxy/message.rs
+++ b/src/proxy/message.rs
@@ -22,10 +22,11 @@
 use crate::placement::choice::Choice;
 use crate::placement::choice::CopySource;
 use crate::placement::share::TokenCounts;
-use crate::proxy::dialect::Listed;
-use crate::proxy::dialect::Part;
-use crate::proxy::dialect::Prompt;
+use crate::proxy::plain_placement::PlainPlacementRequest;
+use crate::proxy::adapter::UpstreamListing;
+use crate::proxy::adapter::Prompt;
 use crate::proxy::plain::PlainPlacementRequest;
+use crate::proxy::adapter::PromptPart;
 
 /// What boxes tell each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -92,7 +93,7 @@
     /// What workspaces used at the sender.
     ShareUsage(Vec<ShareUsage>),
     /// The store says that an upstream is new or has changed.
-    Listed(Listed),
+    Listed(UpstreamListing),
     /// The store says that an upstream leaves.
     Leaving {
         /// The upstream.
@@ -190,20 +191,20 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptMessage {
     tokens: u32,
-    written_max: u32,
-    parts: Vec<Part>,
+    output_tokens_max: u32,
+    parts: Vec<PromptPart>,
 }
 
 impl From<&Prompt> for PromptMessage {
     fn from(prompt: &Prompt) -> PromptMessage {
-        let Prompt { tokens, written_max, ref parts } = *prompt;
-        PromptMessage { tokens, written_max, parts: parts.clone() }
+        let Prompt { tokens, output_tokens_max, ref parts } = *prompt;
+        PromptMessage { tokens, output_tokens_max, parts: parts.clone() }
     }
 }
 
 impl From<&PromptMessage> for Prompt {
     fn from(told: &PromptMessage) -> Prompt {
-        let PromptMessage { tokens, written_max, ref parts } = *told;
-        Prompt { tokens, written_max, parts: parts.clone() }
+        let PromptMessage { tokens, output_tokens_max, ref parts } = *told;
+        Prompt { tokens, output_tokens_max, parts: parts.clone() }
     }
 }
--- a/src/proxy/stream_relay.rs
+++ b/src/proxy/stream_relay.rs
@@ -20,15 +20,15 @@
 use slog::info;
 use tokio::time::Sleep;
 
-use crate::proxy::placed::Placed;
+use crate::proxy::upstream_connections;
+use crate::proxy::upstream_connections::UpstreamBody;
+use crate::proxy::placed_request::PlacedRequest;
 use crate::proxy::request;
-use crate::proxy::request::RequestContext;
 use crate::proxy::request::UpstreamResponse;
+use crate::proxy::request::RequestContext;
 use crate::proxy::response_body::Body;
-use crate::proxy::response_body::EventSplitter;
 use crate::proxy::routing_table::Repeat;
-use crate::proxy::upstream_connections;
-use crate::proxy::upstream_connections::UpstreamBody;
+use crate::proxy::response_body::EventSplitter;
 use crate::util;
 
 /// Why a stream ended.
@@ -59,7 +59,7 @@
 struct Source {
     body: UpstreamBody,
     headers: HeaderMap,
-    placed: Placed,
+    placed: PlacedRequest,
 }
 
 /// Where the next piece comes from.
@@ -95,7 +95,7 @@
 /// Answers with the stream that begins with `reply`.
 pub fn start(run: RequestContext, reply: UpstreamResponse) -> Response<Body> {
     let status = reply.resp.status();
-    let headers = run.hub.dialect().incoming(reply.resp.headers());
+    let headers = run.hub.dialect().caller_headers(reply.resp.headers());
     let pump = StreamRelay {
         timed_out: run.hub.clock().clone().sleep_until(run.deadline).boxed(),
         run: Some(Box::new(run)),
@@ -216,7 +216,7 @@
         }
         self.begun = true;
         self.pieces += 1;
-        if let Some(first) = source.placed.first() {
+        if let Some(first) = source.placed.record_first_token() {
             run.first_token.get_or_insert(first);
         }
         if run.route.repeat != Repeat::AfterEvent {
@@ -230,7 +230,7 @@
         if let State::Passing(source) = std::mem::replace(&mut self.state, State::Ended) {
             let Source { body, headers, placed } = *source;
             body.keep(&headers);
-            placed.paced(self.pieces);
+            placed.record_pace(self.pieces);
             placed.close(None);
             self.run.iter().for_each(|run| run.record_success());
         }
--- a/src/proxy/suspects.rs
+++ b/src/proxy/suspects.rs
@@ -25,12 +25,12 @@
 use crate::fleet::quarantine::SuspectReport;
 use crate::fleet::quarantine::Verdict;
 use crate::names::UpstreamName;
-use crate::proxy::box_api;
-use crate::proxy::dialect::NotKept;
-use crate::proxy::dialect::Records;
+use crate::proxy::adapter::SuspectStore;
+use crate::proxy::adapter::StoreError;
 use crate::proxy::hub::Hub;
 use crate::proxy::message::Message;
-use crate::proxy::pace;
+use crate::proxy::aligned_timer;
+use crate::proxy::box_api;
 
 /// How long a request that broke off waits for a word on its upstream: three heartbeats in which an entry lapses, and
 /// some time to hear of it.
@@ -70,8 +70,8 @@
 const LOOK_EVERY: Duration = Duration::from_millis(500);
 
 /// A start of an upstream as all boxes name it.
-pub fn instance_id(name: &UpstreamName, born: Option<u64>) -> u64 {
-    xxh3_64_with_seed(name.as_bytes(), born.unwrap_or_default())
+pub fn instance_id(name: &UpstreamName, started_at_ms: Option<u64>) -> u64 {
+    xxh3_64_with_seed(name.as_bytes(), started_at_ms.unwrap_or_default())
 }
 
 /// A break that waits for a word on its upstream.
@@ -333,7 +333,7 @@
 /// off, or have started since.
 pub async fn catch_up(hub: Arc<Hub>) {
     loop {
-        pace::wait(LOOK_EVERY).await;
+        aligned_timer::wait_for_tick(LOOK_EVERY).await;
         let own = hub.suspects().read(|quarantine| quarantine.held_digest(hub.now()));
         let Some(addr) = hub.peers().box_with_other_held(own) else { continue };
         match box_api::fetch_held(addr).await {
@@ -345,7 +345,7 @@
 
 /// Keeps in the store what this box holds back by its own sight, until the process ends: all boxes may lose their memory
 /// at once.
-pub async fn persist(hub: Arc<Hub>, records: Arc<dyn Records>) {
+pub async fn persist(hub: Arc<Hub>, records: Arc<dyn SuspectStore>) {
     let mut pause = KEEP_AGAIN;
     loop {
         let Some(fingerprint) = hub.suspects().with(|inner| inner.unkept.front().copied()) else {
@@ -354,13 +354,13 @@
         };
         let told = hub.suspects().read(|quarantine| quarantine.report(&fingerprint, hub.now()));
         let kept = match &told {
-            Some(suspect) => records.keep(suspect).await,
+            Some(suspect) => records.save(suspect).await,
             // Nothing is held against it any more.
             None => Ok(()),
         };
         if let Err(e) = kept {
             info!(hub.log(), "request not kept"; "content" => %fingerprint, "error" => %e);
-            if let NotKept::Away(_) = e {
+            if let StoreError::Unavailable(_) = e {
                 tokio::time::sleep(pause).await;
                 pause = (pause * 2).min(KEEP_AGAIN_MAX);
                 continue;
@@ -378,11 +378,11 @@
 
 /// Asks the store for what other boxes kept before this one started, if it is one of those that ask the store at all;
 /// the others are told.
-pub async fn load_persisted(hub: Arc<Hub>, records: Arc<dyn Records>) {
+pub async fn load_persisted(hub: Arc<Hub>, records: Arc<dyn SuspectStore>) {
     let mut recalls = 0;
     for _ in 0..RECALL_TRIES {
         if hub.peers().is_store_due() {
-            match records.kept().await {
+            match records.load_all().await {
                 Ok(all) => {
                     recalls += 1;
                     take_kept(&hub, &*records, &all).await;
@@ -399,7 +399,7 @@
     }
 }
 
-async fn take_kept(hub: &Hub, records: &dyn Records, all: &[SuspectReport]) {
+async fn take_kept(hub: &Hub, records: &dyn SuspectStore, all: &[SuspectReport]) {
     merge_reports(hub, all);
     for SuspectReport { fingerprint, .. } in all {
         let verdict = hub.suspects().read(|known| known.verdict(fingerprint, hub.now()));
@@ -407,7 +407,7 @@
             continue;
         }
         // It was long ago. Another box may do the same at the same time.
-        if let Err(e) = records.forget(fingerprint).await {
+        if let Err(e) = records.delete(fingerprint).await {
             debug!(hub.log(), "request not forgotten"; "content" => %fingerprint, "error" => %e);
         }
     }
--- a/src/proxy/placing.rs
+++ b/src/proxy/upstream_selection.rs
@@ -1,4 +1,5 @@
-//! Where a request goes: asked of whoever keeps the models or counts, or chosen here where nobody answers.
+//! Selects an upstream for a request: by the box that tracks the service's upstreams or, if none
+//! responds, by this box alone.
 
 use std::time::Duration;
 
@@ -9,58 +10,59 @@
 use crate::names::UpstreamName;
 use crate::names::WorkspaceName;
 use crate::placement::admit::Denial;
-use crate::placement::admit::PlacementQuery;
 use crate::placement::admit::Purpose;
+use crate::placement::admit::PlacementQuery;
 use crate::placement::choice::Choice;
-use crate::placement::choice::ChoiceError;
 use crate::placement::choice::SelectionCriteria;
+use crate::placement::choice::ChoiceError;
 use crate::placement::cold::Role;
-use crate::placement::plain::PlainQuery;
-use crate::proxy::answer::Refusal;
-use crate::proxy::asking;
-use crate::proxy::asking::Decided;
-use crate::proxy::dialect::Prompt;
-use crate::proxy::placed::Placed;
-use crate::proxy::plain;
+use crate::proxy::refusal::Refusal;
+use crate::proxy::plain_placement;
+use crate::proxy::placed_request::PlacedRequest;
+use crate::proxy::adapter::Prompt;
+use crate::proxy::engine_placement::PlacementDecision;
+use crate::proxy::engine_placement;
 use crate::proxy::request::RequestContext;
+use crate::placement::plain::PlainQuery;
 
-/// When to come back where no upstream can be had: entries come back within seconds.
+/// Retry time for callers when no upstream is available; listings reappear within seconds.
 pub(super) const NO_UPSTREAM_RETRY: Duration = Duration::from_millis(500);
 
-/// When to come back at the earliest after an overload.
+/// Shortest retry time for callers after an overload.
 pub(super) const OVERLOAD_RETRY_MIN: Duration = Duration::from_millis(100);
 
 impl RequestContext {
-    /// Chooses an upstream and enters the request there, or says why it can't be served in time.
-    pub async fn place(&mut self) -> Result<(Choice, Placed), Refusal> {
-        let name = format!("{}/{}", self.head.id, self.tried.len());
-        let request = xxh3_64(name.as_bytes());
+    /// Selects an upstream and records the request there, or says why it can't be served in time.
+    pub async fn place(&mut self) -> Result<(Choice, PlacedRequest), Refusal> {
+        let attempt = format!("{}/{}", self.head.id, self.tried.len());
+        let request = xxh3_64(attempt.as_bytes());
         let side = self.side();
-        let mut decided = self.decide(request, side).await;
-        let has_no_room = side == VersionFilter::Target && decided.decision.is_err();
-        if has_no_room && self.response_version.is_none() && self.may_fall_back() {
-            decided = self.decide(request, VersionFilter::Others).await;
+        let mut decision = self.decide(request, side).await;
+        let target_denied = side == VersionFilter::Target && decision.result.is_err();
+        if target_denied && self.response_version.is_none() && self.may_fall_back() {
+            decision = self.decide(request, VersionFilter::Others).await;
         }
-        match &decided.decision {
-            Ok(choice) => self.log_placed(choice, &decided),
-            Err(denial) => self.log_denial(denial, &decided),
+        match &decision.result {
+            Ok(choice) => self.log_placed(choice, &decision),
+            Err(denial) => self.log_denial(denial, &decision),
         }
-        let choice = match decided.decision {
+        let choice = match decision.result {
             Ok(choice) => choice,
             Err(denial) => return Err(self.refusal(denial.cause, denial.wait_max)),
         };
-        let placed = Placed::new(self, &choice, decided.request);
+        let placed = PlacedRequest::new(self, &choice, decision.request);
         Ok((choice, placed))
     }
 
-    async fn decide(&self, request: u64, side: VersionFilter) -> Decided {
+    async fn decide(&self, request: u64, side: VersionFilter) -> PlacementDecision {
         match &self.head.prompt {
             Some(prompt) => self.place_prompt(prompt, request, side).await,
             None => self.place_plain(request, side).await,
         }
     }
 
-    /// The versions that the request may go to: an answer that has begun is gone on with by the same one.
+    /// The versions that may serve the request. A response that has begun is resumed by the version
+    /// that began it.
     fn side(&self) -> VersionFilter {
         let (rollouts, now) = (self.hub.rollouts(), self.hub.now());
         match &self.response_version {
@@ -73,7 +75,7 @@
         self.hub.rollouts().may_fall_back(&self.service)
     }
 
-    async fn place_prompt(&self, prompt: &Prompt, request: u64, side: VersionFilter) -> Decided {
+    async fn place_prompt(&self, prompt: &Prompt, request: u64, side: VersionFilter) -> PlacementDecision {
         let excluded = self.excluded();
         let query = PlacementQuery {
             request,
@@ -92,10 +94,10 @@
             is_last_group: false,
             role: Role::Unassigned,
         };
-        asking::place(&self.hub, query).await
+        engine_placement::place(&self.hub, query).await
     }
 
-    async fn place_plain(&self, request: u64, side: VersionFilter) -> Decided {
+    async fn place_plain(&self, request: u64, side: VersionFilter) -> PlacementDecision {
         let now = self.hub.now();
         let resting = self.hub.read(|view| view.fleet().unavailable(&self.service, now));
         let excluded: Vec<UpstreamName> = self.excluded().into_iter().chain(resting).collect();
@@ -110,15 +112,15 @@
             zone: self.hub.peers().zone(),
             sender: None,
         };
-        match plain::place(&self.hub, query).await {
-            Some(decided) if !decided.is_without_upstream() => decided,
-            // Nobody who counts answers, or all that are left rest.
-            _ => self.choose_plain(request, side),
+        match plain_placement::place(&self.hub, query).await {
+            Some(decision) if !decision.has_no_upstream() => decision,
+            // Neither owner nor standby responds, or all that are left are unavailable.
+            _ => self.choose_uncounted(request, side),
         }
     }
 
-    /// Chooses any upstream of a plain service; nobody counts that.
-    fn choose_plain(&self, request: u64, side: VersionFilter) -> Decided {
+    /// Chooses any upstream of a plain service, without counting the request anywhere.
+    fn choose_uncounted(&self, request: u64, side: VersionFilter) -> PlacementDecision {
         let excluded = self.excluded();
         let any = SelectionCriteria::any(&self.service, None, &excluded, Duration::MAX);
         let criteria = SelectionCriteria { side, ..any };
@@ -129,25 +131,30 @@
             source: None,
             may_try_other_groups: false,
         };
-        let decision = self.hub.choose(criteria).map_err(denial);
-        Decided { decision, by: self.hub.peers().own_ip(), role: Role::Unassigned, request }
+        let result = self.hub.choose(criteria).map_err(denial);
+        PlacementDecision {
+            result,
+            decided_by: self.hub.peers().own_ip(),
+            role: Role::Unassigned,
+            request,
+        }
     }
 
-    /// Upstreams that are out of the question: tried, or this box backs off from them.
+    /// Upstreams that must not be chosen: already tried, or this box backs off from them.
     fn excluded(&self) -> Vec<UpstreamName> {
         let now = self.hub.now();
         let backing_off = self.hub.read(|view| view.fleet().backing_off(&self.service, now));
         self.tried.iter().cloned().chain(backing_off).collect()
     }
 
-    /// When to come back, where this box backs off from all upstreams.
+    /// Retry time for the caller if this box backs off from all upstreams.
     pub(super) fn min_backoff_remaining(&self) -> Option<Duration> {
         let now = self.hub.now();
         let left = self.hub.read(|view| view.fleet().min_backoff_remaining(&self.service, now))?;
         Some(left.max(OVERLOAD_RETRY_MIN))
     }
 
-    /// The refusal of a request that isn't placed, though it could have waited for so long.
+    /// The refusal of a request that isn't placed and could have waited for up to `wait_max`.
     fn refusal(&self, cause: ChoiceError, wait_max: Duration) -> Refusal {
         match cause {
             ChoiceError::NoUpstream => {
@@ -164,7 +171,7 @@
         }
     }
 
-    fn log_denial(&self, denial: &Denial, decided: &Decided) {
+    fn log_denial(&self, denial: &Denial, decision: &PlacementDecision) {
         let wait = match denial.cause {
             ChoiceError::Busy { wait } => Some(wait.as_millis() as u64),
             _ => None,
@@ -174,11 +181,11 @@
             "workspace" => self.workspace.as_ref().map(WorkspaceName::as_str),
             "share_used" => (denial.share_used * 100.0).round() / 100.0,
             "wait_ms" => wait, "wait_max_ms" => denial.wait_max.as_millis() as u64,
-            "by" => %decided.by, "as" => decided.role.code(),
+            "by" => %decision.decided_by, "as" => decision.role.code(),
             "tried" => self.tried.len(), "version" => self.hub.version());
     }
 
-    fn log_placed(&self, choice: &Choice, decided: &Decided) {
+    fn log_placed(&self, choice: &Choice, decision: &PlacementDecision) {
         info!(self.hub.log(), "placed"; "id" => &self.head.id, "route" => &self.route.name,
             "workspace" => self.workspace.as_ref().map(WorkspaceName::as_str),
             "upstream" => choice.upstream.as_str(), "prompt" => self.head.prompt.as_ref().map_or(0, |p| p.tokens),
@@ -187,7 +194,7 @@
             "copied" => choice.copied_tokens, "running" => choice.running,
             "running_tokens" => choice.running_tokens, "wait_ms" => choice.wait.as_millis() as u64,
             "expected_ms" => choice.first_token.as_millis() as u64,
-            "by" => %decided.by, "as" => decided.role.code(),
+            "by" => %decision.decided_by, "as" => decision.role.code(),
             "version" => self.hub.version(), "try" => self.tried.len() + 1);
     }
 }
--- a/tests/fleet_evacuated.rs
+++ b/tests/fleet_evacuated.rs
@@ -4,26 +4,26 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use frostdyke::fleet::evacuated::EvacuatedZones;
 use frostdyke::fleet::evacuated::EvacuationOrder;
+use frostdyke::fleet::evacuated::EvacuatedZones;
 use frostdyke::fleet::revision::Revision;
 use frostdyke::names::ServiceName;
 use frostdyke::names::UpstreamName;
 use frostdyke::names::VersionName;
 use frostdyke::names::ZoneName;
-use frostdyke::placement::choice::ChoiceError;
 use frostdyke::placement::choice::SelectionCriteria;
+use frostdyke::placement::choice::ChoiceError;
 use frostdyke::placement::cold::ColdLimits;
 use frostdyke::placement::cold::Role;
 use frostdyke::placement::registry::UpstreamRegistry;
 use frostdyke::placement::tuning::Tuning;
-use frostdyke::proxy::dialect::Listed;
-use frostdyke::proxy::dialect::Part;
-use frostdyke::proxy::dialect::Prompt;
+use frostdyke::proxy::adapter::UpstreamListing;
+use frostdyke::proxy::adapter::PromptPart;
+use frostdyke::proxy::adapter::Prompt;
 use frostdyke::proxy::routing_table::EngineLimits;
 use frostdyke::proxy::routing_table::Limits;
-use frostdyke::proxy::routing_table::RoutingTable;
 use frostdyke::proxy::routing_table::Service;
+use frostdyke::proxy::routing_table::RoutingTable;
 use frostdyke::proxy::view::Change;
 use frostdyke::proxy::view::View;
 use rand::Rng;
@@ -124,14 +124,14 @@
     let services = [(ServiceName::from("llm"), service)].into();
     let table = RoutingTable::new(1, Vec::new(), services, None, Limits::default());
     view.configure(table.into(), Duration::ZERO);
-    let listed = |n: u8, name: &str| Listed {
+    let listed = |n: u8, name: &str| UpstreamListing {
         name: UpstreamName::from(&*format!("e{n}")),
         service: ServiceName::from("llm"),
         addr: ([127, 0, 0, n], 80).into(),
         zone: zone(name),
         version: VersionName::from("v1"),
         slots: 8,
-        born: None,
+        started_at_ms: None,
         leaving: false,
         cold_for: Some(Duration::ZERO),
     };
@@ -140,7 +140,11 @@
 }
 
 fn choose(view: &View, role: Role, now: Duration) -> Result<String, ChoiceError> {
-    let prompt = Prompt { tokens: 100, written_max: 10, parts: vec![Part { id: 1, tokens: 100 }] };
+    let prompt = Prompt {
+        tokens: 100,
+        output_tokens_max: 10,
+        parts: vec![PromptPart { id: 1, tokens: 100 }],
+    };
     let wanted = SelectionCriteria {
         role,
         ..SelectionCriteria::any("llm", Some(&prompt), &[], Duration::MAX)
--- a/tests/fleet_placement.rs
+++ b/tests/fleet_placement.rs
@@ -14,20 +14,20 @@
 use frostdyke::names::VersionName;
 use frostdyke::names::ZoneName;
 use frostdyke::placement::admit;
-use frostdyke::placement::admit::PlacementQuery;
 use frostdyke::placement::admit::Purpose;
+use frostdyke::placement::admit::PlacementQuery;
 use frostdyke::placement::cache::PrefixCache;
 use frostdyke::placement::choice::Choice;
 use frostdyke::placement::cold::Role;
 use frostdyke::placement::registry::UpstreamRegistry;
 use frostdyke::placement::share::Shares;
 use frostdyke::placement::tuning::Tuning;
-use frostdyke::proxy::dialect::Listed;
-use frostdyke::proxy::dialect::Part;
-use frostdyke::proxy::dialect::Prompt;
-use frostdyke::proxy::message::Message;
-use frostdyke::proxy::message::PlacementRequest;
 use frostdyke::proxy::message::PlacementResponse;
+use frostdyke::proxy::message::PlacementRequest;
+use frostdyke::proxy::adapter::Prompt;
+use frostdyke::proxy::adapter::UpstreamListing;
+use frostdyke::proxy::adapter::PromptPart;
+use frostdyke::proxy::message::Message;
 use frostdyke::proxy::routing_table::EngineLimits;
 use rand::Rng;
 use rand::SeedableRng;
@@ -89,14 +89,14 @@
 fn fleet() -> UpstreamRegistry {
     let mut fleet = UpstreamRegistry::new(ZoneName::from("zone-0"), Tuning::default());
     for n in 0..ENGINES {
-        let listed = Listed {
+        let listed = UpstreamListing {
             name: name(n),
             service: ServiceName::from("llm"),
             addr: ([10, 9, (n / 256) as u8, (n % 256) as u8], 80).into(),
             zone: ZoneName::from(&*format!("zone-{}", n % 5)),
             version: VersionName::from("v1"),
             slots: 12,
-            born: None,
+            started_at_ms: None,
             leaving: false,
             cold_for: None,
         };
@@ -174,9 +174,11 @@
         outcome.asked += 1;
         let shared = rng.random_range(0..SHARED);
         let own = rng.random_range(200..5_000);
-        let parts =
-            vec![Part { id: shared, tokens: 9_000 }, Part { id: 1_000_000 + request, tokens: own }];
-        let prompt = Prompt { tokens: 9_000 + own, written_max: 120, parts };
+        let parts = vec![
+            PromptPart { id: shared, tokens: 9_000 },
+            PromptPart { id: 1_000_000 + request, tokens: own },
+        ];
+        let prompt = Prompt { tokens: 9_000 + own, output_tokens_max: 120, parts };
         let now = Duration::from_secs_f64(t);
         let mut group = None;
         let mut source = None;
