--- a/src/fleet/draining.rs
+++ b/src/fleet/draining.rs
@@ -120,7 +120,8 @@
     }
 
     fn is_newer_instance(&self, started_at_ms: Option<u64>) -> bool {
-        self.notice.started_at_ms
+        self.notice
+            .started_at_ms
             .zip(started_at_ms)
             .is_some_and(|(asked, started_at_ms)| asked < started_at_ms)
     }
--- a/src/placement/admit.rs
+++ b/src/placement/admit.rs
@@ -13,15 +13,15 @@
 use crate::names::WorkspaceName;
 use crate::names::ZoneName;
 use crate::placement::choice::Choice;
-use crate::placement::choice::SelectionCriteria;
-use crate::placement::choice::CopySource;
 use crate::placement::choice::ChoiceError;
+use crate::placement::choice::CopySource;
+use crate::placement::choice::SelectionCriteria;
 use crate::placement::cold::Role;
 use crate::placement::engine::Placement;
-use crate::placement::upstream::COPY_TOKENS_MIN;
+use crate::placement::registry::UpstreamRegistry;
 use crate::placement::share::Shares;
 use crate::placement::tuning::Tuning;
-use crate::placement::registry::UpstreamRegistry;
+use crate::placement::upstream::COPY_TOKENS_MIN;
 use crate::proxy::adapter::Prompt;
 
 /// A workspace that is over its share by this part of it gets only what needs no wait at all.
--- a/src/placement/engine.rs
+++ b/src/placement/engine.rs
@@ -14,8 +14,8 @@
 use crate::placement::speed::Speed;
 use crate::placement::speed::Work;
 use crate::placement::tuning::Tuning;
-use crate::proxy::adapter::PromptPart;
 use crate::proxy::adapter::Prompt;
+use crate::proxy::adapter::PromptPart;
 use crate::proxy::routing_table::EngineLimits;
 
 /// A request whose end isn't heard of is forgotten after this: longer than any is held.
--- a/src/placement/upstream.rs
+++ b/src/placement/upstream.rs
@@ -16,8 +16,8 @@
 use crate::placement::speed::Speed;
 use crate::placement::speed::Work;
 use crate::placement::tuning::Tuning;
-use crate::proxy::adapter::UpstreamListing;
 use crate::proxy::adapter::Prompt;
+use crate::proxy::adapter::UpstreamListing;
 
 /// Fewest tokens that are worth a copy: twice those that are read in the time of its setup.
 pub const COPY_TOKENS_MIN: u32 = 400;
--- a/src/proxy/adapter.rs
+++ b/src/proxy/adapter.rs
@@ -14,13 +14,13 @@
 use tokio::sync::mpsc;
 use tokio::sync::watch;
 
-use crate::fleet::evacuated::EvacuationOrder;
 use crate::fleet::evacuated::EvacuatedZones;
+use crate::fleet::evacuated::EvacuationOrder;
 use crate::fleet::fingerprint::Fingerprint;
 use crate::fleet::quarantine::SuspectReport;
 use crate::fleet::revision::Revision;
-use crate::fleet::rollout::RolloutEntry;
 use crate::fleet::rollout::Outcome;
+use crate::fleet::rollout::RolloutEntry;
 use crate::names::ServiceName;
 use crate::names::UpstreamName;
 use crate::names::VersionName;
--- a/src/proxy/admission.rs
+++ b/src/proxy/admission.rs
@@ -10,9 +10,9 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::names::WorkspaceName;
-use crate::proxy::refusal::Refusal;
 use crate::proxy::adapter::RequestHead;
 use crate::proxy::hub::Hub;
+use crate::proxy::refusal::Refusal;
 use crate::proxy::request::RequestContext;
 use crate::proxy::routing_table::Route;
 use crate::proxy::routing_table::RoutingTable;
--- a/src/proxy/connection_rejecter.rs
+++ b/src/proxy/connection_rejecter.rs
@@ -15,9 +15,9 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
+use crate::proxy::hub::Hub;
 use crate::proxy::refusal;
 use crate::proxy::refusal::Refusal;
-use crate::proxy::hub::Hub;
 
 /// Connections that may wait for their requests; what comes beyond them is closed unread. A box of
 /// 0.12 cores turns away some 1,000 a second at the most, so these are half a second's.
--- a/src/proxy/engine_placement.rs
+++ b/src/proxy/engine_placement.rs
@@ -12,28 +12,28 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::fleet::owners::OwnerTable;
-use crate::fleet::owners::GroupOwners;
 use crate::fleet::owners::EngineGroup;
+use crate::fleet::owners::GroupOwners;
+use crate::fleet::owners::OwnerTable;
 use crate::fleet::rollout::VersionFilter;
 use crate::names::ServiceName;
 use crate::names::UpstreamName;
 use crate::placement::admit::Denial;
-use crate::placement::admit::Purpose;
 use crate::placement::admit::PlacementQuery;
+use crate::placement::admit::Purpose;
 use crate::placement::choice::Choice;
-use crate::placement::choice::CopySource;
 use crate::placement::choice::ChoiceError;
+use crate::placement::choice::CopySource;
 use crate::placement::cold::Role;
 use crate::placement::upstream;
 use crate::proxy::adapter::Prompt;
+use crate::proxy::aligned_timer;
 use crate::proxy::hub::Hub;
-use crate::proxy::message::ShareUsage;
-use crate::proxy::message::PlacementResponse;
 use crate::proxy::message::Message;
 use crate::proxy::message::PlacementRequest;
+use crate::proxy::message::PlacementResponse;
+use crate::proxy::message::ShareUsage;
 use crate::proxy::notices;
-use crate::proxy::aligned_timer;
 
 /// How long to wait for an owner's response: several round trips within a region, plus the pauses
 /// of a healthy box under load.
@@ -176,7 +176,8 @@
         return Some(decision);
     }
     let source = find_copy_source(hub, query, owners, group).await;
-    place_in_group(hub, PlacementQuery { source, purpose: Purpose::Place, ..query }, group, owned).await
+    place_in_group(hub, PlacementQuery { source, purpose: Purpose::Place, ..query }, group, owned)
+        .await
 }
 
 /// Places a request by this box's own state, and broadcasts the result. Used in small fleets.
@@ -227,14 +228,22 @@
             if let Ok(choice) = &result {
                 notify_other_owner(hub, &query, choice, owned);
             }
-            return Some(PlacementDecision { result, decided_by: ip, role, request: query.request });
+            return Some(PlacementDecision {
+                result,
+                decided_by: ip,
+                role,
+                request: query.request,
+            });
         }
         if hub.owner_requests().is_unresponsive(ip, hub.now()) {
             continue;
         }
         let request = request_id_at(query.request, ip);
-        let message =
-            Message::PlacementRequest(placement_request(hub, &PlacementQuery { request, ..query }, group));
+        let message = Message::PlacementRequest(placement_request(
+            hub,
+            &PlacementQuery { request, ..query },
+            group,
+        ));
         match request_decision(hub, ip, request, &message).await {
             Some(Ok(choice)) if is_stale_choice(hub, ip, &choice, query.side) => {
                 notices::resend(hub, &choice.upstream, ip);
@@ -284,7 +293,11 @@
     lookup.result.err()?.source
 }
 
-fn placement_request(hub: &Hub, query: &PlacementQuery<'_>, group: EngineGroup) -> PlacementRequest {
+fn placement_request(
+    hub: &Hub,
+    query: &PlacementQuery<'_>,
+    group: EngineGroup,
+) -> PlacementRequest {
     PlacementRequest {
         request: query.request,
         group,
@@ -426,8 +439,7 @@
         let used: Vec<ShareUsage> =
             own.into_iter().map(|(workspace, tokens)| ShareUsage { workspace, tokens }).collect();
         for used in used.chunks(USAGES_PER_DATAGRAM_MAX) {
-            hub.peers()
-                .send_batched(
+            hub.peers().send_batched(
                 owners.all_boxes().iter().copied(),
                 &Message::ShareUsage(used.to_vec()),
             );
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -21,17 +21,17 @@
 use tokio::sync::Semaphore;
 use tokio::sync::watch;
 
-use crate::proxy::upstream_connections;
+use crate::proxy::ShutdownPhase;
+use crate::proxy::connection_limiter::AdmittedConnection;
+use crate::proxy::connection_limiter::ConnectionLimiter;
+use crate::proxy::connection_rejecter::ConnectionRejecter;
+use crate::proxy::hub::Hub;
 use crate::proxy::refusal;
 use crate::proxy::refusal::Refusal;
-use crate::proxy::routing_table::Limits;
-use crate::proxy::response_body::Body;
-use crate::proxy::hub::Hub;
-use crate::proxy::ShutdownPhase;
 use crate::proxy::request;
-use crate::proxy::connection_rejecter::ConnectionRejecter;
-use crate::proxy::connection_limiter::ConnectionLimiter;
-use crate::proxy::connection_limiter::AdmittedConnection;
+use crate::proxy::response_body::Body;
+use crate::proxy::routing_table::Limits;
+use crate::proxy::upstream_connections;
 
 /// Pause after a failure to accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
--- a/src/proxy/message.rs
+++ b/src/proxy/message.rs
@@ -22,11 +22,10 @@
 use crate::placement::choice::Choice;
 use crate::placement::choice::CopySource;
 use crate::placement::share::TokenCounts;
-use crate::proxy::plain_placement::PlainPlacementRequest;
-use crate::proxy::adapter::UpstreamListing;
 use crate::proxy::adapter::Prompt;
-use crate::proxy::plain::PlainPlacementRequest;
 use crate::proxy::adapter::PromptPart;
+use crate::proxy::adapter::UpstreamListing;
+use crate::proxy::plain_placement::PlainPlacementRequest;
 
 /// What boxes tell each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/src/proxy/notices.rs
+++ b/src/proxy/notices.rs
@@ -13,12 +13,12 @@
 use crate::fleet::owners::GroupOwners;
 use crate::names::UpstreamName;
 use crate::placement::upstream;
-use crate::proxy::placed_request::PlacedRequest;
-use crate::proxy::adapter::Notice;
+use crate::proxy::adapter::EngineQueryError;
 use crate::proxy::adapter::EngineReply;
+use crate::proxy::adapter::Notice;
 use crate::proxy::hub::Hub;
 use crate::proxy::message::Message;
-use crate::proxy::adapter::EngineQueryError;
+use crate::proxy::placed_request::PlacedRequest;
 use crate::proxy::plain_placement;
 use crate::util;
 
@@ -103,7 +103,11 @@
     if noted.is_some_and(|noted| noted < said.sent) {
         hub.metrics().reached_anyway("draining");
     }
-    let draining = DrainNotice { upstream, started_at_ms: said.started_at_ms, answered_at_ms: util::unix_millis() };
+    let draining = DrainNotice {
+        upstream,
+        started_at_ms: said.started_at_ms,
+        answered_at_ms: util::unix_millis(),
+    };
     if !hub.change(|view, now| view.apply_draining(&draining, now)) {
         return;
     }
--- a/src/proxy/placed_request.rs
+++ b/src/proxy/placed_request.rs
@@ -17,11 +17,11 @@
 use crate::placement::backoff::SlowStartSlot;
 use crate::placement::choice::Choice;
 use crate::placement::upstream::Health;
-use crate::proxy::plain_placement;
 use crate::proxy::adapter::Prompt;
+use crate::proxy::engine_placement;
 use crate::proxy::hub::Hub;
 use crate::proxy::message::Message;
-use crate::proxy::engine_placement;
+use crate::proxy::plain_placement;
 use crate::proxy::request::RequestContext;
 use crate::proxy::rollouts::JudgedResponse;
 
@@ -145,7 +145,9 @@
     pub fn record_pace(&self, chunks: u32) {
         let first_chunk_at = *self.first_chunk_at.lock().expect("no panic under lock");
         let took = first_chunk_at.map(|at| self.hub.now().saturating_sub(at));
-        self.record_outcome(took.filter(|_| 1 < chunks).map(|took| JudgedResponse::pace(took, chunks - 1)));
+        self.record_outcome(
+            took.filter(|_| 1 < chunks).map(|took| JudgedResponse::pace(took, chunks - 1)),
+        );
     }
 
     fn record_outcome(&self, finding: Option<ResponseOutcome>) {
--- a/src/proxy/plain_placement.rs
+++ b/src/proxy/plain_placement.rs
@@ -20,13 +20,13 @@
 use crate::placement::choice::Choice;
 use crate::placement::cold::Role;
 use crate::placement::plain::PlainQuery;
+use crate::proxy::adapter::Prompt;
 use crate::proxy::engine_placement;
-use crate::proxy::message::PlacementResponse;
+use crate::proxy::engine_placement::PlacementDecision;
 use crate::proxy::engine_placement::PlacementResult;
-use crate::proxy::adapter::Prompt;
 use crate::proxy::hub::Hub;
-use crate::proxy::engine_placement::PlacementDecision;
 use crate::proxy::message::Message;
+use crate::proxy::message::PlacementResponse;
 use crate::proxy::notices;
 
 /// Asks the owner of a plain service to place a request.
@@ -82,7 +82,8 @@
             continue;
         }
         let request = engine_placement::request_id_at(query.request, ip);
-        let message = Message::PlainPlacementRequest(placement_request(&PlainQuery { request, ..query }));
+        let message =
+            Message::PlainPlacementRequest(placement_request(&PlainQuery { request, ..query }));
         match engine_placement::request_decision(hub, ip, request, &message).await {
             Some(Ok(choice)) if engine_placement::is_stale_choice(hub, ip, &choice, query.side) => {
                 notices::resend(hub, &choice.upstream, ip);
--- a/src/proxy/reachability.rs
+++ b/src/proxy/reachability.rs
@@ -8,12 +8,12 @@
 use slog::info;
 
 use crate::names::UpstreamName;
-use crate::proxy::engine_placement;
 use crate::proxy::adapter::UpstreamListing;
+use crate::proxy::aligned_timer;
+use crate::proxy::engine_placement;
 use crate::proxy::hub::Hub;
 use crate::proxy::message::Message;
 use crate::proxy::notices;
-use crate::proxy::aligned_timer;
 use crate::proxy::suspects;
 use crate::util;
 
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -18,38 +18,38 @@
 use slog::info;
 use tokio::time::Instant;
 
-use crate::fleet::fingerprint::RequestContent;
 use crate::fleet::fingerprint::Fingerprint;
+use crate::fleet::fingerprint::RequestContent;
 use crate::names::ServiceName;
 use crate::names::UpstreamName;
 use crate::names::VersionName;
 use crate::names::WorkspaceName;
 use crate::placement::choice::Choice;
 use crate::placement::upstream::Health;
-use crate::proxy::admission;
-use crate::proxy::refusal;
-use crate::proxy::refusal::Refusal;
-use crate::proxy::upstream_selection::OVERLOAD_RETRY_MIN;
-use crate::proxy::upstream_selection::NO_UPSTREAM_RETRY;
+use crate::proxy::adapter::RequestHead;
+use crate::proxy::adapter::UpstreamRequestInfo;
 use crate::proxy::adapter::Verdict;
+use crate::proxy::admission;
 use crate::proxy::hub::Hub;
-use crate::proxy::upstream_connections;
-use crate::proxy::upstream_connections::UpstreamBody;
-use crate::proxy::reachability;
 use crate::proxy::notices;
 use crate::proxy::notices::ReceivedNotice;
-use crate::proxy::placed_request::PlacedRequest;
-use crate::proxy::placed_request::FirstTokenTiming;
 use crate::proxy::placed_request::CountGuard;
-use crate::proxy::adapter::UpstreamRequestInfo;
-use crate::proxy::adapter::RequestHead;
-use crate::proxy::stream_relay;
+use crate::proxy::placed_request::FirstTokenTiming;
+use crate::proxy::placed_request::PlacedRequest;
+use crate::proxy::reachability;
+use crate::proxy::refusal;
+use crate::proxy::refusal::Refusal;
 use crate::proxy::response_body;
 use crate::proxy::response_body::Body;
-use crate::proxy::suspects;
-use crate::proxy::suspects::BrokenRequest;
 use crate::proxy::routing_table::Repeat;
 use crate::proxy::routing_table::Route;
+use crate::proxy::stream_relay;
+use crate::proxy::suspects;
+use crate::proxy::suspects::BrokenRequest;
+use crate::proxy::upstream_connections;
+use crate::proxy::upstream_connections::UpstreamBody;
+use crate::proxy::upstream_selection::NO_UPSTREAM_RETRY;
+use crate::proxy::upstream_selection::OVERLOAD_RETRY_MIN;
 use crate::util;
 use crate::web;
 use crate::web::BodyFault;
@@ -383,7 +383,10 @@
             let (upstream, started_at_ms, sent) =
                 (placed.upstream(), placed.started_at_ms(), placed.sent_at());
             let (request, notice) = (&self.head.id, verdict.notice);
-            notices::apply(&self.hub, ReceivedNotice { upstream, started_at_ms, request, sent, notice });
+            notices::apply(
+                &self.hub,
+                ReceivedNotice { upstream, started_at_ms, request, sent, notice },
+            );
         }
         self.judge(resp, placed, verdict, began)
     }
--- a/src/proxy/state_updates.rs
+++ b/src/proxy/state_updates.rs
@@ -13,9 +13,9 @@
 use crate::placement::share::Shares;
 use crate::placement::share::TokenCounts;
 use crate::placement::upstream;
-use crate::proxy::engine_placement;
-use crate::proxy::adapter::StoreUpdate;
 use crate::proxy::adapter::Prompt;
+use crate::proxy::adapter::StoreUpdate;
+use crate::proxy::engine_placement;
 use crate::proxy::hub::Hub;
 use crate::proxy::message::Message;
 use crate::proxy::notices;
@@ -31,8 +31,12 @@
             warn!(hub.log(), "configuration refused"; "fault" => fault);
         }
         StoreUpdate::AllUpstreams(all) => hub.change(|view, now| view.set_upstreams(all, now)),
-        StoreUpdate::UpstreamChanged(listed) => hub.change(|view, now| view.set_upstream(listed, now)),
-        StoreUpdate::UpstreamRemoved(name) => hub.change(|view, now| view.entry_removed(&name, now)),
+        StoreUpdate::UpstreamChanged(listed) => {
+            hub.change(|view, now| view.set_upstream(listed, now))
+        }
+        StoreUpdate::UpstreamRemoved(name) => {
+            hub.change(|view, now| view.entry_removed(&name, now))
+        }
         StoreUpdate::CompleteUpTo(revision) => hub.change(|view, _| view.complete_up_to(revision)),
         StoreUpdate::EvacuatedZones(all) => hub.change(|view, now| view.evacuate(&all, now)),
         StoreUpdate::EvacuationOrders { orders, revision } => hub.change(|view, now| {
--- a/src/proxy/stream_relay.rs
+++ b/src/proxy/stream_relay.rs
@@ -20,15 +20,15 @@
 use slog::info;
 use tokio::time::Sleep;
 
-use crate::proxy::upstream_connections;
-use crate::proxy::upstream_connections::UpstreamBody;
 use crate::proxy::placed_request::PlacedRequest;
 use crate::proxy::request;
-use crate::proxy::request::UpstreamResponse;
 use crate::proxy::request::RequestContext;
+use crate::proxy::request::UpstreamResponse;
 use crate::proxy::response_body::Body;
-use crate::proxy::routing_table::Repeat;
 use crate::proxy::response_body::EventSplitter;
+use crate::proxy::routing_table::Repeat;
+use crate::proxy::upstream_connections;
+use crate::proxy::upstream_connections::UpstreamBody;
 use crate::util;
 
 /// Why a stream ended.
--- a/src/proxy/suspects.rs
+++ b/src/proxy/suspects.rs
@@ -25,12 +25,12 @@
 use crate::fleet::quarantine::SuspectReport;
 use crate::fleet::quarantine::Verdict;
 use crate::names::UpstreamName;
-use crate::proxy::adapter::SuspectStore;
 use crate::proxy::adapter::StoreError;
-use crate::proxy::hub::Hub;
-use crate::proxy::message::Message;
+use crate::proxy::adapter::SuspectStore;
 use crate::proxy::aligned_timer;
 use crate::proxy::box_api;
+use crate::proxy::hub::Hub;
+use crate::proxy::message::Message;
 
 /// How long a request that broke off waits for a word on its upstream: three heartbeats in which an entry lapses, and
 /// some time to hear of it.
--- a/src/proxy/upstream_selection.rs
+++ b/src/proxy/upstream_selection.rs
@@ -10,20 +10,20 @@
 use crate::names::UpstreamName;
 use crate::names::WorkspaceName;
 use crate::placement::admit::Denial;
-use crate::placement::admit::Purpose;
 use crate::placement::admit::PlacementQuery;
+use crate::placement::admit::Purpose;
 use crate::placement::choice::Choice;
-use crate::placement::choice::SelectionCriteria;
 use crate::placement::choice::ChoiceError;
+use crate::placement::choice::SelectionCriteria;
 use crate::placement::cold::Role;
-use crate::proxy::refusal::Refusal;
-use crate::proxy::plain_placement;
-use crate::proxy::placed_request::PlacedRequest;
+use crate::placement::plain::PlainQuery;
 use crate::proxy::adapter::Prompt;
-use crate::proxy::engine_placement::PlacementDecision;
 use crate::proxy::engine_placement;
+use crate::proxy::engine_placement::PlacementDecision;
+use crate::proxy::placed_request::PlacedRequest;
+use crate::proxy::plain_placement;
+use crate::proxy::refusal::Refusal;
 use crate::proxy::request::RequestContext;
-use crate::placement::plain::PlainQuery;
 
 /// Retry time for callers when no upstream is available; listings reappear within seconds.
 pub(super) const NO_UPSTREAM_RETRY: Duration = Duration::from_millis(500);
@@ -75,7 +75,12 @@
         self.hub.rollouts().may_fall_back(&self.service)
     }
 
-    async fn place_prompt(&self, prompt: &Prompt, request: u64, side: VersionFilter) -> PlacementDecision {
+    async fn place_prompt(
+        &self,
+        prompt: &Prompt,
+        request: u64,
+        side: VersionFilter,
+    ) -> PlacementDecision {
         let excluded = self.excluded();
         let query = PlacementQuery {
             request,
--- a/src/proxy/warm_up.rs
+++ b/src/proxy/warm_up.rs
@@ -9,17 +9,17 @@
 use slog::debug;
 use tokio::time::Instant;
 
-use crate::fleet::owners::GroupOwners;
 use crate::fleet::owners::EngineGroup;
+use crate::fleet::owners::GroupOwners;
 use crate::names::UpstreamName;
-use crate::placement::registry::learned::LearnedReport;
 use crate::placement::registry::learned::CachedParts;
-use crate::proxy::adapter::UpstreamListing;
+use crate::placement::registry::learned::LearnedReport;
 use crate::proxy::adapter::EngineClient;
-use crate::proxy::hub::Hub;
-use crate::proxy::notices;
+use crate::proxy::adapter::UpstreamListing;
 use crate::proxy::aligned_timer;
 use crate::proxy::box_api;
+use crate::proxy::hub::Hub;
+use crate::proxy::notices;
 use crate::proxy::view::View;
 
 /// Interval between checks for a box that has the state.
@@ -87,7 +87,12 @@
 
 /// Loads the state of a group's engines from the other one of owner and standby. If that one has
 /// none, the owner queries the engines.
-async fn learn_group(hub: Arc<Hub>, engines: Arc<dyn EngineClient>, group: EngineGroup, owned: GroupOwners) {
+async fn learn_group(
+    hub: Arc<Hub>,
+    engines: Arc<dyn EngineClient>,
+    group: EngineGroup,
+    owned: GroupOwners,
+) {
     let me = hub.peers().own_ip();
     let other = owned.boxes().find(|ip| *ip != me).and_then(|ip| hub.peers().addr_of(ip));
     if let Some(addr) = other {
--- a/tests/fleet_size.rs
+++ b/tests/fleet_size.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use frostdyke::fleet::owners::Candidate;
-use frostdyke::fleet::owners::OwnerTable;
 use frostdyke::fleet::owners::EngineGroup;
+use frostdyke::fleet::owners::OwnerTable;
 use frostdyke::fleet::rollout::VersionFilter;
 use frostdyke::names::ServiceName;
 use frostdyke::names::UpstreamName;
@@ -19,9 +19,9 @@
 use frostdyke::placement::choice::SelectionCriteria;
 use frostdyke::placement::registry::UpstreamRegistry;
 use frostdyke::placement::tuning::Tuning;
-use frostdyke::proxy::adapter::UpstreamListing;
-use frostdyke::proxy::adapter::PromptPart;
 use frostdyke::proxy::adapter::Prompt;
+use frostdyke::proxy::adapter::PromptPart;
+use frostdyke::proxy::adapter::UpstreamListing;
 use frostdyke::proxy::routing_table::EngineLimits;
 
 const ZONES: usize = 5;
--- a/tests/proxy_admit.rs
+++ b/tests/proxy_admit.rs
@@ -12,20 +12,20 @@
 use frostdyke::names::ZoneName;
 use frostdyke::placement::admit;
 use frostdyke::placement::admit::Denial;
-use frostdyke::placement::admit::Purpose;
 use frostdyke::placement::admit::PlacementQuery;
+use frostdyke::placement::admit::Purpose;
 use frostdyke::placement::choice::Choice;
 use frostdyke::placement::cold::Role;
 use frostdyke::placement::engine::Placement;
-use frostdyke::placement::share::TokenCounts;
-use frostdyke::placement::registry::learned::LearnedReport;
+use frostdyke::placement::registry::UpstreamRegistry;
 use frostdyke::placement::registry::learned::CachedParts;
+use frostdyke::placement::registry::learned::LearnedReport;
 use frostdyke::placement::share::Shares;
-use frostdyke::placement::registry::UpstreamRegistry;
+use frostdyke::placement::share::TokenCounts;
 use frostdyke::placement::tuning::Tuning;
-use frostdyke::proxy::adapter::UpstreamListing;
-use frostdyke::proxy::adapter::PromptPart;
 use frostdyke::proxy::adapter::Prompt;
+use frostdyke::proxy::adapter::PromptPart;
+use frostdyke::proxy::adapter::UpstreamListing;
 use frostdyke::proxy::routing_table::EngineLimits;
 
 const LIMITS: EngineLimits =
--- a/tests/proxy_behind.rs
+++ b/tests/proxy_behind.rs
@@ -8,8 +8,8 @@
 
 use frostdyke::fleet::revision::Revision;
 use frostdyke::fleet::sync_state;
-use frostdyke::fleet::sync_state::UpstreamListReport;
 use frostdyke::fleet::sync_state::SyncState;
+use frostdyke::fleet::sync_state::UpstreamListReport;
 use frostdyke::names::ServiceName;
 use frostdyke::names::UpstreamName;
 use frostdyke::names::VersionName;
--- a/tests/proxy_draining.rs
+++ b/tests/proxy_draining.rs
@@ -150,7 +150,10 @@
 fn a_notice_that_the_store_lists_is_not_new() {
     let mut view = View::new(UpstreamRegistry::new(ZoneName::from("z"), Tuning::default()));
     view.store_regained(Duration::ZERO);
-    view.set_upstreams(vec![UpstreamListing { leaving: true, ..upstream("a", BORN) }], Duration::ZERO);
+    view.set_upstreams(
+        vec![UpstreamListing { leaving: true, ..upstream("a", BORN) }],
+        Duration::ZERO,
+    );
     assert!(!view.apply_draining(&notice(Some(BORN)), NOW));
     view.set_upstream(upstream("a", BORN), NOW + SECOND);
     assert!(!is_open(&view));
--- a/tests/proxy_placement.rs
+++ b/tests/proxy_placement.rs
@@ -7,15 +7,15 @@
 use frostdyke::names::VersionName;
 use frostdyke::names::ZoneName;
 use frostdyke::placement::choice::Choice;
-use frostdyke::placement::choice::SelectionCriteria;
 use frostdyke::placement::choice::ChoiceError;
+use frostdyke::placement::choice::SelectionCriteria;
 use frostdyke::placement::engine::Placement;
 use frostdyke::placement::registry::UpstreamRegistry;
 use frostdyke::placement::tuning::Tuning;
 use frostdyke::placement::upstream::Health;
-use frostdyke::proxy::adapter::UpstreamListing;
-use frostdyke::proxy::adapter::PromptPart;
 use frostdyke::proxy::adapter::Prompt;
+use frostdyke::proxy::adapter::PromptPart;
+use frostdyke::proxy::adapter::UpstreamListing;
 use frostdyke::proxy::routing_table::EngineLimits;
 
 const LIMITS: EngineLimits =
--- a/tests/proxy_turn_away.rs
+++ b/tests/proxy_turn_away.rs
@@ -6,9 +6,9 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
+use frostdyke::proxy::connection_rejecter::RejectedConnection;
 use frostdyke::proxy::refusal;
 use frostdyke::proxy::refusal::Refusal;
-use frostdyke::proxy::connection_rejecter::RejectedConnection;
 use tokio::time::Instant;
 
 const BUF: usize = 32 << 10;
