--- a/src/placement/admit.rs
+++ b/src/placement/admit.rs
@@ -7,8 +7,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::fleet::owners::Group;
-use crate::fleet::rollout::Side;
+use crate::fleet::owners::EngineGroup;
+use crate::fleet::rollout::VersionFilter;
 use crate::names::UpstreamName;
 use crate::names::WorkspaceName;
 use crate::names::ZoneName;
@@ -22,7 +22,7 @@
 use crate::placement::share::Shares;
 use crate::placement::tuning::Tuning;
 use crate::placement::upstream::COPY_TOKENS_MIN;
-use crate::proxy::dialect::Prompt;
+use crate::proxy::adapter::Prompt;
 
 /// A workspace that exceeds its share by this fraction is admitted only where it need not wait at
 /// all.
@@ -62,9 +62,9 @@
     /// How much of that time has passed.
     pub waited: Duration,
     /// The engines that may be chosen; `None` allows all of the service.
-    pub group: Option<Group>,
+    pub group: Option<EngineGroup>,
     /// The versions that may be chosen.
-    pub side: Side,
+    pub side: VersionFilter,
     /// The availability zone of the sending box; `None` for this box's.
     pub zone: Option<&'a ZoneName>,
     /// The sending box; `None` for this one.
--- a/src/placement/cache.rs
+++ b/src/placement/cache.rs
@@ -2,7 +2,7 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::proxy::dialect::Part;
+use crate::proxy::adapter::PromptPart;
 
 /// Prompt parts, evicted in least-recently-used order.
 #[derive(Clone, Debug)]
@@ -27,13 +27,13 @@
 
     /// Tokens at the head of a prompt that need no prefill. A part counts only if all parts before
     /// it are cached too.
-    pub fn cached_tokens(&self, parts: &[Part]) -> u32 {
-        let tokens = |p: &Part| self.parts.get(&p.id).map(|e| e.tokens.min(p.tokens));
+    pub fn cached_tokens(&self, parts: &[PromptPart]) -> u32 {
+        let tokens = |p: &PromptPart| self.parts.get(&p.id).map(|e| e.tokens.min(p.tokens));
         parts.iter().map_while(tokens).sum()
     }
 
     /// Records that a prompt is prefilled.
-    pub fn insert(&mut self, parts: &[Part]) {
+    pub fn insert(&mut self, parts: &[PromptPart]) {
         // Last part first: a part is useless without those before it, so it must be evicted before
         // them.
         for part in parts.iter().rev() {
@@ -46,11 +46,11 @@
     }
 
     /// All parts, least recently used first.
-    pub fn parts(&self) -> Vec<Part> {
-        let mut by_age: Vec<(u64, Part)> = self
+    pub fn parts(&self) -> Vec<PromptPart> {
+        let mut by_age: Vec<(u64, PromptPart)> = self
             .parts
             .iter()
-            .map(|(id, e)| (e.last_used, Part { id: *id, tokens: e.tokens }))
+            .map(|(id, e)| (e.last_used, PromptPart { id: *id, tokens: e.tokens }))
             .collect();
         by_age.sort_unstable_by_key(|(last_used, _)| *last_used);
         by_age.into_iter().map(|(_, part)| part).collect()
--- a/src/placement/choice.rs
+++ b/src/placement/choice.rs
@@ -6,12 +6,12 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::fleet::owners::Group;
-use crate::fleet::rollout::Side;
+use crate::fleet::owners::EngineGroup;
+use crate::fleet::rollout::VersionFilter;
 use crate::names::UpstreamName;
 use crate::names::ZoneName;
 use crate::placement::cold::Role;
-use crate::proxy::dialect::Prompt;
+use crate::proxy::adapter::Prompt;
 
 /// An engine that has part of a prompt cached, from which another engine may copy it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -36,9 +36,9 @@
     /// Whether any engine within that wait is acceptable, or only the one with the lowest cost.
     pub any_engine: bool,
     /// The engines that may be chosen; `None` allows all of the service.
-    pub group: Option<Group>,
+    pub group: Option<EngineGroup>,
     /// The versions that may be chosen while a version is rolled out.
-    pub side: Side,
+    pub side: VersionFilter,
     /// The availability zone of the sending box; `None` for this box's.
     pub zone: Option<&'a ZoneName>,
     /// An engine that may not be chosen but has part of the prompt cached.
@@ -63,7 +63,7 @@
             wait_max_idle: wait_max,
             any_engine: true,
             group: None,
-            side: Side::Any,
+            side: VersionFilter::Any,
             zone: None,
             source: None,
             role: Role::Unassigned,
--- a/src/placement/engine.rs
+++ b/src/placement/engine.rs
@@ -14,9 +14,9 @@
 use crate::placement::speed::Speed;
 use crate::placement::speed::Work;
 use crate::placement::tuning::Tuning;
-use crate::proxy::dialect::Part;
-use crate::proxy::dialect::Prompt;
-use crate::proxy::table::EngineLimits;
+use crate::proxy::routing_table::EngineLimits;
+use crate::proxy::adapter::Prompt;
+use crate::proxy::adapter::PromptPart;
 
 /// Requests whose end is not reported are dropped at this age, which exceeds the time that any
 /// request is held.
@@ -152,7 +152,7 @@
 
     /// Whether there are a slot and memory for another request.
     pub fn has_room(&self, prompt: &Prompt) -> bool {
-        let needed = u64::from(prompt.tokens) + u64::from(prompt.written_max);
+        let needed = u64::from(prompt.tokens) + u64::from(prompt.output_tokens_max);
         self.requests.len() < self.limits.slots as usize
             && self.running_tokens + needed <= self.limits.memory_tokens
     }
@@ -222,7 +222,7 @@
         let work_with_backlog = self.remaining_work(speed, now).plus(work);
         self.load = self.load(tuning, now) + self.prefill_seconds(work, speed);
         self.load_updated = now;
-        let tokens = u64::from(prompt.tokens) + u64::from(prompt.written_max);
+        let tokens = u64::from(prompt.tokens) + u64::from(prompt.output_tokens_max);
         self.cache.insert(&prompt.parts);
         let copy_time =
             if copied_tokens == 0 { Duration::ZERO } else { self.copy_time(copied_tokens) };
@@ -268,13 +268,13 @@
     }
 
     /// The parts believed to be cached, for a box that has no state of the engine yet.
-    pub fn cached_parts(&self) -> Vec<Part> {
+    pub fn cached_parts(&self) -> Vec<PromptPart> {
         self.cache.parts()
     }
 
     /// Merges parts reported to be cached, least recently used first. Parts of prompts recorded
     /// here are newer.
-    pub fn merge_cached_parts(&mut self, parts: &[Part]) {
+    pub fn merge_cached_parts(&mut self, parts: &[PromptPart]) {
         let newer = self.cache.parts();
         self.cache.insert(&reversed(parts));
         self.cache.insert(&reversed(&newer));
@@ -364,6 +364,6 @@
 }
 
 /// [`PrefixCache::insert`] marks the parts of a prompt from the last to the first.
-fn reversed(parts: &[Part]) -> Vec<Part> {
+fn reversed(parts: &[PromptPart]) -> Vec<PromptPart> {
     parts.iter().rev().copied().collect()
 }
--- a/src/placement/plain.rs
+++ b/src/placement/plain.rs
@@ -10,7 +10,7 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::fleet::rollout::Side;
+use crate::fleet::rollout::VersionFilter;
 use crate::names::UpstreamName;
 use crate::names::WorkspaceName;
 use crate::names::ZoneName;
@@ -128,7 +128,7 @@
     /// Upstreams that may not be chosen.
     pub excluded: &'a [UpstreamName],
     /// The versions that may be chosen.
-    pub side: Side,
+    pub side: VersionFilter,
     /// The route's target for the time to the response.
     pub target_latency: Duration,
     /// How much of that time has passed.
--- a/src/placement/registry.rs
+++ b/src/placement/registry.rs
@@ -15,8 +15,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::fleet::owners::Group;
-use crate::fleet::rollout::Side;
+use crate::fleet::owners::EngineGroup;
+use crate::fleet::rollout::VersionFilter;
 use crate::names::ServiceName;
 use crate::names::UpstreamName;
 use crate::names::VersionName;
@@ -30,8 +30,8 @@
 use crate::placement::tuning::Tuning;
 use crate::placement::upstream::Health;
 use crate::placement::upstream::Upstream;
-use crate::proxy::dialect::Listed;
-use crate::proxy::table::EngineLimits;
+use crate::proxy::routing_table::EngineLimits;
+use crate::proxy::adapter::UpstreamListing;
 
 /// All upstreams known to this box.
 #[derive(Debug)]
@@ -78,7 +78,7 @@
     }
 
     /// Adds or updates an upstream. `limits` is set for engines.
-    pub fn upsert(&mut self, listed: Listed, limits: Option<EngineLimits>) {
+    pub fn upsert(&mut self, listed: UpstreamListing, limits: Option<EngineLimits>) {
         if let Some(known) = self.upstreams.get_mut(&listed.name) {
             self.index.remove(known);
             known.listed = listed;
@@ -105,24 +105,24 @@
     }
 
     /// The filter of its service's roll-out that an upstream of this version passes.
-    pub fn side_of(&self, service: &str, version: &VersionName) -> Side {
+    pub fn side_of(&self, service: &str, version: &VersionName) -> VersionFilter {
         match self.rollout_targets.get(service) {
-            None => Side::Any,
-            Some(target) if target == version => Side::Target,
-            Some(_) => Side::Others,
+            None => VersionFilter::Any,
+            Some(target) if target == version => VersionFilter::Target,
+            Some(_) => VersionFilter::Others,
         }
     }
 
-    fn matches_side(&self, side: Side, upstream: &Upstream) -> bool {
+    fn matches_side(&self, side: VersionFilter, upstream: &Upstream) -> bool {
         let listed = &upstream.listed;
         // Usually nothing is being rolled out.
-        side == Side::Any
-            || matches!(self.side_of(&listed.service, &listed.version), Side::Any)
+        side == VersionFilter::Any
+            || matches!(self.side_of(&listed.service, &listed.version), VersionFilter::Any)
             || self.side_of(&listed.service, &listed.version) == side
     }
 
     /// Whether an upstream may get a request with this filter. An upstream that is not listed may.
-    pub fn allows_side(&self, name: &UpstreamName, side: Side) -> bool {
+    pub fn allows_side(&self, name: &UpstreamName, side: VersionFilter) -> bool {
         self.upstreams.get(name).is_none_or(|u| self.matches_side(side, u))
     }
 
@@ -147,12 +147,12 @@
     }
 
     /// All upstreams, in the form sent to other boxes.
-    pub fn listings(&self, now: Duration) -> Vec<Listed> {
+    pub fn listings(&self, now: Duration) -> Vec<UpstreamListing> {
         self.upstreams.values().map(|u| u.listing(now)).collect()
     }
 
     /// An upstream, in the form sent to other boxes.
-    pub fn listing(&self, name: &UpstreamName, now: Duration) -> Option<Listed> {
+    pub fn listing(&self, name: &UpstreamName, now: Duration) -> Option<UpstreamListing> {
         self.upstreams.get(name).map(|u| u.listing(now))
     }
 
@@ -173,11 +173,11 @@
         }
     }
 
-    pub fn listed(&self) -> impl Iterator<Item = &Listed> {
+    pub fn listed(&self) -> impl Iterator<Item = &UpstreamListing> {
         self.upstreams.values().map(|u| &u.listed)
     }
 
-    pub fn get(&self, name: &UpstreamName) -> Option<&Listed> {
+    pub fn get(&self, name: &UpstreamName) -> Option<&UpstreamListing> {
         self.upstreams.get(name).map(|u| &u.listed)
     }
 
@@ -267,11 +267,11 @@
         }
     }
 
-    pub fn engines(&self) -> impl Iterator<Item = &Listed> {
+    pub fn engines(&self) -> impl Iterator<Item = &UpstreamListing> {
         self.upstreams.values().filter(|u| u.engine.is_some()).map(|u| &u.listed)
     }
 
-    pub fn engines_in_group(&self, group: Group) -> impl Iterator<Item = &Listed> {
+    pub fn engines_in_group(&self, group: EngineGroup) -> impl Iterator<Item = &UpstreamListing> {
         let of_group = self.index.of_group(group).filter_map(|name| self.upstreams.get(name));
         of_group.filter(|u| u.engine.is_some()).map(|u| &u.listed)
     }
--- a/src/placement/registry/learned.rs
+++ b/src/placement/registry/learned.rs
@@ -3,14 +3,14 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::fleet::draining::Draining;
-use crate::fleet::owners::Group;
+use crate::fleet::draining::DrainNotice;
+use crate::fleet::owners::EngineGroup;
 use crate::names::ServiceName;
 use crate::names::UpstreamName;
 use crate::placement::registry::UpstreamRegistry;
 use crate::placement::speed::Speed;
 use crate::placement::upstream::Upstream;
-use crate::proxy::dialect::Part;
+use crate::proxy::adapter::PromptPart;
 
 /// What a box has learned of engines, for a box that has just started.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -20,7 +20,7 @@
     /// Estimated engine speed by service.
     pub speeds: Vec<(ServiceName, Speed)>,
     /// Upstreams that have announced that they are draining.
-    pub draining: Vec<Draining>,
+    pub draining: Vec<DrainNotice>,
 }
 
 /// The prompt parts that an engine is believed to have cached.
@@ -28,12 +28,12 @@
 pub struct CachedParts {
     pub upstream: UpstreamName,
     /// Least recently used first.
-    pub parts: Vec<Part>,
+    pub parts: Vec<PromptPart>,
 }
 
 impl UpstreamRegistry {
     /// Reports what was learned of all engines, or of those in a group.
-    pub fn learned(&self, group: Option<Group>) -> LearnedReport {
+    pub fn learned(&self, group: Option<EngineGroup>) -> LearnedReport {
         let cached = |u: &Upstream| {
             Some(CachedParts {
                 upstream: u.listed.name.clone(),
--- a/src/placement/registry/reachability.rs
+++ b/src/placement/registry/reachability.rs
@@ -5,7 +5,7 @@
 use crate::names::UpstreamName;
 use crate::placement::registry::UpstreamRegistry;
 use crate::placement::upstream::Upstream;
-use crate::proxy::dialect::Listed;
+use crate::proxy::adapter::UpstreamListing;
 
 impl UpstreamRegistry {
     /// Records that an upstream may be unreachable, as noticed by this box or reported by another.
@@ -40,7 +40,7 @@
 
     /// Upstreams to which it is time to try to connect. Each is returned once until
     /// [`UpstreamRegistry::record_connect_failure`] is called for it, or for the longest interval.
-    pub fn take_due_probes(&mut self, now: Duration) -> Vec<Listed> {
+    pub fn take_due_probes(&mut self, now: Duration) -> Vec<UpstreamListing> {
         let upstreams = &mut self.upstreams;
         let due = self.unverified.iter().filter_map(|name| {
             let upstream = upstreams.get_mut(name)?;
--- a/src/placement/registry/selection.rs
+++ b/src/placement/registry/selection.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use crate::fleet::owners::Group;
-use crate::fleet::rollout::Side;
+use crate::fleet::owners::EngineGroup;
+use crate::fleet::rollout::VersionFilter;
 use crate::placement::choice::Choice;
 use crate::placement::choice::ChoiceError;
 use crate::placement::choice::CopySource;
@@ -13,7 +13,7 @@
 use crate::placement::upstream::Context;
 use crate::placement::upstream::PrefillPlan;
 use crate::placement::upstream::Upstream;
-use crate::proxy::dialect::Prompt;
+use crate::proxy::adapter::Prompt;
 use crate::util::mix;
 
 /// Preferences for the engines to which a prompt's shared parts hash, in order of rank. They make
@@ -142,8 +142,8 @@
         &self,
         service: &str,
         prompt: &Prompt,
-        side: Side,
-        avoided: Option<Group>,
+        side: VersionFilter,
+        avoided: Option<EngineGroup>,
     ) -> Option<u64> {
         self.home_among(service, prompt, avoided, |u| {
             self.is_accepting(u) && self.matches_side(side, u)
@@ -156,8 +156,8 @@
         &self,
         service: &str,
         prompt: &Prompt,
-        side: Side,
-        avoided: Group,
+        side: VersionFilter,
+        avoided: EngineGroup,
     ) -> Option<u64> {
         self.home_among(service, prompt, Some(avoided), |u| self.matches_side(side, u))
     }
@@ -178,7 +178,7 @@
         &self,
         service: &str,
         prompt: &Prompt,
-        avoided: Option<Group>,
+        avoided: Option<EngineGroup>,
         eligible: impl Fn(&Upstream) -> bool,
     ) -> Option<u64> {
         let part = match &prompt.parts[..] {
@@ -188,7 +188,7 @@
         };
         self.index.home(service, part, |name| {
             let upstream = self.examine(name);
-            upstream.is_some_and(|u| avoided.is_none_or(|g| !g.has(u.hash)) && eligible(u))
+            upstream.is_some_and(|u| avoided.is_none_or(|g| !g.contains(u.hash)) && eligible(u))
         })
     }
 }
--- a/src/placement/upstream.rs
+++ b/src/placement/upstream.rs
@@ -16,8 +16,8 @@
 use crate::placement::speed::Speed;
 use crate::placement::speed::Work;
 use crate::placement::tuning::Tuning;
-use crate::proxy::dialect::Listed;
-use crate::proxy::dialect::Prompt;
+use crate::proxy::adapter::UpstreamListing;
+use crate::proxy::adapter::Prompt;
 
 /// Fewest tokens worth a copy: twice those that are prefilled in the time of its setup.
 pub const COPY_TOKENS_MIN: u32 = 400;
@@ -81,7 +81,7 @@
 
 #[derive(Clone, Debug)]
 pub(super) struct Upstream {
-    pub(super) listed: Listed,
+    pub(super) listed: UpstreamListing,
     pub(super) engine: Option<Engine>,
     /// Requests at an upstream of a plain service.
     pub(super) plain: PlainQueue,
@@ -114,7 +114,7 @@
 
 impl Upstream {
     /// An upstream assumed to be healthy and, if it is an engine, idle with an empty cache.
-    pub(super) fn new(listed: Listed, engine: Option<Engine>) -> Upstream {
+    pub(super) fn new(listed: UpstreamListing, engine: Option<Engine>) -> Upstream {
         Upstream {
             engine,
             plain: PlainQueue::default(),
@@ -207,9 +207,9 @@
     }
 
     /// The listing, with the current state of the cold start.
-    pub(super) fn listing(&self, now: Duration) -> Listed {
+    pub(super) fn listing(&self, now: Duration) -> UpstreamListing {
         let cold_for = self.engine.as_ref().map(|engine| engine.cold_remaining(now));
-        Listed { cold_for, ..self.listed.clone() }
+        UpstreamListing { cold_for, ..self.listed.clone() }
     }
 
     /// How this engine, which has `cached` tokens of a prompt cached, would process it; `None` for
--- a/tests/fleet_cold.rs
+++ b/tests/fleet_cold.rs
@@ -17,10 +17,10 @@
 use frostdyke::placement::engine::Placement;
 use frostdyke::placement::registry::UpstreamRegistry;
 use frostdyke::placement::tuning::Tuning;
-use frostdyke::proxy::dialect::Listed;
-use frostdyke::proxy::dialect::Part;
-use frostdyke::proxy::dialect::Prompt;
-use frostdyke::proxy::table::EngineLimits;
+use frostdyke::proxy::adapter::Prompt;
+use frostdyke::proxy::adapter::PromptPart;
+use frostdyke::proxy::adapter::UpstreamListing;
+use frostdyke::proxy::routing_table::EngineLimits;
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -46,22 +46,22 @@
     UpstreamName::from("engine")
 }
 
-fn listed(cold_for: Option<Duration>) -> Listed {
-    Listed {
+fn listed(cold_for: Option<Duration>) -> UpstreamListing {
+    UpstreamListing {
         name: engine(),
         service: ServiceName::from("llm"),
         addr: ([127, 0, 0, 1], 80).into(),
         zone: ZoneName::from("a"),
         version: VersionName::from("v1"),
         slots: 32,
-        born: None,
+        started_at_ms: None,
         leaving: false,
         cold_for,
     }
 }
 
 fn prompt(n: u64) -> Prompt {
-    Prompt { tokens: 100, written_max: 10, parts: vec![Part { id: n, tokens: 100 }] }
+    Prompt { tokens: 100, output_tokens_max: 10, parts: vec![PromptPart { id: n, tokens: 100 }] }
 }
 
 /// A box that decides by a role of its own.
@@ -201,7 +201,7 @@
 #[test]
 fn a_new_owner_waits_for_as_long_as_the_bound_looks_back() {
     let mut owner = Decider::new(Role::Owner, true);
-    let all = frostdyke::fleet::owners::Group::default();
+    let all = frostdyke::fleet::owners::EngineGroup::default();
     owner.fleet.hold_cold_engines(all, Duration::from_secs(1));
     assert!(!owner.sends(1, Duration::from_millis(700)));
     assert!(owner.sends(2, Duration::from_millis(1_000)));
--- a/tests/proxy_admit.rs
+++ b/tests/proxy_admit.rs
@@ -3,8 +3,8 @@
 
 use std::time::Duration;
 
-use frostdyke::fleet::owners::Group;
-use frostdyke::fleet::rollout::Side;
+use frostdyke::fleet::owners::EngineGroup;
+use frostdyke::fleet::rollout::VersionFilter;
 use frostdyke::names::ServiceName;
 use frostdyke::names::UpstreamName;
 use frostdyke::names::VersionName;
@@ -23,10 +23,10 @@
 use frostdyke::placement::share::Shares;
 use frostdyke::placement::share::TokenCounts;
 use frostdyke::placement::tuning::Tuning;
-use frostdyke::proxy::dialect::Listed;
-use frostdyke::proxy::dialect::Part;
-use frostdyke::proxy::dialect::Prompt;
-use frostdyke::proxy::table::EngineLimits;
+use frostdyke::proxy::adapter::Prompt;
+use frostdyke::proxy::adapter::PromptPart;
+use frostdyke::proxy::adapter::UpstreamListing;
+use frostdyke::proxy::routing_table::EngineLimits;
 
 const LIMITS: EngineLimits =
     EngineLimits { slots: 64, memory_tokens: 500_000, copied_per_s: 400_000, cold: None };
@@ -46,21 +46,21 @@
     shares: Shares,
     requests: u64,
     /// What all prompts share from now on.
-    shared: Option<Part>,
+    shared: Option<PromptPart>,
 }
 
 impl Desk {
     fn new(engines: u8) -> Desk {
         let mut fleet = UpstreamRegistry::new(ZoneName::from("a"), Tuning::default());
         for n in 1..=engines {
-            let listed = Listed {
+            let listed = UpstreamListing {
                 name: UpstreamName::from(&*format!("e{n}")),
                 service: ServiceName::from("llm"),
                 addr: ([127, 0, 0, n], 80).into(),
                 zone: ZoneName::from("a"),
                 version: VersionName::from("v1"),
                 slots: 64,
-                born: None,
+                started_at_ms: None,
                 leaving: false,
                 cold_for: None,
             };
@@ -72,21 +72,21 @@
     fn ask(
         &mut self,
         workspace: u64,
-        group: Option<Group>,
+        group: Option<EngineGroup>,
         is_last_group: bool,
     ) -> Result<Choice, Denial> {
         self.requests += 1;
-        let own = Part { id: 1000 + self.requests, tokens: 3_000 };
-        let parts: Vec<Part> = self.shared.into_iter().chain([own]).collect();
+        let own = PromptPart { id: 1000 + self.requests, tokens: 3_000 };
+        let parts: Vec<PromptPart> = self.shared.into_iter().chain([own]).collect();
         let tokens = parts.iter().map(|p| p.tokens).sum();
-        let prompt = Prompt { tokens, written_max: 10, parts };
+        let prompt = Prompt { tokens, output_tokens_max: 10, parts };
         let query = PlacementQuery {
             request: self.requests,
             service: "llm",
             prompt: &prompt,
             workspace: Some(&name(workspace)),
             excluded: &[],
-            side: Side::Any,
+            side: VersionFilter::Any,
             target_latency: AIM,
             waited: Duration::ZERO,
             group,
@@ -140,8 +140,8 @@
         desk.had(1, 2.0 - used.min(2.0));
         let first = desk.ask(2, None, true).expect("there is room");
         for request in 50_000..50_003 {
-            let own = Part { id: request, tokens: 3_000 };
-            let prompt = Prompt { tokens: 3_000, written_max: 10, parts: vec![own] };
+            let own = PromptPart { id: request, tokens: 3_000 };
+            let prompt = Prompt { tokens: 3_000, output_tokens_max: 10, parts: vec![own] };
             let placement = Placement {
                 request,
                 prompt: &prompt,
@@ -152,11 +152,11 @@
             };
             desk.fleet.place(&first.upstream, placement, NOW);
         }
-        desk.shared = Some(Part { id: 7, tokens: 20_000 });
+        desk.shared = Some(PromptPart { id: 7, tokens: 20_000 });
         desk.fleet.apply_learned(&LearnedReport {
             cached: vec![CachedParts {
                 upstream: first.upstream.clone(),
-                parts: vec![Part { id: 7, tokens: 20_000 }],
+                parts: vec![PromptPart { id: 7, tokens: 20_000 }],
             }],
             ..LearnedReport::default()
         });
@@ -183,11 +183,11 @@
 fn only_engines_of_the_group_are_chosen() {
     let mut desk = Desk::new(40);
     for prefix in 0..4u64 {
-        let group = Group::of(prefix << 62, 2);
+        let group = EngineGroup::from_hash(prefix << 62, 2);
         for _ in 0..40 {
             let choice = desk.ask(prefix, Some(group), true).expect("there is room");
             let hash = frostdyke::placement::upstream::name_hash(&choice.upstream);
-            assert!(group.has(hash));
+            assert!(group.contains(hash));
         }
     }
 }
--- a/tests/proxy_backoff.rs
+++ b/tests/proxy_backoff.rs
@@ -9,7 +9,7 @@
 use frostdyke::placement::backoff::SlowStartSlot;
 use frostdyke::placement::registry::UpstreamRegistry;
 use frostdyke::placement::tuning::Tuning;
-use frostdyke::proxy::dialect::Listed;
+use frostdyke::proxy::adapter::UpstreamListing;
 
 const SLOTS: u32 = 8;
 
@@ -21,15 +21,15 @@
     UpstreamName::from(name)
 }
 
-fn upstream(upstream: &str) -> Listed {
-    Listed {
+fn upstream(upstream: &str) -> UpstreamListing {
+    UpstreamListing {
         name: name(upstream),
         service: ServiceName::from("s"),
         addr: ([127, 0, 0, 1], 80).into(),
         zone: ZoneName::from("z"),
         version: VersionName::from("v1"),
         slots: SLOTS,
-        born: None,
+        started_at_ms: None,
         leaving: false,
         cold_for: None,
     }
@@ -119,7 +119,7 @@
     let mut fleet = fleet();
     fleet.back_off(&name("a"), BACKOFF, MOMENT);
     let first = enter_all(&mut fleet, MOMENT + BACKOFF);
-    fleet.upsert(Listed { slots: 1, ..upstream("a") }, None);
+    fleet.upsert(UpstreamListing { slots: 1, ..upstream("a") }, None);
     assert!(fleet.slow_start_accepted(&name("a"), Some(first[0])));
     fleet.back_off(&name("a"), BACKOFF, 2 * BACKOFF);
     assert!(!fleet.slow_start_accepted(&name("a"), Some(first[0])));
@@ -137,7 +137,7 @@
     assert_eq!(fleet.min_backoff_remaining("s", MOMENT), None);
     fleet.back_off(&name("b"), 2 * BACKOFF, Duration::ZERO);
     assert_eq!(fleet.min_backoff_remaining("s", MOMENT), Some(BACKOFF - MOMENT));
-    fleet.upsert(Listed { leaving: true, ..upstream("a") }, None);
+    fleet.upsert(UpstreamListing { leaving: true, ..upstream("a") }, None);
     assert_eq!(fleet.min_backoff_remaining("s", MOMENT), Some(2 * BACKOFF - MOMENT));
     assert_eq!(fleet.min_backoff_remaining("another", MOMENT), None);
 }
--- a/tests/proxy_behind.rs
+++ b/tests/proxy_behind.rs
@@ -7,16 +7,16 @@
 use std::time::Duration;
 
 use frostdyke::fleet::revision::Revision;
-use frostdyke::fleet::standing;
-use frostdyke::fleet::standing::Standing;
-use frostdyke::fleet::standing::Word;
+use frostdyke::fleet::sync_state;
+use frostdyke::fleet::sync_state::SyncState;
+use frostdyke::fleet::sync_state::UpstreamListReport;
 use frostdyke::names::ServiceName;
 use frostdyke::names::UpstreamName;
 use frostdyke::names::VersionName;
 use frostdyke::names::ZoneName;
 use frostdyke::placement::registry::UpstreamRegistry;
 use frostdyke::placement::tuning::Tuning;
-use frostdyke::proxy::dialect::Listed;
+use frostdyke::proxy::adapter::UpstreamListing;
 use frostdyke::proxy::view::Change;
 use frostdyke::proxy::view::Snapshot;
 use frostdyke::proxy::view::View;
@@ -69,15 +69,15 @@
     UpstreamName::from(&*format!("i-{n:010x}"))
 }
 
-fn listed(n: u64) -> Listed {
-    Listed {
+fn listed(n: u64) -> UpstreamListing {
+    UpstreamListing {
         name: name(n),
         service: ServiceName::from("s"),
         addr: ([127, 0, 0, 1], 80).into(),
         zone: ZoneName::from("a"),
         version: VersionName::from("v1"),
         slots: 1,
-        born: None,
+        started_at_ms: None,
         leaving: false,
         cold_for: None,
     }
@@ -86,8 +86,8 @@
 fn view() -> View {
     let mut view = View::new(UpstreamRegistry::new(ZoneName::from("a"), Tuning::default()));
     view.store_regained(Duration::ZERO);
-    view.list((0..UPSTREAMS).map(listed).collect(), Duration::ZERO);
-    view.up_to(Revision::new(1, UPSTREAMS));
+    view.set_upstreams((0..UPSTREAMS).map(listed).collect(), Duration::ZERO);
+    view.complete_up_to(Revision::new(1, UPSTREAMS));
     view.take_changes();
     view
 }
@@ -98,17 +98,17 @@
     /// Changes of the store that it has heard of; each makes a revision.
     heard: u64,
     phase: u64,
-    word: Word,
+    word: UpstreamListReport,
 }
 
 impl Watcher {
     fn new(phase: u64) -> Watcher {
         let addr = ([127, 0, 0, 1 + phase as u8], 80).into();
-        let word = Word {
+        let word = UpstreamListReport {
             addr,
             sees_store: true,
             revision: Revision::default(),
-            upstreams: 0,
+            upstreams_digest: 0,
             age: Duration::ZERO,
         };
         Watcher { view: view(), heard: 0, phase, word }
@@ -117,25 +117,26 @@
     /// Hears of all changes up to the one of this number; gives what it tells of that.
     fn hear(&mut self, changes: u64, now: Duration) -> Vec<Change> {
         for n in self.heard..changes {
-            self.view.set(listed(UPSTREAMS + n), now);
-            self.view.gone(&name(n), now);
+            self.view.set_upstream(listed(UPSTREAMS + n), now);
+            self.view.entry_removed(&name(n), now);
         }
         self.heard = changes;
-        self.view.up_to(Revision::new(1, UPSTREAMS + 2 * changes));
+        self.view.complete_up_to(Revision::new(1, UPSTREAMS + 2 * changes));
         self.view.take_changes()
     }
 
     fn speak(&mut self) {
-        let (revision, upstreams) = (self.view.revision(), self.view.digest());
-        self.word = Word { revision, upstreams, age: Duration::ZERO, ..self.word };
+        let (revision, upstreams_digest) = (self.view.revision(), self.view.digest());
+        self.word =
+            UpstreamListReport { revision, upstreams_digest, age: Duration::ZERO, ..self.word };
     }
 }
 
 /// Takes in what a watcher tells.
 fn take_in(view: &mut View, change: Change, now: Duration) {
     match change {
-        Change::Upstream(listed) => view.told_listed(listed, now),
-        Change::Gone(name) => view.told_gone(&name, now),
+        Change::Upstream(listed) => view.reported_listed(listed, now),
+        Change::Gone(name) => view.reported_gone(&name, now),
         other => panic!("{other:?}"),
     }
 }
@@ -147,12 +148,12 @@
         let digests = view.digests(now);
         (digests.to_string().len(), Some(watcher.difference(version, &digests, now)))
     } else {
-        (0, watcher.since(version, view.revision(), now))
+        (0, watcher.changes_since(version, view.revision(), now))
     };
     let Some(told) = told else { return question + ask(view, watcher, true, now) };
     let packed = postcard::to_stdvec(&told).expect("it can be packed");
     let told: Snapshot = postcard::from_bytes(&packed).expect("it can be read");
-    view.take_over(told, now);
+    view.apply_snapshot(told, now);
     question + packed.len()
 }
 
@@ -185,20 +186,20 @@
         if step % LOOK != 0 {
             continue;
         }
-        let words = watchers.iter().map(|w| Word {
+        let words = watchers.iter().map(|w| UpstreamListReport {
             revision: if way == Way::Digests { Revision::default() } else { w.word.revision },
             ..w.word
         });
         let revision = if way == Way::Digests { Revision::default() } else { box_.revision() };
-        let standing = standing::judge(revision, box_.digest(), words);
-        apart = if matches!(standing, Standing::Apart(_)) { apart + 1 } else { 0 };
+        let standing = sync_state::evaluate(revision, box_.digest(), words);
+        apart = if matches!(standing, SyncState::Diverged(_)) { apart + 1 } else { 0 };
         let apart_for = if way == Way::Digests { 2 } else { APART_FOR };
         let by_addr = |addr| watchers.iter().find(|w| w.word.addr == addr).expect("one of them");
         match standing {
-            Standing::Apart(addr) if apart_for <= apart => {
+            SyncState::Diverged(addr) if apart_for <= apart => {
                 outcome.bytes += ask(&mut box_, &by_addr(addr).view, true, now);
             }
-            Standing::Behind(all) if asked_at + BEHIND_EVERY <= step => {
+            SyncState::Behind(all) if asked_at + BEHIND_EVERY <= step => {
                 asked_at = step;
                 let addr = all[rng.random_range(0..all.len())];
                 outcome.bytes += ask(&mut box_, &by_addr(addr).view, false, now);
--- a/tests/proxy_draining.rs
+++ b/tests/proxy_draining.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use frostdyke::fleet::draining::Draining;
+use frostdyke::fleet::draining::DrainNotice;
 use frostdyke::fleet::revision::Revision;
 use frostdyke::names::ServiceName;
 use frostdyke::names::UpstreamName;
@@ -10,7 +10,7 @@
 use frostdyke::names::ZoneName;
 use frostdyke::placement::registry::UpstreamRegistry;
 use frostdyke::placement::tuning::Tuning;
-use frostdyke::proxy::dialect::Listed;
+use frostdyke::proxy::adapter::UpstreamListing;
 use frostdyke::proxy::view::Snapshot;
 use frostdyke::proxy::view::View;
 
@@ -22,34 +22,34 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn upstream(name: &str, born: u64) -> Listed {
-    Listed {
+fn upstream(name: &str, born: u64) -> UpstreamListing {
+    UpstreamListing {
         name: UpstreamName::from(name),
         service: ServiceName::from("s"),
         addr: ([127, 0, 0, 1], 80).into(),
         zone: ZoneName::from("z"),
         version: VersionName::from("v1"),
         slots: 1,
-        born: Some(born),
+        started_at_ms: Some(born),
         leaving: false,
         cold_for: None,
     }
 }
 
-fn all() -> Vec<Listed> {
+fn all() -> Vec<UpstreamListing> {
     vec![upstream("a", BORN), upstream("b", BORN)]
 }
 
-fn notice(born: Option<u64>) -> Draining {
-    Draining { upstream: UpstreamName::from("a"), born, said_at: SAID_AT }
+fn notice(born: Option<u64>) -> DrainNotice {
+    DrainNotice { upstream: UpstreamName::from("a"), started_at_ms: born, answered_at_ms: SAID_AT }
 }
 
 /// A view that sees the store, and to which `a` has said that it drains.
 fn view() -> View {
     let mut view = View::new(UpstreamRegistry::new(ZoneName::from("z"), Tuning::default()));
     view.store_regained(Duration::ZERO);
-    view.list(all(), Duration::ZERO);
-    assert!(view.drain(&notice(Some(BORN)), NOW));
+    view.set_upstreams(all(), Duration::ZERO);
+    assert!(view.apply_draining(&notice(Some(BORN)), NOW));
     view.take_changes();
     view
 }
@@ -65,8 +65,8 @@
 #[test]
 fn a_listing_of_the_same_incarnation_opens_nothing() {
     let mut view = view();
-    view.set(upstream("a", BORN), NOW + SECOND);
-    view.list(all(), NOW + SECOND);
+    view.set_upstream(upstream("a", BORN), NOW + SECOND);
+    view.set_upstreams(all(), NOW + SECOND);
     assert!(!is_open(&view));
     assert!(view.take_changes().is_empty());
 }
@@ -75,18 +75,18 @@
 #[test]
 fn an_entry_that_lapsed_and_is_back_opens_nothing() {
     let mut view = view();
-    view.gone(&UpstreamName::from("a"), NOW + SECOND);
+    view.entry_removed(&UpstreamName::from("a"), NOW + SECOND);
     assert!(view.is_barred(&UpstreamName::from("a")));
     view.tick(NOW + 12 * SECOND);
-    view.set(upstream("a", BORN), NOW + 12 * SECOND);
+    view.set_upstream(upstream("a", BORN), NOW + 12 * SECOND);
     assert!(!is_open(&view));
 }
 
 #[test]
 fn a_store_that_comes_back_from_an_older_copy_opens_nothing() {
     let mut view = view();
-    view.in_era(1, NOW + SECOND);
-    view.list(all(), NOW + SECOND);
+    view.enter_era(1, NOW + SECOND);
+    view.set_upstreams(all(), NOW + SECOND);
     view.tick(NOW + 10 * SECOND);
     assert!(!is_open(&view));
 }
@@ -97,18 +97,22 @@
     let mut view = view();
     view.store_lost();
     let revision = Revision::new(1, 5);
-    let snapshot = Snapshot { upstreams: all(), revision, is_sure: true, ..Snapshot::default() };
-    view.take_over(snapshot, NOW + SECOND);
-    view.told_listed(upstream("a", BORN), NOW + SECOND);
+    let snapshot =
+        Snapshot { upstreams: all(), revision, is_complete: true, ..Snapshot::default() };
+    view.apply_snapshot(snapshot, NOW + SECOND);
+    view.reported_listed(upstream("a", BORN), NOW + SECOND);
     assert!(!is_open(&view));
 }
 
 #[test]
 fn an_incarnation_after_the_notice_is_open() {
     let mut view = view();
-    view.set(upstream("a", SAID_AT + 1), NOW + SECOND);
+    view.set_upstream(upstream("a", SAID_AT + 1), NOW + SECOND);
     assert!(is_open(&view));
-    assert!(!view.drain(&notice(Some(BORN)), NOW + SECOND), "of the earlier incarnation, late");
+    assert!(
+        !view.apply_draining(&notice(Some(BORN)), NOW + SECOND),
+        "of the earlier incarnation, late"
+    );
     assert!(is_open(&view));
 }
 
@@ -117,7 +121,7 @@
 #[test]
 fn an_uncertain_incarnation_is_open_once_the_other_one_has_ended() {
     let mut view = view();
-    view.set(upstream("a", SAID_AT - 1), NOW + SECOND);
+    view.set_upstream(upstream("a", SAID_AT - 1), NOW + SECOND);
     view.tick(NOW + 20 * SECOND);
     assert!(!is_open(&view));
     view.tick(NOW + 31 * SECOND);
@@ -128,8 +132,8 @@
 fn a_listed_incarnation_stays_open_when_the_notice_of_an_earlier_one_comes() {
     let mut view = View::new(UpstreamRegistry::new(ZoneName::from("z"), Tuning::default()));
     view.store_regained(Duration::ZERO);
-    view.list(vec![upstream("a", SAID_AT + 1)], Duration::ZERO);
-    assert!(!view.drain(&notice(Some(BORN)), NOW));
+    view.set_upstreams(vec![upstream("a", SAID_AT + 1)], Duration::ZERO);
+    assert!(!view.apply_draining(&notice(Some(BORN)), NOW));
     assert!(is_open(&view));
 }
 
@@ -137,8 +141,8 @@
 #[test]
 fn a_notice_is_new_once() {
     let mut view = view();
-    assert!(!view.drain(&notice(Some(BORN)), NOW + SECOND));
-    assert!(!view.drain(&notice(None), NOW + SECOND));
+    assert!(!view.apply_draining(&notice(Some(BORN)), NOW + SECOND));
+    assert!(!view.apply_draining(&notice(None), NOW + SECOND));
 }
 
 /// All boxes have it from the store.
@@ -146,9 +150,12 @@
 fn a_notice_that_the_store_lists_is_not_new() {
     let mut view = View::new(UpstreamRegistry::new(ZoneName::from("z"), Tuning::default()));
     view.store_regained(Duration::ZERO);
-    view.list(vec![Listed { leaving: true, ..upstream("a", BORN) }], Duration::ZERO);
-    assert!(!view.drain(&notice(Some(BORN)), NOW));
-    view.set(upstream("a", BORN), NOW + SECOND);
+    view.set_upstreams(
+        vec![UpstreamListing { leaving: true, ..upstream("a", BORN) }],
+        Duration::ZERO,
+    );
+    assert!(!view.apply_draining(&notice(Some(BORN)), NOW));
+    view.set_upstream(upstream("a", BORN), NOW + SECOND);
     assert!(!is_open(&view));
 }
 
@@ -156,10 +163,10 @@
 #[test]
 fn an_upstream_that_isnt_listed_is_barred_by_its_notice() {
     let mut view = View::new(UpstreamRegistry::new(ZoneName::from("z"), Tuning::default()));
-    assert!(view.drain(&notice(None), NOW));
+    assert!(view.apply_draining(&notice(None), NOW));
     assert!(view.is_barred(&UpstreamName::from("a")));
     view.store_regained(NOW);
-    view.list(all(), NOW);
+    view.set_upstreams(all(), NOW);
     assert!(!is_open(&view));
 }
 
@@ -169,17 +176,17 @@
     let learned = view().learned(None);
     let mut started = View::new(UpstreamRegistry::new(ZoneName::from("z"), Tuning::default()));
     started.store_regained(NOW);
-    started.list(all(), NOW);
-    learned.draining.iter().for_each(|draining| _ = started.drain(draining, NOW));
+    started.set_upstreams(all(), NOW);
+    learned.draining.iter().for_each(|draining| _ = started.apply_draining(draining, NOW));
     assert!(!is_open(&started));
 }
 
 #[test]
 fn what_is_long_gone_is_forgotten() {
     let mut view = view();
-    view.gone(&UpstreamName::from("a"), NOW);
+    view.entry_removed(&UpstreamName::from("a"), NOW);
     view.tick(NOW + 5 * SECOND);
-    assert_eq!(view.draining().all().count(), 1);
+    assert_eq!(view.draining().iter().count(), 1);
     view.tick(NOW + 60 * SECOND);
-    assert_eq!(view.draining().all().count(), 0);
+    assert_eq!(view.draining().iter().count(), 0);
 }
