--- a/src/placement/engine.rs
+++ b/src/placement/engine.rs
@@ -14,9 +14,9 @@
 use crate::placement::speed::Speed;
 use crate::placement::speed::Work;
 use crate::placement::tuning::Tuning;
-use crate::proxy::routing_table::EngineLimits;
 use crate::proxy::adapter::Prompt;
 use crate::proxy::adapter::PromptPart;
+use crate::proxy::routing_table::EngineLimits;
 
 /// Requests whose end is not reported are dropped at this age, which exceeds the time that any
 /// request is held.
--- a/src/placement/registry.rs
+++ b/src/placement/registry.rs
@@ -30,8 +30,8 @@
 use crate::placement::tuning::Tuning;
 use crate::placement::upstream::Health;
 use crate::placement::upstream::Upstream;
-use crate::proxy::routing_table::EngineLimits;
 use crate::proxy::adapter::UpstreamListing;
+use crate::proxy::routing_table::EngineLimits;
 
 /// All upstreams known to this box.
 #[derive(Debug)]
--- a/src/placement/upstream.rs
+++ b/src/placement/upstream.rs
@@ -16,8 +16,8 @@
 use crate::placement::speed::Speed;
 use crate::placement::speed::Work;
 use crate::placement::tuning::Tuning;
-use crate::proxy::adapter::UpstreamListing;
 use crate::proxy::adapter::Prompt;
+use crate::proxy::adapter::UpstreamListing;
 
 /// Fewest tokens worth a copy: twice those that are prefilled in the time of its setup.
 pub const COPY_TOKENS_MIN: u32 = 400;
