--- a/src/placement/admit.rs
+++ b/src/placement/admit.rs
@@ -64,7 +64,7 @@
     /// The engines that may be chosen; `None` allows all of the service.
     pub group: Option<EngineGroup>,
     /// The versions that may be chosen.
-    pub side: VersionFilter,
+    pub version_filter: VersionFilter,
     /// The availability zone of the sending box; `None` for this box's.
     pub zone: Option<&'a ZoneName>,
     /// The sending box; `None` for this one.
@@ -113,7 +113,7 @@
         wait_max_idle: idle.saturating_sub(query.waited),
         any_engine: share_used <= ANY_ENGINE_SHARE_MAX,
         group: query.group,
-        side: query.side,
+        version_filter: query.version_filter,
         zone: query.zone,
         source: query.source,
         role: query.role,
--- a/src/placement/choice.rs
+++ b/src/placement/choice.rs
@@ -38,7 +38,7 @@
     /// The engines that may be chosen; `None` allows all of the service.
     pub group: Option<EngineGroup>,
     /// The versions that may be chosen while a version is rolled out.
-    pub side: VersionFilter,
+    pub version_filter: VersionFilter,
     /// The availability zone of the sending box; `None` for this box's.
     pub zone: Option<&'a ZoneName>,
     /// An engine that may not be chosen but has part of the prompt cached.
@@ -63,7 +63,7 @@
             wait_max_idle: wait_max,
             any_engine: true,
             group: None,
-            side: VersionFilter::Any,
+            version_filter: VersionFilter::Any,
             zone: None,
             source: None,
             role: Role::Unassigned,
--- a/src/placement/plain.rs
+++ b/src/placement/plain.rs
@@ -128,7 +128,7 @@
     /// Upstreams that may not be chosen.
     pub excluded: &'a [UpstreamName],
     /// The versions that may be chosen.
-    pub side: VersionFilter,
+    pub version_filter: VersionFilter,
     /// The route's target for the time to the response.
     pub target_latency: Duration,
     /// How much of that time has passed.
--- a/src/placement/registry.rs
+++ b/src/placement/registry.rs
@@ -105,7 +105,7 @@
     }
 
     /// The filter of its service's roll-out that an upstream of this version passes.
-    pub fn side_of(&self, service: &str, version: &VersionName) -> VersionFilter {
+    pub fn version_filter_for(&self, service: &str, version: &VersionName) -> VersionFilter {
         match self.rollout_targets.get(service) {
             None => VersionFilter::Any,
             Some(target) if target == version => VersionFilter::Target,
@@ -113,17 +113,24 @@
         }
     }
 
-    fn matches_side(&self, side: VersionFilter, upstream: &Upstream) -> bool {
+    fn matches_version_filter(&self, version_filter: VersionFilter, upstream: &Upstream) -> bool {
         let listed = &upstream.listed;
         // Usually nothing is being rolled out.
-        side == VersionFilter::Any
-            || matches!(self.side_of(&listed.service, &listed.version), VersionFilter::Any)
-            || self.side_of(&listed.service, &listed.version) == side
+        version_filter == VersionFilter::Any
+            || matches!(
+                self.version_filter_for(&listed.service, &listed.version),
+                VersionFilter::Any
+            )
+            || self.version_filter_for(&listed.service, &listed.version) == version_filter
     }
 
     /// Whether an upstream may get a request with this filter. An upstream that is not listed may.
-    pub fn allows_side(&self, name: &UpstreamName, side: VersionFilter) -> bool {
-        self.upstreams.get(name).is_none_or(|u| self.matches_side(side, u))
+    pub fn allows_version_filter(
+        &self,
+        name: &UpstreamName,
+        version_filter: VersionFilter,
+    ) -> bool {
+        self.upstreams.get(name).is_none_or(|u| self.matches_version_filter(version_filter, u))
     }
 
     /// Slots of a service's upstreams that accept requests: those of this version, and those of all
@@ -351,7 +358,7 @@
             .of_service(criteria.service, criteria.group)
             .filter_map(|name| self.examine(name))
             .filter(|u| self.is_accepting(u))
-            .filter(|u| self.matches_side(criteria.side, u))
+            .filter(|u| self.matches_version_filter(criteria.version_filter, u))
             .filter(|u| !criteria.excluded.contains(&u.listed.name))
             .collect();
         let available: Vec<&Upstream> =
--- a/src/placement/registry/plain.rs
+++ b/src/placement/registry/plain.rs
@@ -23,7 +23,8 @@
         now: Duration,
     ) -> Result<(Choice, Duration), ChoiceError> {
         let any = SelectionCriteria::any(query.service, None, query.excluded, Duration::MAX);
-        let usable = self.usable(SelectionCriteria { side: query.side, ..any }, now);
+        let usable =
+            self.usable(SelectionCriteria { version_filter: query.version_filter, ..any }, now);
         let rank = |u: &&&Upstream| {
             let running = u.plain.running();
             let time = u.plain.wait(u.listed.slots) + u.plain.processing_time();
--- a/src/placement/registry/selection.rs
+++ b/src/placement/registry/selection.rs
@@ -131,7 +131,7 @@
             .leaving(criteria.service)
             .filter_map(|name| self.examine(name))
             .filter(|u| !u.is_unverified() && !self.closed_zones.contains(&u.listed.zone))
-            .filter(|u| self.matches_side(criteria.side, u))
+            .filter(|u| self.matches_version_filter(criteria.version_filter, u))
             .filter_map(|u| Some(source(u, u.engine.as_ref()?.cached_tokens(prompt))));
         staying.chain(leaving).chain(criteria.source).max_by_key(|s| s.cached)
     }
@@ -142,11 +142,11 @@
         &self,
         service: &str,
         prompt: &Prompt,
-        side: VersionFilter,
+        version_filter: VersionFilter,
         avoided: Option<EngineGroup>,
     ) -> Option<u64> {
         self.home_among(service, prompt, avoided, |u| {
-            self.is_accepting(u) && self.matches_side(side, u)
+            self.is_accepting(u) && self.matches_version_filter(version_filter, u)
         })
     }
 
@@ -156,10 +156,12 @@
         &self,
         service: &str,
         prompt: &Prompt,
-        side: VersionFilter,
+        version_filter: VersionFilter,
         avoided: EngineGroup,
     ) -> Option<u64> {
-        self.home_among(service, prompt, Some(avoided), |u| self.matches_side(side, u))
+        self.home_among(service, prompt, Some(avoided), |u| {
+            self.matches_version_filter(version_filter, u)
+        })
     }
 
     /// The engine with the most of a prompt cached, if any has some.
--- a/src/proxy/engine_placement.rs
+++ b/src/proxy/engine_placement.rs
@@ -141,8 +141,9 @@
     let mut query = query;
     let mut last_denied = None;
     for n in 1..=GROUPS_PER_REQUEST_MAX {
-        let home =
-            hub.read(|v| v.fleet().home(query.service, query.prompt, query.side, query.group));
+        let home = hub.read(|v| {
+            v.fleet().home(query.service, query.prompt, query.version_filter, query.group)
+        });
         let Some(group) = home.map(|hash| owners.group(hash)) else { break };
         query.group = Some(group);
         query.is_last_group = n == GROUPS_PER_REQUEST_MAX;
@@ -245,7 +246,7 @@
             group,
         ));
         match request_decision(hub, ip, request, &message).await {
-            Some(Ok(choice)) if is_stale_choice(hub, ip, &choice, query.side) => {
+            Some(Ok(choice)) if is_stale_choice(hub, ip, &choice, query.version_filter) => {
                 notices::resend(hub, &choice.upstream, ip);
             }
             // The backoff began while this box waited for the owner.
@@ -285,7 +286,7 @@
     group: EngineGroup,
 ) -> Option<CopySource> {
     let home = hub.read(|v| {
-        v.fleet().home_including_leaving(query.service, query.prompt, query.side, group)
+        v.fleet().home_including_leaving(query.service, query.prompt, query.version_filter, group)
     })?;
     let other_group = owners.group(home);
     let query = PlacementQuery { group: Some(other_group), purpose: Purpose::Lookup, ..query };
@@ -306,7 +307,7 @@
         workspace: query.workspace.cloned(),
         zone: hub.peers().zone().clone(),
         excluded: excluded_in(query, group),
-        side: query.side,
+        version_filter: query.version_filter,
         aim_ms: duration_ms(query.target_latency),
         waited_ms: duration_ms(query.waited),
         source: query.source,
@@ -328,9 +329,15 @@
 
 /// Whether an owner has chosen an upstream that must get no requests, because the owner was
 /// partitioned or stalled and its state is stale.
-pub fn is_stale_choice(hub: &Hub, ip: IpAddr, choice: &Choice, side: VersionFilter) -> bool {
+pub fn is_stale_choice(
+    hub: &Hub,
+    ip: IpAddr,
+    choice: &Choice,
+    version_filter: VersionFilter,
+) -> bool {
     let is_stale = hub.read(|view| {
-        view.is_barred(&choice.upstream) || !view.fleet().allows_side(&choice.upstream, side)
+        view.is_barred(&choice.upstream)
+            || !view.fleet().allows_version_filter(&choice.upstream, version_filter)
     });
     if is_stale {
         let upstream = choice.upstream.as_str();
@@ -371,7 +378,7 @@
         prompt: &prompt,
         workspace: message.workspace.as_ref(),
         excluded: &message.excluded,
-        side: message.side,
+        version_filter: message.version_filter,
         target_latency: Duration::from_millis(message.aim_ms.into()),
         waited: Duration::from_millis(message.waited_ms.into()),
         group: Some(message.group),
--- a/src/proxy/message.rs
+++ b/src/proxy/message.rs
@@ -155,7 +155,7 @@
     /// Engines that are out of the question.
     pub excluded: Vec<UpstreamName>,
     /// The versions that it may go to.
-    pub side: VersionFilter,
+    pub version_filter: VersionFilter,
     /// The route's aim, in milliseconds.
     pub aim_ms: u32,
     /// Time that the request has waited already, in milliseconds.
--- a/src/proxy/plain_placement.rs
+++ b/src/proxy/plain_placement.rs
@@ -43,7 +43,7 @@
     /// Upstreams that must not be chosen.
     pub excluded: Vec<UpstreamName>,
     /// The versions that may serve it.
-    pub side: VersionFilter,
+    pub version_filter: VersionFilter,
     /// The route's target latency, in milliseconds.
     pub aim_ms: u32,
     /// How long the request has already waited, in milliseconds.
@@ -85,7 +85,9 @@
         let message =
             Message::PlainPlacementRequest(placement_request(&PlainQuery { request, ..query }));
         match engine_placement::request_decision(hub, ip, request, &message).await {
-            Some(Ok(choice)) if engine_placement::is_stale_choice(hub, ip, &choice, query.side) => {
+            Some(Ok(choice))
+                if engine_placement::is_stale_choice(hub, ip, &choice, query.version_filter) =>
+            {
                 notices::resend(hub, &choice.upstream, ip);
             }
             // The backoff began while this box waited for the owner.
@@ -113,7 +115,7 @@
         service: &message.service,
         workspace: message.workspace.as_ref(),
         excluded: &message.excluded,
-        side: message.side,
+        version_filter: message.version_filter,
         target_latency: Duration::from_millis(message.aim_ms.into()),
         waited: Duration::from_millis(message.waited_ms.into()),
         zone: &message.zone,
@@ -164,7 +166,7 @@
         workspace: query.workspace.cloned(),
         zone: query.zone.clone(),
         excluded: query.excluded.iter().take(engine_placement::EXCLUDED_MAX).cloned().collect(),
-        side: query.side,
+        version_filter: query.version_filter,
         aim_ms: engine_placement::duration_ms(query.target_latency),
         waited_ms: engine_placement::duration_ms(query.waited),
     }
--- a/src/proxy/upstream_selection.rs
+++ b/src/proxy/upstream_selection.rs
@@ -36,9 +36,9 @@
     pub async fn place(&mut self) -> Result<(Choice, PlacedRequest), Refusal> {
         let attempt = format!("{}/{}", self.head.id, self.tried.len());
         let request = xxh3_64(attempt.as_bytes());
-        let side = self.side();
-        let mut decision = self.decide(request, side).await;
-        let target_denied = side == VersionFilter::Target && decision.result.is_err();
+        let version_filter = self.version_filter();
+        let mut decision = self.decide(request, version_filter).await;
+        let target_denied = version_filter == VersionFilter::Target && decision.result.is_err();
         if target_denied && self.response_version.is_none() && self.may_fall_back() {
             decision = self.decide(request, VersionFilter::Others).await;
         }
@@ -54,16 +54,16 @@
         Ok((choice, placed))
     }
 
-    async fn decide(&self, request: u64, side: VersionFilter) -> PlacementDecision {
+    async fn decide(&self, request: u64, version_filter: VersionFilter) -> PlacementDecision {
         match &self.head.prompt {
-            Some(prompt) => self.place_prompt(prompt, request, side).await,
-            None => self.place_plain(request, side).await,
+            Some(prompt) => self.place_prompt(prompt, request, version_filter).await,
+            None => self.place_plain(request, version_filter).await,
         }
     }
 
     /// The versions that may serve the request. A response that has begun is resumed by the version
     /// that began it.
-    fn side(&self) -> VersionFilter {
+    fn version_filter(&self) -> VersionFilter {
         let (rollouts, now) = (self.hub.rollouts(), self.hub.now());
         match &self.response_version {
             Some(version) => rollouts.version_filter_for(&self.service, version, now),
@@ -79,7 +79,7 @@
         &self,
         prompt: &Prompt,
         request: u64,
-        side: VersionFilter,
+        version_filter: VersionFilter,
     ) -> PlacementDecision {
         let excluded = self.excluded();
         let query = PlacementQuery {
@@ -91,7 +91,7 @@
             target_latency: self.route.aim,
             waited: self.hub.now().saturating_sub(self.arrived),
             group: None,
-            side,
+            version_filter,
             zone: None,
             sender: None,
             source: None,
@@ -102,7 +102,7 @@
         engine_placement::place(&self.hub, query).await
     }
 
-    async fn place_plain(&self, request: u64, side: VersionFilter) -> PlacementDecision {
+    async fn place_plain(&self, request: u64, version_filter: VersionFilter) -> PlacementDecision {
         let now = self.hub.now();
         let resting = self.hub.read(|view| view.fleet().unavailable(&self.service, now));
         let excluded: Vec<UpstreamName> = self.excluded().into_iter().chain(resting).collect();
@@ -111,7 +111,7 @@
             service: &self.service,
             workspace: self.workspace.as_ref(),
             excluded: &excluded,
-            side,
+            version_filter,
             target_latency: self.route.aim,
             waited: self.hub.now().saturating_sub(self.arrived),
             zone: self.hub.peers().zone(),
@@ -120,15 +120,15 @@
         match plain_placement::place(&self.hub, query).await {
             Some(decision) if !decision.has_no_upstream() => decision,
             // Neither owner nor standby responds, or all that are left are unavailable.
-            _ => self.choose_uncounted(request, side),
+            _ => self.choose_uncounted(request, version_filter),
         }
     }
 
     /// Chooses any upstream of a plain service, without counting the request anywhere.
-    fn choose_uncounted(&self, request: u64, side: VersionFilter) -> PlacementDecision {
+    fn choose_uncounted(&self, request: u64, version_filter: VersionFilter) -> PlacementDecision {
         let excluded = self.excluded();
         let any = SelectionCriteria::any(&self.service, None, &excluded, Duration::MAX);
-        let criteria = SelectionCriteria { side, ..any };
+        let criteria = SelectionCriteria { version_filter, ..any };
         let denial = |cause| Denial {
             cause,
             share_used: 0.0,
--- a/tests/fleet_rollout.rs
+++ b/tests/fleet_rollout.rs
@@ -215,8 +215,8 @@
             return;
         }
         let draw = self.rng.random_range(0.0..1.0);
-        let side = self.boxes[n].rollouts.version_filter("llm", draw, self.time());
-        let is_target = side == VersionFilter::Target;
+        let version_filter = self.boxes[n].rollouts.version_filter("llm", draw, self.time());
+        let is_target = version_filter == VersionFilter::Target;
         let route = self.rng.random_range(0..4u32);
         let mut ms = 100.0 * 2f64.powf(self.rng.random_range(-0.5..1.5));
         let mut has_failed = self.rng.random_bool(0.02);
--- a/tests/proxy_admit.rs
+++ b/tests/proxy_admit.rs
@@ -86,7 +86,7 @@
             prompt: &prompt,
             workspace: Some(&name(workspace)),
             excluded: &[],
-            side: VersionFilter::Any,
+            version_filter: VersionFilter::Any,
             target_latency: AIM,
             waited: Duration::ZERO,
             group,
--- a/tests/proxy_plain.rs
+++ b/tests/proxy_plain.rs
@@ -133,7 +133,7 @@
         service: "ledger",
         workspace: None,
         excluded: &[],
-        side: VersionFilter::Any,
+        version_filter: VersionFilter::Any,
         target_latency: AIM,
         waited: Duration::ZERO,
         zone,
