--- a/src/proxy/connection_limiter.rs
+++ b/src/proxy/connection_limiter.rs
@@ -1,60 +1,64 @@
-//! Whom a crowded box lets in.
+//! Limits which new connections an overloaded box accepts.
 //!
-//! A caller who is turned away at once tries another box in time; one who is let in to wait, or whose
-//! connection nobody takes, loses a second. What can be begun soon is let in, the rest is told so
-//! ([`crate::proxy::connection_rejecter`]).
+//! A caller that is rejected at once tries another box in time; one that waits for a response, or
+//! whose connection is not accepted, loses a second. Only as many connections are admitted as the
+//! box can soon start to serve; [`crate::proxy::connection_rejecter`] answers the others.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Requests that a whole core can begin to serve at a time, from the connection to the send. That is less
-/// than half of a request's 0.7 ms of processor time (bench `cost`), so the last of them waits for
-/// some 0.1 s, a sixth of the shortest usual aim for a first token.
-const STARTS_PER_CORE: f64 = 300.0;
+/// Requests that a whole core can have between the connection and the send at a time. Starting one
+/// takes less than half of a request's 0.7 ms of processor time (bench `cost`), so the last of them
+/// waits for some 0.1 s, a sixth of the shortest usual target latency of a first token.
+const STARTING_PER_CORE: f64 = 300.0;
 
-/// Fewest of them.
-const STARTS_MIN: f64 = 8.0;
+/// Lower bound of [`ConnectionLimiter::starting_max`].
+const STARTING_MIN: f64 = 8.0;
 
-/// A connection on which no request has come for this long is none that is about to: some round trips.
-const FRESH_FOR: Duration = Duration::from_millis(50);
+/// A new connection without a request counts as about to send one for this long: some round trips.
+const FIRST_REQUEST_WINDOW: Duration = Duration::from_millis(50);
 
-/// Who is let in.
+/// Decides which new connections are admitted.
 #[derive(Debug)]
 pub struct ConnectionLimiter {
-    starts_max: usize,
-    /// Connections on which the first request hasn't come.
-    fresh: Vec<(Duration, Arc<AtomicBool>)>,
+    /// Requests that may be waiting to be sent at a time.
+    starting_max: usize,
+    /// When each connection without a request was admitted, and whether its first request has
+    /// arrived since.
+    awaiting_request: Vec<(Duration, Arc<AtomicBool>)>,
 }
 
-/// A connection that was let in.
+/// An admitted connection.
 #[derive(Debug)]
 pub struct AdmittedConnection(Arc<AtomicBool>);
 
 impl AdmittedConnection {
-    /// Notes that its first request has come.
+    /// Records that a request has arrived on the connection.
     pub fn note_request(&self) {
         self.0.store(true, Ordering::Relaxed);
     }
 }
 
 impl ConnectionLimiter {
-    /// The door of a box that may use this part of a core.
+    /// The limiter of a box that may use `cores` of a core.
     pub fn new(cores: f64) -> ConnectionLimiter {
-        let starts_max = (cores * STARTS_PER_CORE).max(STARTS_MIN) as usize;
-        ConnectionLimiter { starts_max, fresh: Vec::new() }
+        let starting_max = (cores * STARTING_PER_CORE).max(STARTING_MIN) as usize;
+        ConnectionLimiter { starting_max, awaiting_request: Vec::new() }
     }
 
-    /// Lets a caller in, unless there is no room beside the requests that have come and not been sent
-    /// yet, and those that are about to come.
-    pub fn try_admit(&mut self, starts: usize, now: Duration) -> Option<AdmittedConnection> {
-        self.fresh.retain(|(at, asked)| now < *at + FRESH_FOR && !asked.load(Ordering::Relaxed));
-        if self.starts_max <= starts + self.fresh.len() {
+    /// Admits a connection, unless the `starting` requests that have arrived but are not sent yet,
+    /// and those expected on new connections, reach the limit.
+    pub fn try_admit(&mut self, starting: usize, now: Duration) -> Option<AdmittedConnection> {
+        self.awaiting_request.retain(|(at, has_request)| {
+            now < *at + FIRST_REQUEST_WINDOW && !has_request.load(Ordering::Relaxed)
+        });
+        if self.starting_max <= starting + self.awaiting_request.len() {
             return None;
         }
-        let asked = Arc::new(AtomicBool::new(false));
-        self.fresh.push((now, asked.clone()));
-        Some(AdmittedConnection(asked))
+        let has_request = Arc::new(AtomicBool::new(false));
+        self.awaiting_request.push((now, has_request.clone()));
+        Some(AdmittedConnection(has_request))
     }
 }
--- a/src/proxy/connection_rejecter.rs
+++ b/src/proxy/connection_rejecter.rs
@@ -1,8 +1,8 @@
-//! Callers whom a crowded box doesn't let in: told so, as cheaply as can be.
+//! Answers the connections that an overloaded box doesn't admit, at low cost.
 //!
-//! A caller whose connection is closed unread doesn't know whether its request ran, nor when to come
-//! back. One that is told so goes to another box at once. The answer is prepared; a connection is
-//! only read, written and closed, and never seen by the runtime.
+//! A caller whose connection is closed unread doesn't know whether its request ran, nor when to
+//! retry. One that gets a refusal goes to another box at once. The response is prepared in advance,
+//! and the connections are polled without registering them with the runtime.
 
 use std::io;
 use std::io::Read;
@@ -19,157 +19,160 @@
 use crate::proxy::answer::Refusal;
 use crate::proxy::hub::Hub;
 
-/// Connections that may wait for their requests; what comes beyond them is closed unread. A box of
-/// 0.12 cores turns away some 1,000 a second at the most, so these are half a second's.
-const WAITING_MAX: usize = 512;
+/// Rejected connections handled at a time; further ones are closed unread. A box of 0.12 cores
+/// rejects at most some 1,000 a second, so this is half a second's worth.
+const CONNECTIONS_MAX: usize = 512;
 
-/// Time between looks for requests: a round trip to callers in the same region. On a connection where
-/// nothing has come, twice as long each time.
-const LOOK_EVERY: Duration = Duration::from_millis(8);
+/// Time between polls of a connection: a round trip to callers in the same region. It doubles with
+/// each poll of a connection on which nothing has arrived.
+const POLL_INTERVAL: Duration = Duration::from_millis(8);
 
-/// A connection on which nothing has come for this long is closed: callers wait no longer for a box
-/// to begin, either.
-const FIRST_BYTES_WITHIN: Duration = Duration::from_secs(1);
+/// A connection on which nothing has arrived for this long is closed: callers wait no longer for a
+/// response to begin, either.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Once the answer is sent, the rest of the request is read for so long, since to close a connection
-/// with unread bytes takes the answer back: many round trips, for bodies longer than a window.
-const REST_WITHIN: Duration = Duration::from_millis(150);
+/// Time for which the rest of the request is read after the response: closing a connection with
+/// unread bytes resets it, and the caller loses the response. Many round trips, for bodies longer
+/// than a window.
+const READ_REST_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Bytes read at a time: most requests whole.
-const BUF: usize = 32 << 10;
+/// Size of the read buffer in bytes, which holds most requests whole.
+const BUF_LEN: usize = 32 << 10;
 
-/// Most headers of a head in which the length of the body is looked for.
+/// Maximum number of headers of a request whose body length is parsed.
 const HEADERS_MAX: usize = 64;
 
-/// Takes callers who are turned away.
+/// Hands rejected connections to the task that answers them.
 #[derive(Clone, Debug)]
 pub struct ConnectionRejecter(mpsc::Sender<TcpStream>);
 
 impl ConnectionRejecter {
-    /// Starts to tell callers so.
+    /// Starts the task.
     pub fn start(hub: Arc<Hub>) -> ConnectionRejecter {
-        let (tx, rx) = mpsc::channel(WAITING_MAX);
+        let (tx, rx) = mpsc::channel(CONNECTIONS_MAX);
         tokio::spawn(run(hub, rx));
         ConnectionRejecter(tx)
     }
 
-    /// Tells the caller on a new connection, as soon as its request comes. Where too many wait for
-    /// that, the connection is closed.
-    pub fn turn_away(&self, stream: TcpStream) {
-        // Dropped if there is no room.
+    /// Answers a connection as soon as its request arrives, or closes it at once if too many others
+    /// are waiting.
+    pub fn reject(&self, stream: TcpStream) {
+        // A full queue drops the stream, which closes it.
         let _ = self.0.try_send(stream);
     }
 }
 
 async fn run(hub: Arc<Hub>, mut rx: mpsc::Receiver<TcpStream>) {
-    let prepared = answer::prepared(Refusal::BoxBusy);
-    let mut buf = vec![0; BUF];
-    let mut waiting: Vec<RejectedConnection> = Vec::new();
+    let response = answer::prepared(Refusal::BoxBusy);
+    let mut buf = vec![0; BUF_LEN];
+    let mut connections: Vec<RejectedConnection> = Vec::new();
     loop {
-        if waiting.is_empty() {
+        if connections.is_empty() {
             let Some(stream) = rx.recv().await else { return };
-            waiting.extend(RejectedConnection::new(stream));
+            connections.extend(RejectedConnection::new(stream));
         }
-        while waiting.len() < WAITING_MAX
+        while connections.len() < CONNECTIONS_MAX
             && let Ok(stream) = rx.try_recv()
         {
-            waiting.extend(RejectedConnection::new(stream));
+            connections.extend(RejectedConnection::new(stream));
         }
-        waiting.retain_mut(|turned| {
-            let goes_on = !turned.is_due() || turned.step(&prepared, &mut buf);
-            if !goes_on && turned.is_answered() {
+        connections.retain_mut(|connection| {
+            let keeps = !connection.is_due() || connection.step(&response, &mut buf);
+            if !keeps && connection.is_answered() {
                 hub.metrics().refused(Refusal::BoxBusy.code());
             }
-            goes_on
+            keeps
         });
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// A connection whose caller is turned away.
+/// A connection that is answered with a refusal.
 #[derive(Debug)]
 pub struct RejectedConnection {
     stream: TcpStream,
     stage: Stage,
+    /// When the current stage ends at the latest.
     until: Instant,
-    /// When to look for bytes again, and how long after that.
-    look_at: Instant,
-    pause: Duration,
+    next_poll: Instant,
+    poll_interval: Duration,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// Nothing has come.
-    Silent,
-    /// The answer is sent; so many bytes of the request are still to come.
-    Told { left: usize },
+    /// Nothing has arrived.
+    AwaitingRequest,
+    /// The response is sent; `left` bytes of the request are still to be read.
+    Responded { left: usize },
 }
 
 impl RejectedConnection {
-    /// Nothing if the caller is gone already.
+    /// Returns `None` if the caller has closed the connection already.
     pub fn new(stream: TcpStream) -> Option<RejectedConnection> {
         stream.set_nonblocking(true).ok()?;
         let now = Instant::now();
-        let until = now + FIRST_BYTES_WITHIN;
+        let until = now + REQUEST_TIMEOUT;
         Some(RejectedConnection {
             stream,
-            stage: Stage::Silent,
+            stage: Stage::AwaitingRequest,
             until,
-            look_at: now,
-            pause: LOOK_EVERY,
+            next_poll: now,
+            poll_interval: POLL_INTERVAL,
         })
     }
 
-    /// Whether the caller was told.
+    /// Whether the refusal was sent.
     pub fn is_answered(&self) -> bool {
-        self.stage != Stage::Silent
+        self.stage != Stage::AwaitingRequest
     }
 
-    /// Whether it is time to look for bytes.
+    /// Whether it is time to poll the connection.
     pub fn is_due(&self) -> bool {
-        self.look_at <= Instant::now()
+        self.next_poll <= Instant::now()
     }
 
-    /// Reads what has come, and sends `answer` if it hasn't been; false when all is done that can be.
-    pub fn step(&mut self, answer: &[u8], buf: &mut [u8]) -> bool {
+    /// Reads what has arrived and sends `response` if it hasn't been sent. Returns whether to poll
+    /// again.
+    pub fn step(&mut self, response: &[u8], buf: &mut [u8]) -> bool {
         let now = Instant::now();
         match self.stream.read(buf) {
             Ok(0) => false,
-            Ok(n) => self.take(&buf[..n], answer, now),
+            Ok(n) => self.receive(&buf[..n], response, now),
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                self.look_at = (now + self.pause).min(self.until);
-                self.pause *= if self.is_answered() { 1 } else { 2 };
+                self.next_poll = (now + self.poll_interval).min(self.until);
+                self.poll_interval *= if self.is_answered() { 1 } else { 2 };
                 now < self.until
             }
-            // The caller is gone.
+            // The caller has reset the connection.
             Err(_) => false,
         }
     }
 
-    fn take(&mut self, bytes: &[u8], answer: &[u8], now: Instant) -> bool {
+    fn receive(&mut self, bytes: &[u8], response: &[u8], now: Instant) -> bool {
         let left = match self.stage {
-            Stage::Silent => {
-                // Short, and the first on this connection, so it fits.
-                if !matches!(self.stream.write(answer), Ok(n) if n == answer.len()) {
+            Stage::AwaitingRequest => {
+                // The response is short and the first on this connection, so it fits the send
+                // buffer.
+                if !matches!(self.stream.write(response), Ok(n) if n == response.len()) {
                     return false;
                 }
-                (self.until, self.pause) = (now + REST_WITHIN, LOOK_EVERY);
-                unread(bytes)
+                (self.until, self.poll_interval) = (now + READ_REST_TIMEOUT, POLL_INTERVAL);
+                bytes_left(bytes)
             }
-            Stage::Told { left } => left.saturating_sub(bytes.len()),
+            Stage::Responded { left } => left.saturating_sub(bytes.len()),
         };
-        self.stage = Stage::Told { left };
+        self.stage = Stage::Responded { left };
         if left == 0 {
-            // It is closed right after.
+            // An error doesn't matter: the connection is closed right after.
             let _ = self.stream.shutdown(Shutdown::Write);
         }
-        // Who sends on without end doesn't keep its place for it.
+        // A caller that keeps sending is cut off when its time is up.
         left != 0 && now < self.until
     }
 }
 
-/// How much of a request is to come after its first bytes; `usize::MAX` if that isn't known.
-fn unread(bytes: &[u8]) -> usize {
+/// Returns how many bytes of a request follow its first ones; `usize::MAX` if unknown.
+fn bytes_left(bytes: &[u8]) -> usize {
     let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
     let mut req = httparse::Request::new(&mut headers);
     let Ok(httparse::Status::Complete(head)) = req.parse(bytes) else { return usize::MAX };
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -1,4 +1,4 @@
-//! The callers' port.
+//! Accepts callers' connections and serves HTTP on them.
 
 use std::convert::Infallible;
 use std::io;
@@ -33,21 +33,24 @@
 use crate::proxy::table::Limits;
 use crate::proxy::upstream_connections;
 
-/// Pause after a failure to accept a connection.
+/// Pause after a connection could not be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
-/// Connections taken before others get their turn.
-const TAKEN_AT_ONCE: u64 = 64;
+/// Connections accepted in a row before the accept loop yields to other tasks.
+const ACCEPT_BATCH: u64 = 64;
 
-/// The smallest buffer for heads that `hyper` takes, in bytes.
+/// The smallest header buffer that `hyper` allows, in bytes.
 const HEAD_BUF_MIN: usize = 8 << 10;
 
-/// Added to the time for which connections may rest, so that a caller who comes back just in time
-/// still finds its own.
-const IDLE_SLACK: Duration = Duration::from_secs(1);
+/// Added to the idle timeout, so that a caller that reuses its connection just in time still finds
+/// it open.
+const IDLE_TIMEOUT_SLACK: Duration = Duration::from_secs(1);
 
-/// A port on which connections can be taken without anything else being done for them.
-#[expect(deprecated, reason = "a listener owns its descriptor; what replaces this call is unsafe")]
+/// Turns a listener into one that accepts connections without registering them with the runtime.
+#[expect(
+    deprecated,
+    reason = "a listener owns its descriptor; the replacement of this call is unsafe"
+)]
 pub fn listen(listener: TcpListener) -> io::Result<AsyncFd<std::net::TcpListener>> {
     AsyncFd::with_interest(listener.into_std()?, Interest::READABLE)
 }
@@ -57,35 +60,35 @@
     listener: AsyncFd<std::net::TcpListener>,
     mut limiter: ConnectionLimiter,
     hub: Arc<Hub>,
-    stopping: watch::Receiver<ShutdownPhase>,
+    shutdown: watch::Receiver<ShutdownPhase>,
 ) {
     let connections = Arc::new(Semaphore::new(hub.connections_max()));
-    let away = ConnectionRejecter::start(hub.clone());
-    let mut taken = 0;
+    let rejecter = ConnectionRejecter::start(hub.clone());
+    let mut accepted = 0;
     loop {
         let Ok(permit) = connections.clone().acquire_owned().await else { return };
         let stream = match accept(&listener).await {
             Ok(stream) => stream,
             Err(e) => {
-                // Out of descriptors, say: others may be closed meanwhile.
-                slog::warn!(hub.log(), "can't accept"; "error" => %e);
+                // For example out of descriptors: other connections may be closed during the pause.
+                slog::warn!(hub.log(), "cannot accept connection"; "error" => %e);
                 tokio::time::sleep(ACCEPT_PAUSE).await;
                 continue;
             }
         };
-        taken += 1;
-        if taken % TAKEN_AT_ONCE == 0 {
+        accepted += 1;
+        if accepted % ACCEPT_BATCH == 0 {
             tokio::task::yield_now().await;
         }
-        let Some(entered) = limiter.try_admit(hub.starts(), hub.now()) else {
+        let Some(admitted) = limiter.try_admit(hub.starts(), hub.now()) else {
             hub.turn_away();
-            away.turn_away(stream);
+            rejecter.reject(stream);
             continue;
         };
-        let (hub, stopping) = (hub.clone(), stopping.clone());
+        let (hub, shutdown) = (hub.clone(), shutdown.clone());
         tokio::spawn(async move {
             let connected = hub.connected();
-            serve_connection(stream, entered, hub, stopping).await;
+            serve_connection(stream, admitted, hub, shutdown).await;
             drop((connected, permit));
         });
     }
@@ -102,31 +105,31 @@
 
 async fn serve_connection(
     stream: std::net::TcpStream,
-    entered: AdmittedConnection,
+    admitted: AdmittedConnection,
     hub: Arc<Hub>,
-    stopping: watch::Receiver<ShutdownPhase>,
+    shutdown: watch::Receiver<ShutdownPhase>,
 ) {
     let stream = match register(stream) {
         Ok(stream) => stream,
-        // The caller is gone already.
+        // The caller has closed the connection already.
         Err(_) => return,
     };
     let limits = hub.table().map(|t| t.limits.clone()).unwrap_or_default();
     let service = service_fn(|req| {
-        entered.note_request();
-        respond(hub.clone(), stopping.clone(), req)
+        admitted.note_request();
+        respond(hub.clone(), shutdown.clone(), req)
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(rest(&limits))
+        .header_read_timeout(head_read_timeout(&limits))
         .max_buf_size(limits.head_bytes.max(HEAD_BUF_MIN))
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
-    // A caller that leaves, or sends what isn't HTTP, is its own business.
+    // Errors are ignored: the caller disconnected or didn't send valid HTTP.
     let _ = tokio::select! {
         ended = &mut connection => ended,
-        () = told_to_stop(stopping.clone()) => {
-            // One that rests is closed now: what came on it later might not end in time.
+        () = shutdown_begun(shutdown.clone()) => {
+            // Closes an idle connection now: a later request on it might not end in time.
             connection.as_mut().graceful_shutdown();
             connection.await
         }
@@ -140,34 +143,34 @@
     Ok(stream)
 }
 
-/// Waits until the process is told to stop. A connection that is made after that is not closed
-/// unused, since its caller could not know.
-async fn told_to_stop(mut stopping: watch::Receiver<ShutdownPhase>) {
-    if *stopping.borrow() != ShutdownPhase::Running {
+/// Waits until the shutdown begins. Never returns for a connection accepted after that, so that it
+/// isn't closed before its caller has sent a request.
+async fn shutdown_begun(mut shutdown: watch::Receiver<ShutdownPhase>) {
+    if *shutdown.borrow() != ShutdownPhase::Running {
         return std::future::pending().await;
     }
-    // An error means that the process ends.
-    let _ = stopping.wait_for(|stop| *stop != ShutdownPhase::Running).await;
+    // An error means that the process exits.
+    let _ = shutdown.wait_for(|phase| *phase != ShutdownPhase::Running).await;
 }
 
-/// `hyper` counts the time for a head from the end of the last answer, so it is the time for which
-/// the connection may rest, too.
-fn rest(limits: &Limits) -> Duration {
-    limits.idle_timeout.max(limits.head_timeout) + IDLE_SLACK
+/// The timeout for reading a request head. `hyper` measures it from the end of the previous
+/// response, so it is the idle timeout of the connection, too.
+fn head_read_timeout(limits: &Limits) -> Duration {
+    limits.idle_timeout.max(limits.head_timeout) + IDLE_TIMEOUT_SLACK
 }
 
 async fn respond(
     hub: Arc<Hub>,
-    stopping: watch::Receiver<ShutdownPhase>,
+    shutdown: watch::Receiver<ShutdownPhase>,
     req: Request<Incoming>,
 ) -> Result<Response<Body>, Infallible> {
-    let stop = *stopping.borrow();
-    let mut resp = match stop {
+    let phase = *shutdown.borrow();
+    let mut resp = match phase {
         ShutdownPhase::Refusing => answer::refusal(Refusal::Stopping),
         ShutdownPhase::Running | ShutdownPhase::Closing => request::serve(hub.clone(), req).await,
     };
-    // The caller's next connection leads to another box.
-    if *stopping.borrow() != ShutdownPhase::Running || hub.sends_away() {
+    // Closes the connection, so that the caller's next one leads to another box.
+    if *shutdown.borrow() != ShutdownPhase::Running || hub.sends_away() {
         resp.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     Ok(resp)
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -1,8 +1,8 @@
-//! The proxy: the process on each box that takes callers' requests to upstreams.
+//! The proxy: the process on each box that forwards callers' requests to upstreams.
 //!
-//! It learns routes, workspaces and upstreams from a [`dialect::Directory`], speaks with callers
-//! and upstreams through a [`dialect::Dialect`], and tells the other boxes by datagrams what it
-//! sends where. Everything runs on one thread.
+//! It watches routes, workspaces and upstreams through a [`dialect::Directory`], translates the
+//! headers of callers and upstreams through a [`dialect::Dialect`], and notifies the other boxes by
+//! datagrams of the requests that it sends. Everything runs on one thread.
 
 pub mod admission;
 pub mod answer;
@@ -81,60 +81,60 @@
 use crate::proxy::settings::Settings;
 use crate::stop::Signals;
 
-/// Time between looks at what is due.
-const TICK: Duration = NEWS_EVERY;
+/// Interval of the housekeeping task.
+const TICK_INTERVAL: Duration = NEWS_EVERY;
 
-/// Time between looks at the settings file, which may change without a signal.
-const SETTINGS_POLL: Duration = Duration::from_secs(1);
+/// Time between checks of the settings file, which may change without a signal.
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// After a stop signal the balancer still sends new callers for about two of its probes, a second
-/// each; the port stays open for them.
-const STOP_MIN: Duration = Duration::from_millis(2600);
+/// Shortest duration of a shutdown. The balancer sends new callers until it has seen two failed
+/// probes, a second each; the port stays open for them.
+const SHUTDOWN_MIN: Duration = Duration::from_millis(2600);
 
-/// Left of the time to stop when the process ends at the latest.
-const STOP_RESERVE: Duration = Duration::from_millis(400);
+/// The process exits at the latest this long before the end of its time to stop.
+const SHUTDOWN_RESERVE: Duration = Duration::from_millis(400);
 
-/// A box that has turned callers away says for this long that it isn't ready: the balancer takes two
-/// of its probes, a second each, to lead new connections elsewhere.
-const CROWDED_FOR: Duration = Duration::from_millis(2200);
+/// A box that has rejected connections reports that it isn't ready for this long: the balancer
+/// needs two failed probes, a second each, to send new connections elsewhere.
+const NOT_READY_AFTER_REJECTION: Duration = Duration::from_millis(2200);
 
-/// How far a stop has come.
+/// The phase of the process with regard to its shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownPhase {
-    /// No stop is asked for.
+    /// No shutdown was requested.
     Running,
-    /// Nothing is kept open, but who comes is served.
+    /// Connections are closed after use; new requests are still served.
     Closing,
-    /// Nobody should come any more; what does is refused, since it might not end in time.
+    /// New requests are refused, since they might not end in time.
     Refusing,
 }
 
-/// Why a proxy can't run.
+/// Why the proxy can't run.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A socket or the runtime can't be had.
+    /// A socket, the runtime or the signal handlers could not be set up.
     #[error("{what}: {source}")]
     Io { what: &'static str, source: io::Error },
-    /// The metrics can't be had.
+    /// The metrics could not be set up.
     #[error(transparent)]
     Metrics(#[from] metrics::Error),
 }
 
-/// Where the proxy runs: how its surroundings speak.
+/// Implementations that the proxy needs from the product that embeds it.
 pub struct Dependencies {
-    /// The headers of callers and upstreams.
+    /// Reads and writes the headers of callers and upstreams.
     pub dialect: Arc<dyn Dialect>,
-    /// Calls to engines beside requests.
+    /// Queries engines outside of callers' requests.
     pub engines: Arc<dyn Engines>,
-    /// The store.
+    /// Watches the store.
     pub directory: Arc<dyn Directory>,
-    /// What the store keeps for this product.
+    /// Records that this product keeps in the store.
     pub records: Arc<dyn Records>,
-    /// Where the operator reads how a roll-out goes.
+    /// Reports the progress of roll-outs to the operator.
     pub rollouts: Arc<dyn Rollouts>,
 }
 
-/// Runs a proxy until it is told to stop. `path` is the settings file, which is read again when it
+/// Runs the proxy until it receives a stop signal. The settings file at `path` is reloaded when it
 /// changes.
 pub fn run(cfg: Settings, path: &Path, deps: Dependencies) -> Result<(), Error> {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -165,9 +165,9 @@
     let hub = Hub::new(&cfg, clock, deps.dialect, engines, peers, metrics, log.clone());
     info!(log, "started"; "callers" => %cfg.callers, "zone" => cfg.identity.zone.as_str());
 
-    let (stop, stopping) = watch::channel(ShutdownPhase::Running);
-    let (due, is_due) = watch::channel(false);
-    follow(&hub, &*deps.directory, is_due);
+    let (phase, shutdown) = watch::channel(ShutdownPhase::Running);
+    let (store_due, is_store_due) = watch::channel(false);
+    watch_store(&hub, &*deps.directory, is_store_due);
     gossip::start(&hub);
     tokio::spawn(warm::up(hub.clone(), deps.engines.clone()));
     tokio::spawn(warm::keep(hub.clone(), deps.engines));
@@ -178,22 +178,22 @@
     if !cfg.is_first_start {
         tokio::spawn(suspects::recall(hub.clone(), deps.records));
     }
-    due.send_replace(hub.peers().is_store_due());
-    tokio::spawn(tick(hub.clone(), due));
+    store_due.send_replace(hub.peers().is_store_due());
+    tokio::spawn(run_housekeeping(hub.clone(), store_due));
     tokio::spawn(look::run(hub.clone()));
     tokio::spawn(reload(hub.clone(), path));
-    tokio::spawn(side::serve_ready(ready, hub.clone(), stopping.clone()));
+    tokio::spawn(side::serve_ready(ready, hub.clone(), shutdown.clone()));
     tokio::spawn(side::serve_peers(peer_port, hub.clone()));
     tokio::spawn(listener::serve(
         callers,
         ConnectionLimiter::new(cfg.cores),
         hub.clone(),
-        stopping,
+        shutdown,
     ));
 
     signals.next().await;
     info!(log, "stopping"; "in_flight" => hub.in_flight());
-    drain(&hub, &stop, cfg.stop_within).await;
+    shut_down(&hub, &phase, cfg.stop_within).await;
     info!(log, "stopped"; "in_flight" => hub.in_flight());
     Ok(())
 }
@@ -202,42 +202,42 @@
     TcpListener::bind(addr).await.map_err(|source| Error::Io { what, source })
 }
 
-fn follow(hub: &Arc<Hub>, directory: &dyn Directory, is_due: watch::Receiver<bool>) {
+fn watch_store(hub: &Arc<Hub>, directory: &dyn Directory, is_due: watch::Receiver<bool>) {
     let (tx, mut rx) = mpsc::unbounded_channel();
     directory.follow(tx, is_due);
     let hub = hub.clone();
     tokio::spawn(async move {
-        while let Some(news) = rx.recv().await {
-            state_updates::apply_store_update(&hub, news);
+        while let Some(update) = rx.recv().await {
+            state_updates::apply_store_update(&hub, update);
         }
     });
 }
 
-async fn tick(hub: Arc<Hub>, store_due: watch::Sender<bool>) {
-    let mut capacity = StreamLimiter::new(hub.streams_max());
-    let mut turned_away = 0;
-    let mut crowded_until = Instant::now();
-    let mut kept: BTreeSet<Group> = BTreeSet::new();
-    let mut meter = SuspensionMeter::new(hub.clock().clone());
+async fn run_housekeeping(hub: Arc<Hub>, store_due: watch::Sender<bool>) {
+    let mut limiter = StreamLimiter::new(hub.streams_max());
+    let mut rejected = 0;
+    let mut not_ready_until = Instant::now();
+    let mut groups: BTreeSet<Group> = BTreeSet::new();
+    let mut suspension_meter = SuspensionMeter::new(hub.clock().clone());
     loop {
-        let due = pace::next(TICK);
-        tokio::time::sleep_until(due).await;
-        if let Some(suspended) = meter.suspended() {
-            wake(&hub, suspended);
+        let tick_at = pace::next(TICK_INTERVAL);
+        tokio::time::sleep_until(tick_at).await;
+        if let Some(suspended) = suspension_meter.suspended() {
+            handle_suspension(&hub, suspended);
         }
-        let before = (capacity.is_behind(), hub.is_full());
-        hub.set_streams_max(capacity.record_tick(due.elapsed(), hub.streams()));
-        if turned_away < hub.turned_away() {
-            turned_away = hub.turned_away();
-            crowded_until = due + CROWDED_FOR;
+        let before = (limiter.is_overloaded(), hub.is_full());
+        hub.set_streams_max(limiter.record_tick(tick_at.elapsed(), hub.streams()));
+        if rejected < hub.turned_away() {
+            rejected = hub.turned_away();
+            not_ready_until = tick_at + NOT_READY_AFTER_REJECTION;
         }
-        hub.set_full(capacity.is_full() || due < crowded_until);
-        let after = (capacity.is_behind(), hub.is_full());
+        hub.set_full(limiter.is_full() || tick_at < not_ready_until);
+        let after = (limiter.is_overloaded(), hub.is_full());
         if after != before {
-            info!(hub.log(), "load"; "behind" => after.0, "full" => after.1,
-                "delay_ms" => capacity.delay().as_millis() as u64, "streams" => hub.streams(),
+            info!(hub.log(), "load state changed"; "behind" => after.0, "full" => after.1,
+                "delay_ms" => limiter.delay().as_millis() as u64, "streams" => hub.streams(),
                 "streams_max" => hub.streams_max(), "in_flight" => hub.in_flight(),
-                "turned_away" => turned_away);
+                "turned_away" => rejected);
         }
         gossip::tell_news(&hub);
         hub.change(view::View::tick);
@@ -245,84 +245,88 @@
         let engines = hub.read(|view| view.fleet().engine_count());
         if hub.peers().refresh(engines) {
             let owners = hub.peers().owners();
-            let now_kept = owners.kept_by(hub.peers().me()).map(|(group, _)| group).collect();
-            hold_cold(&hub, &now_kept, &kept);
-            kept = now_kept;
-            info!(hub.log(), "owners"; "boxes" => hub.peers().live() + 1, "engines" => engines,
-                "kept" => owners.kept_by(hub.peers().me()).count());
+            let new_groups = owners.kept_by(hub.peers().me()).map(|(group, _)| group).collect();
+            hold_cold_engines(&hub, &new_groups, &groups);
+            groups = new_groups;
+            info!(hub.log(), "engine owners changed"; "boxes" => hub.peers().live() + 1,
+                "engines" => engines, "kept" => owners.kept_by(hub.peers().me()).count());
         }
         let is_due = hub.peers().is_store_due();
         if store_due.send_if_modified(|was| std::mem::replace(was, is_due) != is_due) {
-            info!(hub.log(), "watch of the store"; "is_due" => is_due);
+            info!(hub.log(), "store watch toggled"; "is_due" => is_due);
         }
-        let resting = hub.upstream_connections().addrs();
+        let addrs = hub.upstream_connections().addrs();
         let gone = hub.read(|view| {
             let is_gone = |addr: &SocketAddr| !view.fleet().has_addr(addr);
-            resting.into_iter().filter(is_gone).collect()
+            addrs.into_iter().filter(is_gone).collect()
         });
         hub.upstream_connections().close_expired(&gone);
     }
 }
 
-/// The machine was suspended: deadlines are over that no timer has noticed, and connections that rested are closed at
-/// their other end. All else is told by the clock.
-fn wake(hub: &Hub, suspended: Duration) {
-    warn!(hub.log(), "suspended"; "ms" => suspended.as_millis() as u64);
+/// Handles a suspension of the machine. Deadlines may have passed that no timer has noticed, so all
+/// sleeps check the clock again; idle connections may be closed at their other end. Everything else
+/// follows the clock.
+fn handle_suspension(hub: &Hub, suspended: Duration) {
+    warn!(hub.log(), "machine was suspended"; "ms" => suspended.as_millis() as u64);
     hub.metrics().suspended();
     hub.upstream_connections().close_idle();
     hub.clock().wake();
 }
 
-/// What others have just sent to the engines of groups that are new to this box isn't known here.
-fn hold_cold(hub: &Hub, kept: &BTreeSet<Group>, before: &BTreeSet<Group>) {
+/// Gives the cold engines of groups that are new to this box nothing until [`cold::LOOKS_BACK`] has
+/// passed, since this box doesn't know what other boxes have just sent to them.
+fn hold_cold_engines(hub: &Hub, groups: &BTreeSet<Group>, before: &BTreeSet<Group>) {
     let until = hub.now() + cold::LOOKS_BACK;
-    hub.fleet(|fleet| kept.difference(before).for_each(|group| fleet.hold_cold(*group, until)));
+    hub.fleet(|fleet| groups.difference(before).for_each(|group| fleet.hold_cold(*group, until)));
 }
 
-/// Waits until all requests have ended and no new ones are to be expected, or time is up.
-async fn drain(hub: &Hub, stop: &watch::Sender<ShutdownPhase>, within: Duration) {
+/// Waits until all requests have ended and no new ones are expected, or until the time is up.
+async fn shut_down(hub: &Hub, phase: &watch::Sender<ShutdownPhase>, within: Duration) {
     let began = Instant::now();
-    let _ = stop.send(ShutdownPhase::Closing);
-    let last = within.saturating_sub(STOP_RESERVE);
+    let _ = phase.send(ShutdownPhase::Closing);
+    let longest = within.saturating_sub(SHUTDOWN_RESERVE);
     loop {
-        tokio::time::sleep(TICK).await;
-        if STOP_MIN <= began.elapsed() {
-            let _ = stop.send(ShutdownPhase::Refusing);
+        tokio::time::sleep(TICK_INTERVAL).await;
+        if SHUTDOWN_MIN <= began.elapsed() {
+            let _ = phase.send(ShutdownPhase::Refusing);
         }
-        let quiet = hub.in_flight() == 0 && STOP_MIN <= began.elapsed();
-        if quiet || last <= began.elapsed() {
+        let is_idle = hub.in_flight() == 0 && SHUTDOWN_MIN <= began.elapsed();
+        if is_idle || longest <= began.elapsed() {
             return;
         }
     }
 }
 
-/// Reads the settings again when a signal says so, or when the file has changed.
+/// Rereads the settings on SIGHUP, or when the file has changed, and adds new seeds.
 async fn reload(hub: Arc<Hub>, path: PathBuf) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
-        warn!(hub.log(), "no signal to reload by");
+        warn!(hub.log(), "cannot listen for SIGHUP; settings are not reloaded");
         return;
     };
-    let mut seen = modified(&path);
+    let mut last_modified = modified_at(&path);
     loop {
         let signalled = tokio::select! {
             _ = hangup.recv() => true,
-            () = pace::wait(SETTINGS_POLL) => false,
+            () = pace::wait(SETTINGS_POLL_INTERVAL) => false,
         };
-        let now = modified(&path);
-        if !signalled && now == seen {
+        let modified = modified_at(&path);
+        if !signalled && modified == last_modified {
             continue;
         }
-        seen = now;
+        last_modified = modified;
         match settings::read(&path) {
             Ok(cfg) => {
                 hub.peers().add_seeds(&cfg.seeds);
-                info!(hub.log(), "settings read again"; "seeds" => cfg.seeds.len());
+                info!(hub.log(), "settings reloaded"; "seeds" => cfg.seeds.len());
+            }
+            Err(e) => {
+                warn!(hub.log(), "invalid settings; keeping the previous ones"; "error" => %e)
             }
-            Err(e) => warn!(hub.log(), "settings refused"; "error" => %e),
         }
     }
 }
 
-fn modified(path: &Path) -> Option<SystemTime> {
+fn modified_at(path: &Path) -> Option<SystemTime> {
     std::fs::metadata(path).and_then(|m| m.modified()).ok()
 }
--- a/src/proxy/proxy_metrics.rs
+++ b/src/proxy/proxy_metrics.rs
@@ -16,10 +16,10 @@
 use crate::proxy::placed::FirstToken;
 use crate::proxy::view::View;
 
-/// Bounds of the histograms of times, in seconds; denser around the usual aims.
-const TIME_BOUNDS: [f64; 12] = [0.01, 0.03, 0.06, 0.1, 0.15, 0.25, 0.4, 0.6, 0.8, 1.2, 3.0, 10.0];
+/// Bucket bounds of the time histograms, denser around the usual target latencies.
+const TIME_BOUNDS_S: [f64; 12] = [0.01, 0.03, 0.06, 0.1, 0.15, 0.25, 0.4, 0.6, 0.8, 1.2, 3.0, 10.0];
 
-/// Bounds of the histogram of real by expected times: 15 and 40 % off, and beyond.
+/// Bucket bounds of the histogram of actual to expected durations: 15 and 40 % off, and beyond.
 const RATIO_BOUNDS: [f64; 8] = [0.25, 0.6, 0.85, 1.0, 1.15, 1.4, 2.0, 4.0];
 
 /// The proxy's counters and histograms.
@@ -30,9 +30,9 @@
     workspace_begun: Counter<u64>,
     workspace_refused: Counter<u64>,
     ended: Counter<u64>,
-    times: Histogram<f64>,
+    durations: Histogram<f64>,
     first_expected: Histogram<f64>,
-    first_real: Histogram<f64>,
+    first_actual: Histogram<f64>,
     first_ratio: Histogram<f64>,
     repeats: Counter<u64>,
     store_lost: Counter<u64>,
@@ -48,20 +48,20 @@
 }
 
 impl ProxyMetrics {
-    /// Figures that nobody has asked for yet.
+    /// Creates the counters and histograms.
     pub fn new(metrics: Metrics) -> ProxyMetrics {
         let meter = metrics.meter();
         let histogram = |name: &'static str| {
-            meter.f64_histogram(name).with_boundaries(TIME_BOUNDS.to_vec()).build()
+            meter.f64_histogram(name).with_boundaries(TIME_BOUNDS_S.to_vec()).build()
         };
         ProxyMetrics {
             refused: meter.u64_counter("frostdyke_proxy_refused").build(),
             workspace_begun: meter.u64_counter("frostdyke_workspace_begun_tokens").build(),
             workspace_refused: meter.u64_counter("frostdyke_workspace_refused_tokens").build(),
             ended: meter.u64_counter("frostdyke_proxy_ended").build(),
-            times: histogram("frostdyke_proxy_seconds"),
+            durations: histogram("frostdyke_proxy_seconds"),
             first_expected: histogram("frostdyke_first_token_expected_seconds"),
-            first_real: histogram("frostdyke_first_token_seconds"),
+            first_actual: histogram("frostdyke_first_token_seconds"),
             first_ratio: meter
                 .f64_histogram("frostdyke_first_token_ratio")
                 .with_boundaries(RATIO_BOUNDS.to_vec())
@@ -81,17 +81,17 @@
         }
     }
 
-    /// The page of all figures.
+    /// Renders all metrics as a page in Prometheus' format.
     pub fn page(&self) -> Vec<u8> {
         self.metrics.page()
     }
 
-    /// Shows what the process holds and believes whenever the page is asked for.
+    /// Registers gauges of the hub's state, which are read whenever the page is requested.
     pub fn register_gauges(&self, hub: &Arc<Hub>) {
         let gauge = |name: &'static str, read: fn(&Hub) -> u64| {
             let hub: Weak<Hub> = Arc::downgrade(hub);
             let gauge = self.metrics.meter().u64_observable_gauge(name);
-            // The meter keeps what it is told to ask.
+            // The meter keeps the callback.
             let _ = gauge
                 .with_callback(move |observer| {
                     if let Some(hub) = hub.upgrade() {
@@ -120,16 +120,17 @@
             hub.read(|v| v.draining().all().count() as u64)
         });
         gauge("frostdyke_suspects", |hub| hub.suspects().read(|q| q.len() as u64));
-        self.show_shares(hub);
+        self.register_share_gauges(hub);
         gauge("frostdyke_upstreams_in_doubt", |hub| hub.read(|v| v.fleet().in_doubt() as u64));
     }
 
-    /// Shows what the shares of workspaces are judged by: what they asked for and what was begun, over the whole
-    /// fleet, as far as this box has counted or been told. There are as many lines as workspaces.
-    fn show_shares(&self, hub: &Arc<Hub>) {
+    /// Registers the gauges of workspaces' shares: the tokens requested and begun in the whole
+    /// fleet, as far as this box has counted them or received them from others. Each gauge has one
+    /// series per workspace.
+    fn register_share_gauges(&self, hub: &Arc<Hub>) {
         let gauge = |name: &'static str, read: fn(Tokens) -> i64| {
             let hub: Weak<Hub> = Arc::downgrade(hub);
-            // The meter keeps what it is told to ask.
+            // The meter keeps the callback.
             let _ = (self.metrics.meter().i64_observable_gauge(name))
                 .with_callback(move |observer| {
                     let Some(hub) = hub.upgrade() else { return };
@@ -146,19 +147,19 @@
         gauge("frostdyke_share_begun_tokens", |tokens| tokens.begun);
     }
 
-    /// Counts what a workspace's request that gave its first token is charged.
+    /// Counts the tokens charged to a workspace for a request that has returned its first token.
     pub fn workspace_begun(&self, workspace: &WorkspaceName, tokens: u64) {
         let label = KeyValue::new("workspace", workspace.as_str().to_owned());
         self.workspace_begun.add(tokens, &[label]);
     }
 
-    /// Counts what a workspace's request that is refused would have been charged.
+    /// Counts the tokens that a workspace would have been charged for a refused request.
     pub fn workspace_refused(&self, workspace: &WorkspaceName, tokens: u64, cause: &'static str) {
         let workspace = KeyValue::new("workspace", workspace.as_str().to_owned());
         self.workspace_refused.add(tokens, &[workspace, KeyValue::new("cause", cause)]);
     }
 
-    /// Counts a request that could be repeated, by whether the budget allowed it.
+    /// Counts a request that could be retried, by whether the budget allowed it.
     pub fn repeat(&self, allowed: bool) {
         self.repeats.add(1, &[KeyValue::new("allowed", allowed)]);
     }
@@ -168,50 +169,51 @@
         self.store_lost.add(1, &[]);
     }
 
-    /// Counts a return of the store from an older copy.
+    /// Counts a restore of the store from an older copy.
     pub fn store_restored(&self) {
         self.store_restored.add(1, &[]);
     }
 
-    /// Counts an entry that can't be read.
+    /// Counts an upstream's entry in the store that can't be parsed.
     pub fn entry_refused(&self) {
         self.entries_refused.add(1, &[]);
     }
 
-    /// Counts an order of a roll-out that can't be read.
+    /// Counts a roll-out order that can't be parsed.
     pub fn rollout_refused(&self) {
         self.rollouts_refused.add(1, &[]);
     }
 
-    /// Counts an upstream that has started anew under its name.
+    /// Counts a restart of an upstream under the same name.
     pub fn upstream_restarted(&self) {
         self.upstreams_restarted.add(1, &[]);
     }
 
-    /// Counts an answer in which an upstream says something of itself.
+    /// Counts a response that carries notices of the upstream about itself, by kind.
     pub fn notice(&self, notice: Notice) {
-        let said = [("draining", notice.draining), ("backoff", notice.backoff.is_some())];
-        for (kind, _) in said.into_iter().filter(|(_, is_said)| *is_said) {
+        let kinds = [("draining", notice.draining), ("backoff", notice.backoff.is_some())];
+        for (kind, _) in kinds.into_iter().filter(|(_, is_set)| *is_set) {
             self.notices.add(1, &[KeyValue::new("kind", kind)]);
         }
     }
 
-    /// Counts a request that isn't sent to the upstream that was chosen for it.
+    /// Counts a request that is not sent to its chosen upstream.
     pub fn withheld(&self, reason: &'static str) {
         self.withheld.add(1, &[KeyValue::new("reason", reason)]);
     }
 
-    /// Counts a request that reached an upstream after this box had read that it wants none.
+    /// Counts a request that reached an upstream after this box had received its notice to send
+    /// none.
     pub fn reached_anyway(&self, reason: &'static str) {
         self.reached_anyway.add(1, &[KeyValue::new("reason", reason)]);
     }
 
-    /// Counts a time for which the machine was suspended.
+    /// Counts a suspension of the machine.
     pub fn suspended(&self) {
         self.suspended.add(1, &[]);
     }
 
-    /// Counts a request that is held back from now on, by how this box knows.
+    /// Counts a request that is held back from now on, by how this box learned of it.
     pub fn held_back(&self, by: &'static str) {
         self.held_back.add(1, &[KeyValue::new("by", by)]);
     }
@@ -221,18 +223,18 @@
         self.refused.add(1, &[KeyValue::new("cause", cause)]);
     }
 
-    /// Counts the end of a request by its route.
+    /// Counts the end of a request by its route and outcome, and records its duration.
     pub fn ended(&self, route: &str, outcome: &'static str, took: Duration) {
         let labels = [KeyValue::new("route", route.to_owned()), KeyValue::new("outcome", outcome)];
         self.ended.add(1, &labels);
-        self.times.record(took.as_secs_f64(), &labels[..1]);
+        self.durations.record(took.as_secs_f64(), &labels[..1]);
     }
 
-    /// Notes the expected and the real time to a request's first token.
+    /// Records the expected and the actual time to a request's first token.
     pub fn first_token(&self, first: FirstToken) {
         let (expected, took) = (first.expected.as_secs_f64(), first.took.as_secs_f64());
         self.first_expected.record(expected, &[]);
-        self.first_real.record(took, &[]);
+        self.first_actual.record(took, &[]);
         self.first_ratio.record(took / expected.max(f64::MIN_POSITIVE), &[]);
     }
 }
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -1,4 +1,4 @@
-//! One caller's request: found its route, placed, sent, and sent again where that is safe.
+//! Serves one caller's request: admits and places it, sends it, and retries it where that is safe.
 
 use std::sync::Arc;
 use std::sync::OnceLock;
@@ -54,98 +54,99 @@
 use crate::web;
 use crate::web::BodyFault;
 
-/// Tries that reached no upstream, after which a request is refused.
-const UNSENT_MAX: u32 = 4;
+/// Attempts that did not reach an upstream, after which a request is refused.
+const FAILED_CONNECTS_MAX: u32 = 4;
 
-/// Sends of one request at most, those that upstreams refused included.
+/// Maximum number of sends of one request, including those that upstreams did not run.
 const SENDS_MAX: u32 = 4;
 
-/// Boxes hear within this time that a request broke off with its upstream: a connection that is refused, and a datagram
-/// within a region, at boxes that aren't busy.
-const TOLD_WITHIN: Duration = Duration::from_millis(10);
+/// Time after which this box has received reports of other boxes that a request broke off with its
+/// upstream: they detect it by a refused connection and send a datagram within the region, if they
+/// aren't busy.
+const BREAK_REPORT_DELAY: Duration = Duration::from_millis(10);
 
-/// Longest answer of a plain service that is held until it is whole.
-const WHOLE_MAX: usize = 4 << 20;
+/// Maximum length of a response that is buffered until it is complete.
+const BUFFERED_RESPONSE_MAX_BYTES: usize = 4 << 20;
 
-/// A request with all that is known of it.
+/// A request and everything known about it.
 pub struct RequestContext {
-    /// The process.
+    /// The state shared by all requests of the process.
     pub hub: Arc<Hub>,
-    /// What the caller's head says.
+    /// The parsed head of the request.
     pub head: Head,
-    /// The caller's head itself.
+    /// The head as received.
     pub parts: request::Parts,
     /// The route.
     pub route: Route,
-    /// The service that the route's split gave it.
+    /// The service that the route's traffic split selected.
     pub service: ServiceName,
-    /// Connections that one of the service's upstreams takes from all boxes.
+    /// Connections that one of the service's upstreams accepts from all boxes together.
     pub connections_max: u32,
-    /// Whom it is charged to.
+    /// The workspace that it is charged to.
     pub workspace: Option<WorkspaceName>,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
-    /// What it asks for, once somebody wanted to know.
+    /// Computed on first use by [`RequestContext::fingerprint`].
     pub fingerprint: OnceLock<Fingerprint>,
-    /// When its head had come, by the hub's clock.
+    /// When the head had arrived, by the hub's clock.
     pub arrived: Duration,
-    /// When it must have ended.
+    /// When the response must be complete, by the hub's clock.
     pub deadline: Duration,
-    /// Upstreams that it was sent to, or that could not be reached.
+    /// Upstreams that it was sent to or that could not be reached.
     pub tried: Vec<UpstreamName>,
     /// Sends so far.
     pub sends: u32,
-    /// The version of the upstream that began the answer, once one has.
+    /// The version of the upstream that began the response.
     pub response_version: Option<VersionName>,
     /// Sends that broke off.
     pub broken_sends: u32,
-    /// When the first token came, once it has.
+    /// The expected and the actual time of the first token, once it has arrived.
     pub first_token: Option<FirstToken>,
-    /// Counts it until all of its answer has been passed on.
+    /// Counts the request until the whole response has been passed on.
     pub in_flight_guard: InFlight,
-    /// The same until it has been sent for the first time.
+    /// Counts the request until it is sent for the first time.
     pub unsent_guard: Option<InFlight>,
-    /// The same among the streams, if it is one.
+    /// Counts the request as a stream, if it is one.
     pub stream_guard: Option<InFlight>,
 }
 
-/// What became of one send.
-enum Sent {
-    /// The answer to pass on.
-    Answer(Box<UpstreamResponse>),
-    /// It did not reach the upstream.
-    Unsent(upstream_connections::Error),
-    /// The upstream says that it did not run it.
+/// The outcome of one send.
+enum SendOutcome {
+    /// The response to pass on.
+    Response(Box<UpstreamResponse>),
+    /// The request did not reach the upstream.
+    NotSent(upstream_connections::Error),
+    /// The upstream states that it did not run the request.
     NotRun,
-    /// It may have run. The answer to pass on if it isn't sent again, if there is one.
-    Unsure(Option<Box<UpstreamResponse>>),
+    /// The request may have run. Holds the response to pass on if it isn't retried, if any.
+    MayHaveRun(Option<Box<UpstreamResponse>>),
 }
 
-/// What came of earlier sends of a request.
+/// The outcome of earlier sends of a request.
 #[derive(Default)]
-struct Earlier {
+struct EarlierSends {
     may_have_run: bool,
-    /// The last answer, which is passed on if no better one comes.
-    reply: Option<Box<UpstreamResponse>>,
+    /// The last response, which is passed on if no better one arrives.
+    response: Option<Box<UpstreamResponse>>,
 }
 
-impl Earlier {
-    /// How the request ends that is not sent any more, for `cause`: whoever may have run it, it is
-    /// not called "not run".
+impl EarlierSends {
+    /// The result of a request that is not sent again because of `cause`. A request that may have
+    /// run never gets a refusal that says "not run".
     fn give_up(self, cause: Refusal) -> Result<Box<UpstreamResponse>, Refusal> {
-        match self.reply {
-            Some(reply) => Ok(reply),
+        match self.response {
+            Some(response) => Ok(response),
             None if self.may_have_run => Err(Refusal::Broken),
             None => Err(cause),
         }
     }
 }
 
-/// An upstream's answer whose body is still to come.
+/// An upstream's response whose body is still to be read.
 pub struct UpstreamResponse {
-    /// The answer; its body closes the connection when it is dropped.
+    /// The response; dropping its body closes the connection.
     pub resp: Response<UpstreamBody>,
-    /// The request's entry in the models.
+    /// The request's entry in the state of upstreams.
     pub placed: Placed,
 }
 
@@ -153,52 +154,53 @@
 pub async fn serve(hub: Arc<Hub>, req: Request<Incoming>) -> Response<Body> {
     let arrived = hub.now();
     let (parts, body) = req.into_parts();
-    let mut run = match admission::admit(&hub, parts, arrived) {
-        Ok(run) => run,
+    let mut ctx = match admission::admit(&hub, parts, arrived) {
+        Ok(ctx) => ctx,
         Err((cause, id)) => return refuse(&hub, &id, cause),
     };
-    match admission::read_body(&hub, body, run.deadline).await {
-        Ok(body) => run.body = body,
-        Err(cause) => return run.refuse(cause),
+    match admission::read_body(&hub, body, ctx.deadline).await {
+        Ok(body) => ctx.body = body,
+        Err(cause) => return ctx.refuse(cause),
     }
-    if run.route.streaming {
-        run.stream_guard = hub.enter_stream();
-        if run.stream_guard.is_none() {
-            return run.refuse(Refusal::BoxBusy);
+    if ctx.route.streaming {
+        ctx.stream_guard = hub.enter_stream();
+        if ctx.stream_guard.is_none() {
+            return ctx.refuse(Refusal::BoxBusy);
         }
     }
-    run.go().await
+    ctx.respond_to_caller().await
 }
 
-/// Refuses a request of which no more than its id is known.
+/// Refuses a request of which only the id is known.
 fn refuse(hub: &Hub, id: &str, cause: Refusal) -> Response<Body> {
-    info!(hub.log(), "refused"; "id" => id, "cause" => cause.code(), "version" => hub.version());
+    info!(hub.log(), "request refused"; "id" => id, "cause" => cause.code(),
+        "version" => hub.version());
     hub.metrics().refused(cause.code());
     answer::refusal(cause)
 }
 
 impl RequestContext {
-    async fn go(mut self) -> Response<Body> {
+    async fn respond_to_caller(mut self) -> Response<Body> {
         let timed_out = self.hub.clock().clone().sleep_until(self.deadline);
-        let attempted = tokio::select! {
+        let result = tokio::select! {
             biased;
-            attempted = self.attempt() => attempted,
+            result = self.send_until_response() => result,
             () = timed_out => Err(Refusal::TimedOut),
         };
-        match attempted {
-            Ok(reply) => self.answer(reply).await,
+        match result {
+            Ok(response) => self.pass_on(response).await,
             Err(cause) => self.refuse(cause),
         }
     }
 
-    /// Time until it must have ended.
-    fn left(&self) -> Duration {
+    /// Time until the deadline.
+    fn remaining(&self) -> Duration {
         self.deadline.saturating_sub(self.hub.now())
     }
 
     fn refuse(&self, cause: Refusal) -> Response<Body> {
         let hub = &self.hub;
-        info!(hub.log(), "refused"; "id" => &self.head.id, "cause" => cause.code(),
+        info!(hub.log(), "request refused"; "id" => &self.head.id, "cause" => cause.code(),
             "route" => &self.route.name,
             "workspace" => self.workspace.as_ref().map(WorkspaceName::as_str),
             "content" => self.fingerprint.get().map(Fingerprint::to_string),
@@ -210,16 +212,16 @@
         answer::refusal(cause)
     }
 
-    /// Sends the request until there is an answer to pass on.
-    async fn attempt(&mut self) -> Result<Box<UpstreamResponse>, Refusal> {
-        let mut unsent = 0;
-        let mut earlier = Earlier::default();
+    /// Sends the request, repeatedly if necessary, until there is a response to pass on.
+    async fn send_until_response(&mut self) -> Result<Box<UpstreamResponse>, Refusal> {
+        let mut failed_connects = 0;
+        let mut earlier = EarlierSends::default();
         loop {
-            // A machine that was suspended finds it over before any timer does.
-            if self.left().is_zero() {
+            // After a suspension of the machine, the deadline may have passed before a timer fires.
+            if self.remaining().is_zero() {
                 return earlier.give_up(Refusal::TimedOut);
             }
-            if let Some(cause) = self.holds_back().await {
+            if let Some(cause) = self.check_quarantine().await {
                 return earlier.give_up(cause);
             }
             let (choice, placed) = match self.place().await {
@@ -227,31 +229,31 @@
                 Err(cause) => return earlier.give_up(cause),
             };
             match self.send(&choice, placed, None).await {
-                Sent::Answer(reply) => {
-                    self.response_version = reply.placed.version().cloned();
-                    return Ok(reply);
+                SendOutcome::Response(response) => {
+                    self.response_version = response.placed.version().cloned();
+                    return Ok(response);
                 }
-                Sent::Unsent(e) => {
-                    info!(self.hub.log(), "not sent"; "id" => &self.head.id,
+                SendOutcome::NotSent(e) => {
+                    info!(self.hub.log(), "request not sent"; "id" => &self.head.id,
                         "upstream" => choice.upstream.as_str(), "error" => util::with_causes(&e));
-                    unsent += 1;
-                    if UNSENT_MAX <= unsent {
+                    failed_connects += 1;
+                    if FAILED_CONNECTS_MAX <= failed_connects {
                         let retry_after = self.resumes_in().unwrap_or(NO_UPSTREAM_RETRY);
                         return earlier.give_up(Refusal::NoUpstream { retry_after });
                     }
                 }
-                Sent::NotRun => {
-                    if !self.may_repeat() {
+                SendOutcome::NotRun => {
+                    if !self.may_retry() {
                         let retry_after = self.resumes_in().unwrap_or(OVERLOAD_RETRY_MIN);
                         return earlier.give_up(Refusal::Overloaded { retry_after });
                     }
                 }
-                Sent::Unsure(reply) => {
-                    let repeatable =
+                SendOutcome::MayHaveRun(response) => {
+                    let is_repeatable =
                         self.route.repeat != Repeat::Never && self.sends < self.route.max_upstreams;
                     earlier.may_have_run = true;
-                    earlier.reply = reply.or(earlier.reply);
-                    if !repeatable || !self.may_repeat() {
+                    earlier.response = response.or(earlier.response);
+                    if !is_repeatable || !self.may_retry() {
                         return earlier.give_up(Refusal::Broken);
                     }
                 }
@@ -259,7 +261,7 @@
         }
     }
 
-    /// What the request asks for.
+    /// The parts of the request that identify it across retries of the caller.
     fn content(&self) -> Content<'_> {
         let target = self.parts.uri.path_and_query();
         Content {
@@ -271,19 +273,21 @@
         }
     }
 
-    /// By what the request is known when it comes again.
+    /// Identifies the request when the caller sends it again.
     pub fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| self.content().fingerprint())
     }
 
-    /// Why the request must not be sent: upstreams end by it. Its caller comes again with another id and at any box, so
-    /// what counts is the content and what the whole fleet has seen, not the sends of this try. One that has just broken
-    /// off waits until other boxes have told of the same request, since it may have run at several upstreams at once.
-    async fn holds_back(&self) -> Option<Refusal> {
+    /// Returns a refusal if the request must not be sent because it has crashed upstreams. Its
+    /// caller retries with another id and at any box, so the decision is by the request's content
+    /// and the reports of the whole fleet, not by this request's own sends. A request that has just
+    /// broken off waits for reports of other boxes first, since it may have run at several
+    /// upstreams at once.
+    async fn check_quarantine(&self) -> Option<Refusal> {
         let suspects = self.hub.suspects();
         if self.broken_sends != 0 {
-            tokio::time::sleep(TOLD_WITHIN).await;
-        } else if !self.may_be_known() {
+            tokio::time::sleep(BREAK_REPORT_DELAY).await;
+        } else if !self.may_be_suspect() {
             return None;
         }
         let content = self.fingerprint();
@@ -294,82 +298,90 @@
         retry_after.map(|retry_after| Refusal::EndsUpstreams { retry_after })
     }
 
-    /// Whether this may be a request that upstreams have ended under; if not, nothing needs to be worked out.
-    fn may_be_known(&self) -> bool {
+    /// A cheap check whether this may be a request that upstreams have crashed under; if not, the
+    /// fingerprint isn't needed.
+    fn may_be_suspect(&self) -> bool {
         let suspects = self.hub.suspects();
         suspects.read(|known| !known.is_empty() && known.may_know(self.content().hint()))
     }
 
-    /// Notes that the answer broke off, and ends the request's entry in the models. `is_sure` if the upstream has ended.
-    pub fn record_break(&mut self, placed: Placed, is_sure: bool) {
+    /// Records that the response broke off, and ends the request's entry in the state of upstreams.
+    /// `has_restarted` if the upstream is known to have restarted.
+    pub fn record_break(&mut self, placed: Placed, has_restarted: bool) {
         let upstream = placed.upstream().clone();
-        // One that has ended, or leaves, says nothing of its version's answers.
-        if !is_sure && self.hub.read(|view| view.fleet().is_open(&upstream)) {
+        // The end of an upstream, whether it crashed or leaves, is no evidence about the responses
+        // of its version.
+        if !has_restarted && self.hub.read(|view| view.fleet().is_open(&upstream)) {
             placed.failed();
         }
         let start = suspects::start_of(&upstream, placed.born());
         self.broken_sends += 1;
         look::unreachable(&self.hub, &upstream);
         placed.close(Some(Health::Broken));
-        // One that leaves ends by itself.
-        if is_sure || self.hub.read(|view| view.fleet().is_open(&upstream)) {
+        // An upstream that leaves ends without being crashed by a request.
+        if has_restarted || self.hub.read(|view| view.fleet().is_open(&upstream)) {
             let content = self.fingerprint();
-            suspects::broke_off(&self.hub, Break { upstream, start, content }, is_sure);
+            suspects::broke_off(&self.hub, Break { upstream, start, content }, has_restarted);
         }
     }
 
-    /// Notes that the request has ended well.
+    /// Records that the response was complete.
     pub fn record_success(&self) {
-        if self.may_be_known() {
+        if self.may_be_suspect() {
             suspects::ended_well(&self.hub, &self.fingerprint());
         }
     }
 
-    /// Whether the request may be sent once more, by number and by the budget.
-    pub fn may_repeat(&self) -> bool {
+    /// Whether the request may be sent once more, by the number of sends and the retry budget.
+    pub fn may_retry(&self) -> bool {
         self.sends < SENDS_MAX && self.hub.may_repeat(&self.service)
     }
 
-    /// Sends the request to an upstream, from the event after `resume_after` on if that is given.
-    async fn send(&mut self, choice: &Choice, placed: Placed, resume_after: Option<u64>) -> Sent {
+    /// Sends the request to an upstream. With `resume_after`, the response is to begin after that
+    /// event.
+    async fn send(
+        &mut self,
+        choice: &Choice,
+        placed: Placed,
+        resume_after: Option<u64>,
+    ) -> SendOutcome {
         self.unsent_guard = None;
         self.tried.push(choice.upstream.clone());
         let req = self.request_for(choice, resume_after);
         let began = Instant::now();
-        let once = self.route.repeat == Repeat::Never;
-        let upstream_connections = self.hub.upstream_connections().clone();
-        let connection_quota =
+        let is_once_only = self.route.repeat == Repeat::Never;
+        let connections = self.hub.upstream_connections().clone();
+        let quota =
             self.hub.connection_quota(&choice.upstream, self.connections_max, choice.is_counted);
         let withheld = || notices::withheld(&self.hub, &placed);
-        let answer =
-            upstream_connections.send(choice.addr, connection_quota, once, req, withheld).await;
-        let mut resp = match answer {
+        let result = connections.send(choice.addr, quota, is_once_only, req, withheld).await;
+        let mut resp = match result {
             Ok(resp) => resp,
             Err(e) if e.is_unsent() => {
                 match e {
                     upstream_connections::Error::Withheld(reason) => {
                         self.hub.metrics().withheld(reason.code())
                     }
-                    // Our own limit says nothing about the upstream.
+                    // This box's own limit says nothing about the upstream.
                     upstream_connections::Error::LimitReached => {}
                     _ => look::unreachable(&self.hub, &choice.upstream),
                 }
                 placed.withdraw(None);
-                return Sent::Unsent(e);
+                return SendOutcome::NotSent(e);
             }
             Err(e) => {
                 self.sends += 1;
-                info!(self.hub.log(), "no answer"; "id" => &self.head.id,
+                info!(self.hub.log(), "no response from upstream"; "id" => &self.head.id,
                     "content" => %self.fingerprint(), "upstream" => choice.upstream.as_str(),
                     "error" => util::with_causes(&e));
                 self.record_break(placed, matches!(e, upstream_connections::Error::Restarted));
-                return Sent::Unsure(None);
+                return SendOutcome::MayHaveRun(None);
             }
         };
         self.sends += 1;
         let status = resp.status();
         let verdict = self.hub.dialect().judge(&self.head.id, status, resp.headers());
-        if resp.body_mut().prove(verdict.proves(status)) && !verdict.misdirected {
+        if resp.body_mut().record_authentic(verdict.proves(status)) && !verdict.misdirected {
             let (upstream, born, sent) = (placed.upstream(), placed.born(), placed.sent());
             let (request, notice) = (&self.head.id, verdict.notice);
             notices::apply(&self.hub, Said { upstream, born, request, sent, notice });
@@ -383,71 +395,71 @@
         placed: Placed,
         verdict: Verdict,
         began: Instant,
-    ) -> Sent {
+    ) -> SendOutcome {
         let status = resp.status();
         if verdict.misdirected || verdict.not_run {
-            self.log_answer(&resp, &placed, verdict, "not-run");
-            let gone = verdict.misdirected.then_some(Health::Broken);
-            placed.withdraw(Some(gone.unwrap_or(Health::Failed)));
-            return Sent::NotRun;
+            self.log_unusual_response(&resp, &placed, verdict, "not-run");
+            let broken = verdict.misdirected.then_some(Health::Broken);
+            placed.withdraw(Some(broken.unwrap_or(Health::Failed)));
+            return SendOutcome::NotRun;
         }
-        let is_odd = !verdict.own
+        let is_invalid = !verdict.own
             || (status.is_success() && !verdict.signed)
             || resp.headers().contains_key(CONTENT_ENCODING);
-        if is_odd {
-            self.log_answer(&resp, &placed, verdict, "odd");
+        if is_invalid {
+            self.log_unusual_response(&resp, &placed, verdict, "odd");
             placed.failed();
             placed.close(Some(Health::Failed));
-            return Sent::Unsure(None);
+            return SendOutcome::MayHaveRun(None);
         }
-        if is_promise(status) {
-            self.log_answer(&resp, &placed, verdict, "unclear");
-            // It says "not run" to whoever reads the status, but the upstream doesn't say so.
+        if is_read_as_not_run(status) {
+            self.log_unusual_response(&resp, &placed, verdict, "unclear");
+            // Callers read the status as "not run", but the upstream doesn't state that.
             placed.close(Some(Health::Failed));
-            return Sent::Unsure(None);
+            return SendOutcome::MayHaveRun(None);
         }
-        let reply = Box::new(UpstreamResponse { resp, placed });
+        let response = Box::new(UpstreamResponse { resp, placed });
         if status.is_server_error() {
-            self.log_answer(&reply.resp, &reply.placed, verdict, "failed");
-            reply.placed.note(Health::Failed);
-            reply.placed.failed();
-            return Sent::Unsure(Some(reply));
+            self.log_unusual_response(&response.resp, &response.placed, verdict, "failed");
+            response.placed.note(Health::Failed);
+            response.placed.failed();
+            return SendOutcome::MayHaveRun(Some(response));
         }
-        reply.placed.note(Health::Good(began.elapsed()));
+        response.placed.note(Health::Good(began.elapsed()));
         if self.head.prompt.is_none() {
-            reply.placed.first();
+            response.placed.first();
         }
-        Sent::Answer(reply)
+        SendOutcome::Response(response)
     }
 
-    /// Logs an answer that isn't simply passed on.
-    fn log_answer(
+    /// Logs a response that isn't simply passed on.
+    fn log_unusual_response(
         &self,
         resp: &Response<UpstreamBody>,
         placed: &Placed,
         verdict: Verdict,
         taken_for: &'static str,
     ) {
-        info!(self.hub.log(), "answered"; "id" => &self.head.id,
+        info!(self.hub.log(), "unusual response from upstream"; "id" => &self.head.id,
             "upstream" => placed.upstream().as_str(), "status" => resp.status().as_u16(),
             "taken_for" => taken_for, "own" => verdict.own, "signed" => verdict.signed,
             "try" => self.tried.len());
     }
 
-    /// Sends the rest of a broken stream's request to another upstream.
+    /// Requests the rest of a broken stream from another upstream.
     pub async fn resume(&mut self, after: Option<u64>) -> Option<Box<UpstreamResponse>> {
-        let repeatable =
+        let is_repeatable =
             self.route.repeat == Repeat::AfterEvent && self.sends < self.route.max_upstreams;
-        while repeatable
-            && !self.left().is_zero()
-            && self.holds_back().await.is_none()
-            && self.may_repeat()
+        while is_repeatable
+            && !self.remaining().is_zero()
+            && self.check_quarantine().await.is_none()
+            && self.may_retry()
         {
             let (choice, placed) = self.place().await.ok()?;
             match self.send(&choice, placed, after.or(self.head.resume_after)).await {
-                Sent::Answer(reply) => return Some(reply),
-                Sent::Unsent(_) | Sent::NotRun => {}
-                Sent::Unsure(_) => return None,
+                SendOutcome::Response(response) => return Some(response),
+                SendOutcome::NotSent(_) | SendOutcome::NotRun => {}
+                SendOutcome::MayHaveRun(_) => return None,
             }
         }
         None
@@ -456,7 +468,7 @@
     fn request_for(&self, choice: &Choice, resume_after: Option<u64>) -> Request<Full<Bytes>> {
         let out = Outgoing {
             upstream: &choice.upstream,
-            left: self.left(),
+            left: self.remaining(),
             workspace: self.workspace.as_ref().map(WorkspaceName::as_str),
             resume_after,
             copy_from: choice.copy_from,
@@ -471,20 +483,21 @@
         req
     }
 
-    /// Passes an answer on.
-    async fn answer(self, reply: Box<UpstreamResponse>) -> Response<Body> {
-        if self.route.streaming && reply.resp.status().is_success() {
-            return stream_relay::start(self, *reply);
+    /// Passes a response on to the caller.
+    async fn pass_on(self, response: Box<UpstreamResponse>) -> Response<Body> {
+        if self.route.streaming && response.resp.status().is_success() {
+            return stream_relay::start(self, *response);
         }
-        self.answer_whole(*reply).await
+        self.pass_on_buffered(*response).await
     }
 
-    /// Passes an answer on once it has come whole, so that one that breaks off is never begun.
-    async fn answer_whole(mut self, reply: UpstreamResponse) -> Response<Body> {
-        let UpstreamResponse { resp, placed } = reply;
+    /// Passes a response on once it is complete, so that the caller never receives part of one that
+    /// breaks off.
+    async fn pass_on_buffered(mut self, response: UpstreamResponse) -> Response<Body> {
+        let UpstreamResponse { resp, placed } = response;
         let (head, mut body) = resp.into_parts();
-        let left = self.left();
-        match web::read_body(&mut body, WHOLE_MAX, left).await {
+        let remaining = self.remaining();
+        match web::read_body(&mut body, BUFFERED_RESPONSE_MAX_BYTES, remaining).await {
             Ok(bytes) => {
                 body.keep(&head.headers);
                 placed.close(None);
@@ -494,11 +507,11 @@
                 respond(head.status, headers, response_body::full(bytes))
             }
             Err(fault) => {
-                info!(self.hub.log(), "broke off"; "id" => &self.head.id,
+                info!(self.hub.log(), "response broke off"; "id" => &self.head.id,
                     "content" => %self.fingerprint(), "upstream" => placed.upstream().as_str(),
                     "error" => %fault);
                 match fault {
-                    BodyFault::Cut if !self.left().is_zero() => {
+                    BodyFault::Cut if !self.remaining().is_zero() => {
                         self.record_break(placed, false);
                     }
                     BodyFault::Cut | BodyFault::TooLong => placed.close(Some(Health::Broken)),
@@ -508,10 +521,10 @@
         }
     }
 
-    /// Logs the end of a request.
+    /// Logs and counts the end of the request.
     pub fn log_end(&self, status: StatusCode, outcome: &'static str) {
         let took = self.hub.now().saturating_sub(self.arrived);
-        info!(self.hub.log(), "ended"; "id" => &self.head.id, "status" => status.as_u16(),
+        info!(self.hub.log(), "request ended"; "id" => &self.head.id, "status" => status.as_u16(),
             "outcome" => outcome, "ms" => took.as_millis() as u64, "sends" => self.sends,
             "first_ms" => self.first_token.map(|f| f.took.as_millis() as u64),
             "first_expected_ms" => self.first_token.map(|f| f.expected.as_millis() as u64));
@@ -519,7 +532,7 @@
     }
 }
 
-/// An answer to a caller.
+/// Builds a response to a caller.
 pub fn respond(status: StatusCode, headers: HeaderMap, body: Body) -> Response<Body> {
     let mut resp = Response::new(body);
     *resp.status_mut() = status;
@@ -527,8 +540,8 @@
     resp
 }
 
-/// Whether callers read a status as "has not run and never will".
-fn is_promise(status: StatusCode) -> bool {
+/// Whether callers read a status as a promise that the request has not run and never will.
+fn is_read_as_not_run(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::SERVICE_UNAVAILABLE
--- a/src/proxy/response_body.rs
+++ b/src/proxy/response_body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers, and the events of streams.
+//! The body type of responses to callers, and the splitting of event streams.
 
 use std::io;
 
@@ -9,47 +9,48 @@
 use http_body_util::Full;
 use http_body_util::combinators::UnsyncBoxBody;
 
-/// The body of an answer to a caller.
+/// The body of a response to a caller.
 pub type Body = UnsyncBoxBody<Bytes, io::Error>;
 
-/// A body that is there as a whole.
+/// A body whose bytes are all available.
 pub fn full(bytes: Bytes) -> Body {
     Full::new(bytes).map_err(|e| match e {}).boxed_unsync()
 }
 
-/// Cuts a stream of events at the ends of events, so that a broken one can be gone on with.
+/// Splits a stream of server-sent events at event boundaries, so that a broken stream can be
+/// resumed after its last complete event.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    part: BytesMut,
+    partial: BytesMut,
     last_id: Option<u64>,
 }
 
 impl EventSplitter {
-    /// Takes in bytes; gives all events that are whole now.
+    /// Adds bytes and returns all events that are complete now.
     pub fn push(&mut self, bytes: &[u8]) -> Bytes {
-        self.part.extend_from_slice(bytes);
-        let Some(end) = find_end(&self.part) else { return Bytes::new() };
-        let whole = self.part.split_to(end).freeze();
-        if let Some(id) = last_id(&whole) {
+        self.partial.extend_from_slice(bytes);
+        let Some(end) = end_of_last_event(&self.partial) else { return Bytes::new() };
+        let events = self.partial.split_to(end).freeze();
+        if let Some(id) = last_id(&events) {
             self.last_id = Some(id);
         }
-        whole
+        events
     }
 
-    /// The id of the last whole event.
+    /// The id of the last complete event.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Takes what is left of an event that has no end.
+    /// Takes the bytes of the event that is still incomplete.
     pub fn take_partial(&mut self) -> Bytes {
-        let len = self.part.remaining();
-        self.part.copy_to_bytes(len)
+        let len = self.partial.remaining();
+        self.partial.copy_to_bytes(len)
     }
 }
 
-/// The place behind the last empty line.
-fn find_end(buf: &[u8]) -> Option<usize> {
+/// The index after the last empty line.
+fn end_of_last_event(buf: &[u8]) -> Option<usize> {
     let lf = buf.windows(2).rposition(|w| w == b"\n\n").map(|at| at + 2);
     let crlf = buf.windows(4).rposition(|w| w == b"\r\n\r\n").map(|at| at + 4);
     lf.max(crlf)
--- a/src/proxy/state_updates.rs
+++ b/src/proxy/state_updates.rs
@@ -1,4 +1,4 @@
-//! What the store and the other boxes tell, taken into what this box believes.
+//! Applies updates from the store and messages from other boxes to the state of this box.
 
 use std::net::IpAddr;
 use std::time::Duration;
@@ -23,7 +23,7 @@
 use crate::proxy::suspects;
 use crate::proxy::view::View;
 
-/// Takes in what the store tells.
+/// Applies an update from the store.
 pub fn apply_store_update(hub: &Hub, news: News) {
     match news {
         News::Configured(table) => hub.change(|view, now| view.configure(table, now)),
@@ -46,7 +46,7 @@
                 "service" => service.as_ref().map(|s| s.as_str()), "fault" => fault);
             hub.metrics().rollout_refused();
         }
-        News::BadEntry { name, fault } => bad_entry(hub, name.as_ref(), &fault),
+        News::BadEntry { name, fault } => invalid_entry(hub, name.as_ref(), &fault),
         News::InEra(era) => hub.change(|view, now| view.in_era(era, now)),
         News::Lost(cause) => {
             if hub.read(View::reaches_store) {
@@ -65,16 +65,17 @@
     }
 }
 
-/// Notes an entry that can't be read, and what is wrong with it.
-fn bad_entry(hub: &Hub, name: Option<&UpstreamName>, fault: &str) {
-    let is_news = name.is_none_or(|name| hub.change(|view, now| view.unreadable(name, fault, now)));
-    if is_news {
+/// Records an entry of the store that can't be parsed, and why. Logs it unless that is known
+/// already.
+fn invalid_entry(hub: &Hub, name: Option<&UpstreamName>, fault: &str) {
+    let is_new = name.is_none_or(|name| hub.change(|view, now| view.unreadable(name, fault, now)));
+    if is_new {
         warn!(hub.log(), "entry refused"; "name" => name.map(|n| n.as_str()), "fault" => fault);
         hub.metrics().entry_refused();
     }
 }
 
-/// Takes in a message of the box at `sender`.
+/// Applies a message from the box at `sender`.
 pub fn apply_message(hub: &Hub, message: Message, sender: IpAddr) {
     let now = hub.now();
     match message {
@@ -87,13 +88,13 @@
             let is_engine = hub.read(|view| view.fleet().is_engine(&upstream));
             if !is_engine && let Some(workspace) = workspace {
                 hub.plain_shares(|shares| {
-                    let counted = shares.add(&workspace, Tokens::begun(plain::CHARGE), now);
-                    shares.keep(request, counted);
+                    let charge = shares.add(&workspace, Tokens::begun(plain::CHARGE), now);
+                    shares.keep(request, charge);
                 });
             } else if let Some(workspace) = workspace {
-                let is_owner = owns(hub, &upstream);
+                let is_owner = is_owner_of(hub, &upstream);
                 hub.shares(|shares| {
-                    count(shares, is_owner, request, &workspace, prompt.charge(), now)
+                    add_to_share(shares, is_owner, request, &workspace, prompt.charge(), now)
                 });
             }
         }
@@ -110,7 +111,8 @@
         Message::Withdrawn { request } => hub.withdraw(request),
         Message::Unreachable { upstream } => {
             if hub.fleet(|fleet| fleet.doubt(&upstream, false, now)) {
-                info!(hub.log(), "upstream said to be unreachable"; "name" => upstream.as_str());
+                info!(hub.log(), "upstream reported unreachable by another box";
+                    "name" => upstream.as_str());
                 hub.look();
             }
         }
@@ -131,20 +133,21 @@
         }
         Message::Suspects(all) => suspects::hear(hub, &all),
         Message::Cleared { content } => suspects::cleared(hub, &content),
-        // Taken in by the peers.
+        // Handled by `Peers`.
         Message::Beat(_) | Message::Ask(_) | Message::AskPlain(_) => {}
     }
 }
 
-/// Whether this box owns the model of an engine; nothing where nobody owns anything.
-fn owns(hub: &Hub, upstream: &UpstreamName) -> Option<bool> {
+/// Whether this box owns an engine; `None` while engines have no owners.
+fn is_owner_of(hub: &Hub, upstream: &UpstreamName) -> Option<bool> {
     let owned = hub.peers().owners().of_hash(upstream::hash(upstream));
     owned.map(|owned| owned.owner == hub.peers().me())
 }
 
-/// Counts what another box has placed that believes the fleet small, and tells all. The owner of the engine counts
-/// it as its own, to tell the other owners.
-fn count(
+/// Adds the tokens of a request to its workspace's share. The sender placed the request by itself
+/// and notifies all boxes, because it knows of few boxes. The engine's owner counts the tokens as
+/// its own and reports them to the other owners.
+fn add_to_share(
     shares: &mut Shares,
     is_owner: Option<bool>,
     request: u64,
@@ -152,11 +155,11 @@
     tokens: u64,
     now: Duration,
 ) {
-    let counted = match is_owner {
+    let charge = match is_owner {
         Some(true) => shares.begin(workspace, tokens, now),
-        // The owner tells of it.
+        // Reported by the owner.
         Some(false) => return,
         None => shares.add(workspace, Tokens::begun(tokens), now),
     };
-    shares.keep(request, counted);
+    shares.keep(request, charge);
 }
--- a/src/proxy/stream_relay.rs
+++ b/src/proxy/stream_relay.rs
@@ -1,5 +1,5 @@
-//! Streams: each piece is passed on as it comes; one that breaks off is gone on with at another
-//! upstream where the route allows it, and else cut where the caller sees it.
+//! Relays streams to callers chunk by chunk. A stream that breaks off is resumed at another
+//! upstream if the route allows it, and otherwise aborted in a way that the caller notices.
 
 use std::io;
 use std::pin::Pin;
@@ -34,13 +34,13 @@
 /// Why a stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum End {
-    /// It is whole.
+    /// It is complete.
     Whole,
-    /// The caller left.
+    /// The caller disconnected.
     CallerLeft,
-    /// Time is up.
+    /// Its deadline has passed.
     TimedOut,
-    /// The upstream broke it off.
+    /// It broke off at the upstream and could not be resumed.
     Broken,
 }
 
@@ -55,64 +55,64 @@
     }
 }
 
-/// What an upstream still has to send.
+/// An upstream's response that is being relayed.
 struct Source {
     body: UpstreamBody,
     headers: HeaderMap,
     placed: Placed,
 }
 
-/// Where the next piece comes from.
+/// Where the next chunk comes from.
 enum State {
-    /// An upstream's answer.
-    Passing(Box<Source>),
-    /// Another upstream, which goes on with the stream if there is one.
+    /// An upstream's response.
+    Relaying(Box<Source>),
+    /// Another upstream, if one can resume the stream.
     Resuming(BoxFuture<'static, (Box<RequestContext>, Option<Box<UpstreamResponse>>)>),
-    /// Nowhere: the answer is cut, once all that came before has been written.
-    Cutting,
-    /// Nowhere: the answer has ended.
+    /// Nowhere: the response is aborted once everything before has been written.
+    Aborting,
+    /// Nowhere: the response has ended.
     Ended,
 }
 
-/// The body of a caller's answer. Nothing runs beside it: the caller's connection asks it for the
-/// next piece, and it asks the upstream's. It is dropped when the caller leaves.
+/// The body of a response to a caller. It has no task of its own: the caller's connection polls it,
+/// and it polls the upstream's connection. It is dropped when the caller disconnects.
 struct StreamRelay {
-    /// The request; a resumption has it meanwhile.
-    run: Option<Box<RequestContext>>,
+    /// The request; `None` while a resumption holds it.
+    ctx: Option<Box<RequestContext>>,
     state: State,
     events: EventSplitter,
-    /// Whether the request's first piece has come.
-    begun: bool,
-    /// Pieces of this upstream's answer so far.
-    pieces: u32,
+    /// Whether the request's first chunk has arrived.
+    has_begun: bool,
+    /// Chunks of this upstream's response so far.
+    chunks: u32,
     timed_out: BoxFuture<'static, ()>,
-    /// Runs while pieces are held.
-    held: Option<Pin<Box<Sleep>>>,
-    /// Whether a piece was passed on since pieces were held last.
+    /// Set while chunks are coalesced.
+    coalescing: Option<Pin<Box<Sleep>>>,
+    /// Whether a chunk was passed on since chunks were last coalesced.
     has_passed: bool,
 }
 
-/// Answers with the stream that begins with `reply`.
-pub fn start(run: RequestContext, reply: UpstreamResponse) -> Response<Body> {
-    let status = reply.resp.status();
-    let headers = run.hub.dialect().incoming(reply.resp.headers());
-    let pump = StreamRelay {
-        timed_out: run.hub.clock().clone().sleep_until(run.deadline).boxed(),
-        run: Some(Box::new(run)),
-        state: passing(reply),
+/// Responds to the caller with the stream that begins with `upstream_response`.
+pub fn start(ctx: RequestContext, upstream_response: UpstreamResponse) -> Response<Body> {
+    let status = upstream_response.resp.status();
+    let headers = ctx.hub.dialect().incoming(upstream_response.resp.headers());
+    let relay = StreamRelay {
+        timed_out: ctx.hub.clock().clone().sleep_until(ctx.deadline).boxed(),
+        ctx: Some(Box::new(ctx)),
+        state: relaying(upstream_response),
         events: EventSplitter::default(),
-        begun: false,
-        pieces: 0,
-        held: None,
+        has_begun: false,
+        chunks: 0,
+        coalescing: None,
         has_passed: false,
     };
-    request::respond(status, headers, pump.boxed_unsync())
+    request::respond(status, headers, relay.boxed_unsync())
 }
 
-fn passing(reply: UpstreamResponse) -> State {
-    let UpstreamResponse { resp, placed } = reply;
+fn relaying(upstream_response: UpstreamResponse) -> State {
+    let UpstreamResponse { resp, placed } = upstream_response;
     let (head, body) = resp.into_parts();
-    State::Passing(Box::new(Source { body, headers: head.headers, placed }))
+    State::Relaying(Box::new(Source { body, headers: head.headers, placed }))
 }
 
 impl hyper::body::Body for StreamRelay {
@@ -125,43 +125,45 @@
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         loop {
             match &mut self.state {
-                State::Passing(_) => {
+                State::Relaying(_) => {
                     let Poll::Ready(frame) = self.poll_source(cx) else {
                         ready!(self.timed_out.as_mut().poll(cx));
-                        self.cut(End::TimedOut, cx);
+                        self.abort(End::TimedOut, cx);
                         return Poll::Pending;
                     };
                     let next = match frame {
-                        Some(Ok(frame)) => self.piece(frame.into_data().unwrap_or_default()),
+                        Some(Ok(frame)) => {
+                            self.receive_chunk(frame.into_data().unwrap_or_default())
+                        }
                         Some(Err(e)) => {
-                            self.broke_off(&e);
+                            self.handle_break(&e);
                             continue;
                         }
                         None => Some(self.finish()).filter(|rest| !rest.is_empty()),
                     };
-                    if let Some(piece) = next {
+                    if let Some(chunk) = next {
                         self.has_passed = true;
-                        return Poll::Ready(Some(Ok(Frame::data(piece))));
+                        return Poll::Ready(Some(Ok(Frame::data(chunk))));
                     }
                 }
                 State::Resuming(resuming) => {
-                    let (run, reply) = ready!(resuming.as_mut().poll(cx));
-                    self.run = Some(run);
-                    match reply {
-                        Some(reply) => {
-                            self.pieces = 0;
-                            self.state = passing(*reply);
+                    let (ctx, resumed) = ready!(resuming.as_mut().poll(cx));
+                    self.ctx = Some(ctx);
+                    match resumed {
+                        Some(upstream_response) => {
+                            self.chunks = 0;
+                            self.state = relaying(*upstream_response);
                         }
                         None => {
-                            self.cut(End::Broken, cx);
+                            self.abort(End::Broken, cx);
                             return Poll::Pending;
                         }
                     }
                 }
-                State::Cutting => {
+                State::Aborting => {
                     self.state = State::Ended;
-                    let cut = io::Error::from(io::ErrorKind::ConnectionAborted);
-                    return Poll::Ready(Some(Err(cut)));
+                    let aborted = io::Error::from(io::ErrorKind::ConnectionAborted);
+                    return Poll::Ready(Some(Err(aborted)));
                 }
                 State::Ended => return Poll::Ready(None),
             }
@@ -170,120 +172,123 @@
 }
 
 impl StreamRelay {
-    /// The next piece of the upstream's answer. On a busy box what follows a piece is left with the kernel for a
-    /// moment, so that several come with one call and go with one.
+    /// Polls for the next chunk of the upstream's response. On a busy box, bytes that follow a
+    /// chunk stay in the kernel's buffer for a moment, so that several chunks are received and sent
+    /// with one call each.
     fn poll_source(
         &mut self,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, upstream_connections::Error>>> {
-        if let Some(held) = &mut self.held {
-            ready!(held.as_mut().poll(cx));
-            self.held = None;
+        if let Some(coalescing) = &mut self.coalescing {
+            ready!(coalescing.as_mut().poll(cx));
+            self.coalescing = None;
         }
-        let State::Passing(source) = &mut self.state else { return Poll::Pending };
-        let until = match (&self.run, self.has_passed) {
-            (Some(run), true) => run.hub.coalesce_until(),
+        let State::Relaying(source) = &mut self.state else { return Poll::Pending };
+        let until = match (&self.ctx, self.has_passed) {
+            (Some(ctx), true) => ctx.hub.coalesce_until(),
             _ => None,
         };
         let Some(until) = until else { return Pin::new(&mut source.body).poll_frame(cx) };
-        // Nobody is woken by what comes meanwhile. The connection may need a second look: the first one says
-        // that its bytes are wanted.
-        let mut asleep = Context::from_waker(Waker::noop());
+        // Polls without a waker, so that bytes that arrive until then wake no task. The connection
+        // may need a second poll: the first one makes it read.
+        let mut no_wake = Context::from_waker(Waker::noop());
         for _ in 0..2 {
-            if let Poll::Ready(frame) = Pin::new(&mut source.body).poll_frame(&mut asleep) {
+            if let Poll::Ready(frame) = Pin::new(&mut source.body).poll_frame(&mut no_wake) {
                 return Poll::Ready(frame);
             }
         }
         self.has_passed = false;
-        let held = self.held.insert(Box::pin(tokio::time::sleep_until(until)));
-        match held.as_mut().poll(cx) {
+        let coalescing = self.coalescing.insert(Box::pin(tokio::time::sleep_until(until)));
+        match coalescing.as_mut().poll(cx) {
             Poll::Pending => Poll::Pending,
             Poll::Ready(()) => {
-                self.held = None;
+                self.coalescing = None;
                 Pin::new(&mut source.body).poll_frame(cx)
             }
         }
     }
 
-    /// Takes in a piece; gives what may be passed on now: whole events where the stream may have to
-    /// be gone on with.
-    fn piece(&mut self, piece: Bytes) -> Option<Bytes> {
-        let (Some(run), State::Passing(source)) = (&mut self.run, &self.state) else {
+    /// Receives a chunk and returns the bytes to pass on now: only complete events if the stream
+    /// may have to be resumed.
+    fn receive_chunk(&mut self, chunk: Bytes) -> Option<Bytes> {
+        let (Some(ctx), State::Relaying(source)) = (&mut self.ctx, &self.state) else {
             return None;
         };
-        if piece.is_empty() {
+        if chunk.is_empty() {
             return None;
         }
-        self.begun = true;
-        self.pieces += 1;
+        self.has_begun = true;
+        self.chunks += 1;
         if let Some(first) = source.placed.first() {
-            run.first_token.get_or_insert(first);
+            ctx.first_token.get_or_insert(first);
         }
-        if run.route.repeat != Repeat::AfterEvent {
-            return Some(piece);
+        if ctx.route.repeat != Repeat::AfterEvent {
+            return Some(chunk);
         }
-        Some(self.events.push(&piece)).filter(|events| !events.is_empty())
+        Some(self.events.push(&chunk)).filter(|events| !events.is_empty())
     }
 
-    /// Ends a stream that came whole; gives what has not been passed on yet.
+    /// Ends a stream that is complete; returns the bytes that have not been passed on yet.
     fn finish(&mut self) -> Bytes {
-        if let State::Passing(source) = std::mem::replace(&mut self.state, State::Ended) {
+        if let State::Relaying(source) = std::mem::replace(&mut self.state, State::Ended) {
             let Source { body, headers, placed } = *source;
             body.keep(&headers);
-            placed.paced(self.pieces);
+            placed.paced(self.chunks);
             placed.close(None);
-            self.run.iter().for_each(|run| run.record_success());
+            self.ctx.iter().for_each(|ctx| ctx.record_success());
         }
         self.log_end(End::Whole);
         self.events.take_partial()
     }
 
-    /// Goes on with the stream elsewhere, or cuts it.
-    fn broke_off(&mut self, e: &upstream_connections::Error) {
-        let Some(mut run) = self.run.take() else { return };
-        if let State::Passing(source) = std::mem::replace(&mut self.state, State::Ended) {
-            info!(run.hub.log(), "broke off"; "id" => &run.head.id,
-                "content" => %run.fingerprint(), "upstream" => source.placed.upstream().as_str(), "error" => util::with_causes(e),
-                "begun" => self.begun, "last_event" => self.events.last_id());
-            run.record_break(source.placed, matches!(e, upstream_connections::Error::Restarted));
+    /// Resumes a stream that has broken off at another upstream, or aborts it.
+    fn handle_break(&mut self, e: &upstream_connections::Error) {
+        let Some(mut ctx) = self.ctx.take() else { return };
+        if let State::Relaying(source) = std::mem::replace(&mut self.state, State::Ended) {
+            info!(ctx.hub.log(), "response broke off"; "id" => &ctx.head.id,
+                "content" => %ctx.fingerprint(), "upstream" => source.placed.upstream().as_str(),
+                "error" => util::with_causes(e),
+                "begun" => self.has_begun, "last_event" => self.events.last_id());
+            ctx.record_break(source.placed, matches!(e, upstream_connections::Error::Restarted));
         }
-        // The part of an event that came is sent again by the next upstream.
+        // The next upstream sends the incomplete event again.
         let _ = self.events.take_partial();
         let after = self.events.last_id();
         self.state = State::Resuming(Box::pin(async move {
-            let timed_out = run.hub.clock().clone().sleep_until(run.deadline);
-            let reply = tokio::select! {
+            let timed_out = ctx.hub.clock().clone().sleep_until(ctx.deadline);
+            let resumed = tokio::select! {
                 biased;
-                reply = run.resume(after) => reply,
+                resumed = ctx.resume(after) => resumed,
                 () = timed_out => None,
             };
-            if let Some(reply) = &reply {
-                info!(run.hub.log(), "resumed"; "id" => &run.head.id, "after" => after,
-                    "upstream" => reply.placed.upstream().as_str());
+            if let Some(resumed) = &resumed {
+                info!(ctx.hub.log(), "stream resumed"; "id" => &ctx.head.id, "after" => after,
+                    "upstream" => resumed.placed.upstream().as_str());
             }
-            (run, reply)
+            (ctx, resumed)
         }));
     }
 
-    /// Cuts the answer so that it doesn't look whole, when it is asked for the next piece; what is
-    /// before the cut is written first.
-    fn cut(&mut self, end: End, cx: &mut Context<'_>) {
-        self.state = State::Cutting;
+    /// Aborts the response at the next poll, so that it doesn't look complete; the bytes before are
+    /// written first.
+    fn abort(&mut self, end: End, cx: &mut Context<'_>) {
+        self.state = State::Aborting;
         self.log_end(end);
         cx.waker().wake_by_ref();
     }
 
     fn log_end(&mut self, end: End) {
-        // Only once: the request isn't counted any more.
-        if let Some(run) = self.run.take() {
-            run.log_end(StatusCode::OK, end.code());
+        // Taking the context makes sure that the end is logged only once, and no longer counts the
+        // request.
+        if let Some(ctx) = self.ctx.take() {
+            ctx.log_end(StatusCode::OK, end.code());
         }
     }
 }
 
 impl Drop for StreamRelay {
     fn drop(&mut self) {
-        let late = self.run.as_ref().is_some_and(|run| run.deadline <= run.hub.now());
-        self.log_end(if late { End::TimedOut } else { End::CallerLeft });
+        let is_late = self.ctx.as_ref().is_some_and(|ctx| ctx.deadline <= ctx.hub.now());
+        self.log_end(if is_late { End::TimedOut } else { End::CallerLeft });
     }
 }
--- a/src/proxy/upstream_connections.rs
+++ b/src/proxy/upstream_connections.rs
@@ -1,5 +1,5 @@
-//! Connections to upstreams, by `hyper` on the one runtime thread: kept between requests, bounded
-//! per upstream, closed as soon as anything about them is odd.
+//! HTTP connections to upstreams, by `hyper` on the single runtime thread. They are kept between
+//! requests, limited per upstream, and closed on any irregularity.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -35,71 +35,76 @@
 use crate::proxy::notices::Withheld;
 use crate::util;
 
-/// How long connecting may take: some round trips within a region, and one lost packet's less.
+/// Timeout for connecting: several round trips within a region, but less than the retransmission of
+/// a lost packet takes.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long sent bytes may stay unacknowledged, and a silent peer unanswering, before the
+/// Time for which sent bytes may stay unacknowledged, or keep-alive probes unanswered, before the
 /// connection counts as dead.
 const PEER_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Time between probes of a silent connection.
+/// Interval of TCP keep-alive probes on a connection without traffic.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// An answer that nobody asked for may come shortly after a whole one; a connection rests for this
-/// long before it is used again, so that such an answer is seen and closes it.
-const SETTLE: Duration = Duration::from_millis(6);
+/// Time for which a connection is idle before it is reused. An upstream may send an unsolicited
+/// response shortly after a complete one; within this time it is noticed and the connection closed.
+const REUSE_DELAY: Duration = Duration::from_millis(6);
 
-/// Part of the time that an upstream says it keeps idle connections, within which they are used.
-const KEEP_SHARE: f64 = 0.6;
+/// Fraction of the keep-alive timeout announced by an upstream for which idle connections are
+/// reused.
+const KEEP_ALIVE_FRACTION: f64 = 0.6;
 
-/// How long an idle connection is used where the upstream says nothing.
-const KEEP_DEFAULT: Duration = Duration::from_secs(4);
+/// Time for which an idle connection is reused if the upstream announces no keep-alive timeout.
+const KEEP_ALIVE_DEFAULT: Duration = Duration::from_secs(4);
 
-/// For requests that must not run twice: a connection that rested longer is not used, since its
-/// close may be on its way, and a request lost to that may have run.
-const KEEP_SURE: Duration = Duration::from_millis(1000);
+/// Maximum idle time of a connection that is reused for a request that must not run twice. After a
+/// longer time, the upstream may be closing it, and a request lost in that may have run.
+const ONCE_ONLY_IDLE_MAX: Duration = Duration::from_millis(1000);
 
-/// Idle connections kept per upstream.
-const IDLE_MAX: usize = 32;
+/// Maximum number of idle connections per upstream.
+const IDLE_CONNECTIONS_MAX: usize = 32;
 
-/// Part of an upstream's connections that the boxes use that this one has heard of. The rest is for boxes that
-/// start meanwhile: a fifth more are known everywhere within some beats.
-const CONNECTIONS_SHARE: f64 = 0.83;
+/// Fraction of an upstream's connections that is divided among the boxes known to this one. The
+/// rest is for boxes that have just started: a fifth more are known everywhere within some
+/// heartbeats.
+const KNOWN_BOXES_FRACTION: f64 = 0.83;
 
-/// Part of an upstream's connections that requests may use which its owner has placed, beside those that are shared
-/// out; two boxes may believe to own it.
-const PLACED_SHARE: f64 = 0.35;
+/// Fraction of an upstream's connections reserved for requests that its owner has placed, apart
+/// from those divided among boxes. Half of it per owner: two boxes may consider themselves owners
+/// at the same time.
+const OWNER_PLACED_FRACTION: f64 = 0.35;
 
-/// Where fewer connections are shared than there are boxes, so many standard deviations of the number of those that
-/// draw one are left unused: more draw one at one in 10,000 upstreams.
-const DRAWN_DEVIATIONS: f64 = 4.0;
+/// With fewer connections to divide than boxes, this many standard deviations of the number of
+/// boxes that draw a connection are left unused: more boxes than connections draw one at one in
+/// 10,000 upstreams.
+const DRAW_MARGIN_DEVIATIONS: f64 = 4.0;
 
-/// A box counts at least so many boxes: it may be cut off from the others, and may not have heard of them since its
-/// start.
+/// Minimum number of boxes that a box assumes: it may be partitioned from the others, or may not
+/// know them yet after its start.
 const BOXES_MIN: usize = 16;
 
-/// Why a request could not be sent or got no answer.
+/// Why a request could not be sent or got no complete response.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// There is no connection, so nothing was sent.
-    #[error("connecting")]
+    /// Connecting failed, so nothing was sent.
+    #[error("connecting failed")]
     Connect(#[source] std::io::Error),
     /// Connecting took too long, so nothing was sent.
-    #[error("connecting took too long")]
+    #[error("connecting timed out")]
     ConnectTimeout,
-    /// All connections that this upstream may get are in use; nothing was sent.
-    #[error("no connection is free")]
+    /// This box has no further connections to the upstream; nothing was sent.
+    #[error("this box's limit of connections to the upstream is reached")]
     LimitReached,
     /// The connection failed after the request may have been sent.
-    #[error("no answer")]
-    Lost(#[source] hyper::Error),
-    /// The answer's body broke off.
+    #[error("connection failed before the response")]
+    NoResponse(#[source] hyper::Error),
+    /// The response's body broke off.
     #[error(transparent)]
     Body(hyper::Error),
-    /// The upstream has started anew since the request was sent.
-    #[error("the upstream has started anew")]
+    /// The upstream has restarted since the request was sent.
+    #[error("the upstream has restarted")]
     Restarted,
-    /// The upstream gets nothing any more.
+    /// The upstream gets no further requests.
     #[error("withheld: {}", .0.code())]
     Withheld(Withheld),
 }
@@ -107,55 +112,58 @@
 impl Error {
     /// Whether the request certainly did not reach the upstream.
     pub fn is_unsent(&self) -> bool {
-        !matches!(self, Error::Lost(_) | Error::Body(_) | Error::Restarted)
+        !matches!(self, Error::NoResponse(_) | Error::Body(_) | Error::Restarted)
     }
 
-    /// Whether nobody listens there: the upstream has ended, and its machine is there.
+    /// Whether the connection was refused: the upstream's process has ended, but its machine is
+    /// reachable.
     pub fn is_refused(&self) -> bool {
         matches!(self, Error::Connect(e) if e.kind() == std::io::ErrorKind::ConnectionRefused)
     }
 }
 
-/// How many connections to one upstream this box may have.
+/// The number of connections to one upstream that this box may have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionQuota {
-    /// While requests are on them.
+    /// Open connections up to which another may be opened for a request.
     pub open_max: u32,
-    /// Between requests.
+    /// Open connections up to which one is kept after a request.
     pub kept_max: u32,
 }
 
-/// What the connections to one upstream are shared by.
+/// What a [`ConnectionQuota`] is computed from.
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaInputs {
-    /// Connections that it takes from all boxes.
+    /// Connections that the upstream accepts from all boxes together.
     pub connections: u32,
-    /// Requests that its owner lets be there at once.
+    /// Maximum number of requests that its owner places there at a time.
     pub placed_max: u32,
-    /// The boxes that there are, or were lately.
+    /// Boxes that are alive or were lately.
     pub boxes: usize,
-    /// A number of this box's own for the upstream, by which it has one of too few connections or none.
+    /// A uniform number of this box for the upstream, which decides whether it gets one of too few
+    /// connections.
     pub draw: u32,
 }
 
 impl ConnectionQuota {
-    /// The even part of this box. Requests that the upstream's owner has placed, as `is_placed` says, come on
-    /// top of all parts: they are no more than its slots and a few that wait, so a box that has many of them may
-    /// have a connection for each. The sum over all boxes stays below what the upstream takes, whatever the
-    /// numbers.
-    pub fn new(sharing: QuotaInputs, is_placed: bool) -> ConnectionQuota {
-        let connections = f64::from(sharing.connections);
-        let placed = (connections * PLACED_SHARE / 2.0) as u32;
-        let placed = placed.min(sharing.placed_max);
-        let shared = (connections * CONNECTIONS_SHARE - 2.0 * f64::from(placed)).max(0.0);
-        let boxes = sharing.boxes.max(BOXES_MIN) as f64;
+    /// The quota is this box's even part of the connections. Requests that the upstream's owner has
+    /// placed (`is_placed`) have connections beside these parts: they are at most its slots and a
+    /// few that wait, so a box that has many of them may open a connection for each. The sum over
+    /// all boxes always stays below what the upstream accepts.
+    pub fn new(inputs: QuotaInputs, is_placed: bool) -> ConnectionQuota {
+        let connections = f64::from(inputs.connections);
+        let placed = (connections * OWNER_PLACED_FRACTION / 2.0) as u32;
+        let placed = placed.min(inputs.placed_max);
+        let shared = (connections * KNOWN_BOXES_FRACTION - 2.0 * f64::from(placed)).max(0.0);
+        let boxes = inputs.boxes.max(BOXES_MIN) as f64;
         let kept = if boxes <= shared {
             (shared / boxes) as u32
         } else {
-            // Each of a part of the boxes has one; the others go to other upstreams. Which ones is drawn, so the
-            // number varies by its root.
-            let few = (shared - DRAWN_DEVIATIONS * shared.sqrt()).max(0.0);
-            u32::from(f64::from(sharing.draw) < few / boxes * f64::from(u32::MAX))
+            // Only some boxes get a connection; the others use other upstreams. Each box draws
+            // independently, so the number of connections has a standard deviation of about its
+            // square root.
+            let expected = (shared - DRAW_MARGIN_DEVIATIONS * shared.sqrt()).max(0.0);
+            u32::from(f64::from(inputs.draw) < expected / boxes * f64::from(u32::MAX))
         };
         ConnectionQuota {
             open_max: if is_placed { kept.max(placed) } else { kept },
@@ -164,7 +172,7 @@
     }
 }
 
-/// Connections to all upstreams.
+/// The connections to all upstreams.
 #[derive(Debug)]
 pub struct UpstreamConnections {
     clock: Arc<Clock>,
@@ -174,98 +182,113 @@
 #[derive(Debug, Default)]
 struct PerUpstream {
     open: u32,
-    /// How many of them may rest.
+    /// Open connections up to which one is kept after a request.
     kept_max: u32,
-    /// Those that have rested longest come first.
-    idle: Vec<Resting>,
-    /// Those that requests are on, and when they were made, in milliseconds since 1970.
-    busy: Vec<(u64, Weak<Cut>)>,
+    /// Longest idle first.
+    idle: Vec<IdleConnection>,
+    /// When each connection in use was opened, in milliseconds since 1970, and its restart flag.
+    busy: Vec<(u64, Weak<RestartFlag>)>,
 }
 
-/// Whether a connection leads to an upstream that has started anew, so that nothing more comes on it.
+/// Set once the upstream at the other end of a connection has restarted, so that nothing more
+/// arrives on it.
 #[derive(Debug, Default)]
-struct Cut {
-    is_cut: AtomicBool,
+struct RestartFlag {
+    is_set: AtomicBool,
     waker: AtomicWaker,
 }
 
-impl Cut {
-    fn is_noticed(&self, cx: &Context<'_>) -> bool {
+impl RestartFlag {
+    /// Whether the flag is set; if not, the task is woken when it is.
+    fn is_set(&self, cx: &Context<'_>) -> bool {
         self.waker.register(cx.waker());
-        self.is_cut.load(Ordering::Relaxed)
+        self.is_set.load(Ordering::Relaxed)
     }
 }
 
-/// The part of a connection that moves bytes; it must be polled for anything to happen.
+/// The part of a connection that does its I/O; it must be polled for any progress.
 type Driver = http1::Connection<TokioIo<TcpStream>, Full<Bytes>>;
 
-/// A connection that a request is on. Whoever waits for the answer drives it, so that a piece of a
-/// stream wakes one task and not three. Dropping it closes the connection, so that the upstream
-/// stops working on what nobody waits for.
+/// A connection in use by a request. The task that waits for the response also polls the driver, so
+/// that a chunk of a stream wakes one task and not three. Dropping it closes the connection, so
+/// that the upstream stops working on the request.
 #[derive(Debug)]
-struct Conn {
+struct BusyConnection {
     tx: SendRequest<Full<Bytes>>,
-    /// Nothing once the connection has ended.
+    /// `None` once the connection has ended.
     driver: Option<Driver>,
-    keep: Duration,
-    count: Count,
-    made: u64,
-    /// Whether the upstream that it is meant for has answered on it.
-    is_proven: bool,
-    cut: Arc<Cut>,
+    idle_max: Duration,
+    open_count: OpenCount,
+    opened_at_ms: u64,
+    /// Whether the intended upstream has responded on it.
+    is_authentic: bool,
+    restart_flag: Arc<RestartFlag>,
 }
 
-/// A connection that no request is on. A task watches it, to see that the upstream closes it or
-/// sends what nobody asked for.
+/// A connection without a request. A task watches it for a close by the upstream and for
+/// unsolicited bytes.
 #[derive(Debug)]
-struct Resting {
+struct IdleConnection {
     tx: SendRequest<Full<Bytes>>,
     driver: Arc<Mutex<Option<Driver>>>,
-    watch: AbortHandle,
-    since: Duration,
-    keep: Duration,
-    count: Count,
-    made: u64,
-    is_proven: bool,
+    watcher: AbortHandle,
+    idle_since: Duration,
+    idle_max: Duration,
+    open_count: OpenCount,
+    opened_at_ms: u64,
+    is_authentic: bool,
 }
 
 /// Counts a connection while it is open.
 #[derive(Debug)]
-struct Count {
-    upstream_connections: Arc<UpstreamConnections>,
+struct OpenCount {
+    connections: Arc<UpstreamConnections>,
     addr: SocketAddr,
 }
 
-impl Drop for Count {
+impl Drop for OpenCount {
     fn drop(&mut self) {
-        let mut by_addr = self.upstream_connections.by_addr.lock().expect("no panic under lock");
+        let mut by_addr = self.connections.by_addr.lock().expect("no panic under lock");
         if let Some(upstream) = by_addr.get_mut(&self.addr) {
             upstream.open = upstream.open.saturating_sub(1);
         }
     }
 }
 
-impl Conn {
+impl BusyConnection {
     /// Keeps the connection for the next request, unless it has ended.
-    fn rest(self) {
-        let Conn { tx, driver, keep, count, made, is_proven, .. } = self;
+    fn keep_idle(self) {
+        let BusyConnection { tx, driver, idle_max, open_count, opened_at_ms, is_authentic, .. } =
+            self;
         let Some(driver) = driver else { return };
         let driver = Arc::new(Mutex::new(Some(driver)));
         let watched = driver.clone();
-        let watch = tokio::spawn(std::future::poll_fn(move |cx| {
+        let watcher = tokio::spawn(std::future::poll_fn(move |cx| {
             let mut driver = watched.lock().expect("no panic under lock");
-            drive(&mut driver, cx);
+            poll_driver(&mut driver, cx);
             if driver.is_some() { Poll::Pending } else { Poll::Ready(()) }
         }));
-        let (upstream_connections, addr) = (count.upstream_connections.clone(), count.addr);
-        let (watch, since) = (watch.abort_handle(), upstream_connections.clock.now());
-        upstream_connections
-            .put(addr, Resting { tx, driver, watch, since, keep, count, made, is_proven });
+        let (connections, addr) = (open_count.connections.clone(), open_count.addr);
+        let (watcher, idle_since) = (watcher.abort_handle(), connections.clock.now());
+        connections.put_idle(
+            addr,
+            IdleConnection {
+                tx,
+                driver,
+                watcher,
+                idle_since,
+                idle_max,
+                open_count,
+                opened_at_ms,
+                is_authentic,
+            },
+        );
     }
 }
 
-/// Moves bytes, until the connection has ended. Whoever waits for an answer hears of its failure.
-fn drive(driver: &mut Option<Driver>, cx: &mut Context<'_>) {
+/// Polls the driver and drops it once the connection has ended. Its error is ignored: the request's
+/// own future returns it.
+fn poll_driver(driver: &mut Option<Driver>, cx: &mut Context<'_>) {
     if let Some(running) = driver
         && Pin::new(running).poll(cx).is_ready()
     {
@@ -273,54 +296,70 @@
     }
 }
 
-impl Resting {
-    /// For how long it has rested.
-    fn rested(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.since)
+impl IdleConnection {
+    fn idle_time(&self, now: Duration) -> Duration {
+        now.saturating_sub(self.idle_since)
     }
 
     fn is_usable(&self) -> bool {
         !self.tx.is_closed() && self.tx.is_ready()
     }
 
-    /// Nothing when the connection has ended.
-    fn wake(self) -> Option<Conn> {
+    /// Takes the connection into use. Returns `None` if it has ended.
+    fn into_busy(self) -> Option<BusyConnection> {
         let is_usable = self.is_usable();
-        let Resting { tx, driver, watch, keep, count, made, is_proven, .. } = self;
-        watch.abort();
+        let IdleConnection {
+            tx,
+            driver,
+            watcher,
+            idle_max,
+            open_count,
+            opened_at_ms,
+            is_authentic,
+            ..
+        } = self;
+        watcher.abort();
         let driver = driver.lock().expect("no panic under lock").take();
-        let cut = Arc::default();
-        is_usable.then(|| Conn { tx, driver, keep, count, made, is_proven, cut })
+        let restart_flag = Arc::default();
+        is_usable.then(|| BusyConnection {
+            tx,
+            driver,
+            idle_max,
+            open_count,
+            opened_at_ms,
+            is_authentic,
+            restart_flag,
+        })
     }
 
     fn close(self) {
-        drop(self.wake());
+        drop(self.into_busy());
     }
 }
 
-/// The body of an upstream's answer, with the connection that it comes on. Dropping it closes the
-/// connection.
+/// The body of an upstream's response, with its connection. Dropping it closes the connection.
 #[derive(Debug)]
 pub struct UpstreamBody {
     incoming: Incoming,
-    conn: Conn,
+    conn: BusyConnection,
 }
 
 impl UpstreamBody {
-    /// Whether the upstream that the connection is meant for has answered on it, if not before then `is_proven`.
-    pub fn prove(&mut self, is_proven: bool) -> bool {
-        self.conn.is_proven |= is_proven;
-        self.conn.is_proven
+    /// Records whether this response is from the intended upstream. Returns whether any response on
+    /// this connection was.
+    pub fn record_authentic(&mut self, is_authentic: bool) -> bool {
+        self.conn.is_authentic |= is_authentic;
+        self.conn.is_authentic
     }
 
-    /// The answer has ended as it should: keeps the connection for others, for as long as the
-    /// upstream says in `headers`.
+    /// Keeps the connection of a complete response for other requests, for as long as the upstream
+    /// announces in `headers`.
     pub fn keep(self, headers: &HeaderMap) {
         let mut conn = self.conn;
-        if let Some(keep) = keep_alive(headers) {
-            conn.keep = keep.mul_f64(KEEP_SHARE);
+        if let Some(timeout) = keep_alive_timeout(headers) {
+            conn.idle_max = timeout.mul_f64(KEEP_ALIVE_FRACTION);
         }
-        conn.rest();
+        conn.keep_idle();
     }
 }
 
@@ -332,157 +371,169 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Error>>> {
-        if self.conn.cut.is_noticed(cx) {
+        if self.conn.restart_flag.is_set(cx) {
             return Poll::Ready(Some(Err(Error::Restarted)));
         }
-        drive(&mut self.conn.driver, cx);
+        poll_driver(&mut self.conn.driver, cx);
         Pin::new(&mut self.incoming).poll_frame(cx).map_err(Error::Body)
     }
 }
 
 impl UpstreamConnections {
-    /// No connection yet.
+    /// A set without connections.
     pub fn new(clock: Arc<Clock>) -> Arc<UpstreamConnections> {
         Arc::new(UpstreamConnections { clock, by_addr: Mutex::default() })
     }
 
-    /// Closes all connections that rest.
+    /// Closes all idle connections.
     pub fn close_idle(&self) {
         let mut by_addr = self.by_addr.lock().expect("no panic under lock");
-        let resting: Vec<Resting> =
+        let idle: Vec<IdleConnection> =
             by_addr.values_mut().flat_map(|upstream| std::mem::take(&mut upstream.idle)).collect();
         // The counts take the lock.
         drop(by_addr);
-        resting.into_iter().for_each(Resting::close);
+        idle.into_iter().for_each(IdleConnection::close);
     }
 
-    /// Sends a request; `once` asks for a connection that is sure to be alive. `withheld` is asked right before, since
+    /// Sends a request. `is_once_only`, for one that must not run twice, reuses only connections
+    /// that are almost certainly alive. `withheld` is called right before the send, since
     /// connecting takes time.
     pub async fn send(
         self: &Arc<UpstreamConnections>,
         addr: SocketAddr,
         quota: ConnectionQuota,
-        once: bool,
+        is_once_only: bool,
         req: Request<Full<Bytes>>,
         withheld: impl FnOnce() -> Option<Withheld>,
     ) -> Result<Response<UpstreamBody>, Error> {
-        let mut conn = match self.take(addr, once) {
+        let mut conn = match self.take_idle(addr, is_once_only) {
             Some(conn) => conn,
             None => self.connect(addr, quota).await?,
         };
         if let Some(reason) = withheld() {
-            conn.rest();
+            conn.keep_idle();
             return Err(Error::Withheld(reason));
         }
-        let answer = conn.tx.send_request(req);
-        tokio::pin!(answer);
-        let (driver, cut) = (&mut conn.driver, &conn.cut);
-        self.note_busy(addr, conn.made, cut);
+        let response = conn.tx.send_request(req);
+        tokio::pin!(response);
+        let (driver, restart_flag) = (&mut conn.driver, &conn.restart_flag);
+        self.register_busy(addr, conn.opened_at_ms, restart_flag);
         let resp = std::future::poll_fn(|cx| {
-            if cut.is_noticed(cx) {
+            if restart_flag.is_set(cx) {
                 return Poll::Ready(Err(Error::Restarted));
             }
-            drive(driver, cx);
-            answer.as_mut().poll(cx).map_err(Error::Lost)
+            poll_driver(driver, cx);
+            response.as_mut().poll(cx).map_err(Error::NoResponse)
         });
         let resp = resp.await?;
         Ok(resp.map(|incoming| UpstreamBody { incoming, conn }))
     }
 
-    /// Makes a connection and keeps it for the next request.
+    /// Opens a connection and keeps it for the next request.
     pub async fn preconnect(
         self: &Arc<UpstreamConnections>,
         addr: SocketAddr,
     ) -> Result<(), Error> {
-        self.connect(addr, ConnectionQuota { open_max: u32::MAX, kept_max: 1 }).await?.rest();
+        self.connect(addr, ConnectionQuota { open_max: u32::MAX, kept_max: 1 }).await?.keep_idle();
         Ok(())
     }
 
-    fn note_busy(&self, addr: SocketAddr, made: u64, cut: &Arc<Cut>) {
+    fn register_busy(&self, addr: SocketAddr, opened_at_ms: u64, restart_flag: &Arc<RestartFlag>) {
         let mut by_addr = self.by_addr.lock().expect("no panic under lock");
         let busy = &mut by_addr.entry(addr).or_default().busy;
-        busy.retain(|(_, cut)| cut.strong_count() != 0);
-        busy.push((made, Arc::downgrade(cut)));
+        busy.retain(|(_, flag)| flag.strong_count() != 0);
+        busy.push((opened_at_ms, Arc::downgrade(restart_flag)));
     }
 
-    /// An upstream has started anew at a time, in milliseconds since 1970: closes what rests there, and ends the
-    /// requests on connections that were made before, which are lost. Gives how many connections.
-    pub fn close_before_restart(&self, addr: SocketAddr, born: u64) -> usize {
+    /// Closes the connections to an upstream that were opened before it restarted at
+    /// `restarted_at_ms`, in milliseconds since 1970, and fails the requests on them, which are
+    /// lost. Returns the number of connections.
+    pub fn close_before_restart(&self, addr: SocketAddr, restarted_at_ms: u64) -> usize {
         let mut by_addr = self.by_addr.lock().expect("no panic under lock");
         let Some(upstream) = by_addr.get_mut(&addr) else { return 0 };
-        let old: Vec<Resting> = upstream.idle.extract_if(.., |c| c.made <= born).collect();
-        let busy = upstream.busy.iter().filter(|(made, _)| *made <= born);
-        let busy: Vec<Arc<Cut>> = busy.filter_map(|(_, cut)| cut.upgrade()).collect();
+        let old: Vec<IdleConnection> =
+            upstream.idle.extract_if(.., |c| c.opened_at_ms <= restarted_at_ms).collect();
+        let busy =
+            upstream.busy.iter().filter(|(opened_at_ms, _)| *opened_at_ms <= restarted_at_ms);
+        let busy: Vec<Arc<RestartFlag>> = busy.filter_map(|(_, flag)| flag.upgrade()).collect();
         // The counts take the lock.
         drop(by_addr);
-        for cut in &busy {
-            cut.is_cut.store(true, Ordering::Relaxed);
-            cut.waker.wake();
+        for flag in &busy {
+            flag.is_set.store(true, Ordering::Relaxed);
+            flag.waker.wake();
         }
         let count = old.len() + busy.len();
-        old.into_iter().for_each(Resting::close);
+        old.into_iter().for_each(IdleConnection::close);
         count
     }
 
-    /// Where connections rest or are open.
+    /// Addresses with connections.
     pub fn addrs(&self) -> Vec<SocketAddr> {
         self.by_addr.lock().expect("no panic under lock").keys().copied().collect()
     }
 
-    /// Closes what has rested for too long, and all to upstreams that are no more.
+    /// Closes connections that were idle for too long, and all idle ones to upstreams that are
+    /// `gone`.
     pub fn close_expired(&self, gone: &HashSet<SocketAddr>) {
         let mut old = Vec::new();
         let now = self.clock.now();
         let mut by_addr = self.by_addr.lock().expect("no panic under lock");
         for (addr, upstream) in by_addr.iter_mut() {
             let is_gone = gone.contains(addr);
-            let is_old = |c: &mut Resting| is_gone || c.tx.is_closed() || c.keep <= c.rested(now);
+            let is_old = |c: &mut IdleConnection| {
+                is_gone || c.tx.is_closed() || c.idle_max <= c.idle_time(now)
+            };
             old.extend(upstream.idle.extract_if(.., is_old));
         }
         by_addr.retain(|_, u| u.open != 0 || !u.idle.is_empty());
         // The counts take the lock.
         drop(by_addr);
-        old.into_iter().for_each(Resting::close);
+        old.into_iter().for_each(IdleConnection::close);
     }
 
-    /// The connection that rested least of those that have settled: it is the surest to be alive.
-    fn take(&self, addr: SocketAddr, once: bool) -> Option<Conn> {
+    /// Takes the connection that was idle for the shortest time of at least [`REUSE_DELAY`]: it is
+    /// the most likely to be alive.
+    fn take_idle(&self, addr: SocketAddr, is_once_only: bool) -> Option<BusyConnection> {
         loop {
             let mut by_addr = self.by_addr.lock().expect("no panic under lock");
             let idle = &mut by_addr.get_mut(&addr)?.idle;
             let now = self.clock.now();
-            let at = idle.iter().rposition(|c| SETTLE <= c.rested(now))?;
-            let keep = if once { idle[at].keep.min(KEEP_SURE) } else { idle[at].keep };
-            // The others rested longer still; they may do for requests that can be repeated.
-            if idle[at].is_usable() && keep <= idle[at].rested(now) {
+            let at = idle.iter().rposition(|c| REUSE_DELAY <= c.idle_time(now))?;
+            let idle_max = if is_once_only {
+                idle[at].idle_max.min(ONCE_ONLY_IDLE_MAX)
+            } else {
+                idle[at].idle_max
+            };
+            // The others were idle even longer; they stay for requests that can be retried.
+            if idle[at].is_usable() && idle_max <= idle[at].idle_time(now) {
                 return None;
             }
-            let resting = idle.remove(at);
+            let connection = idle.remove(at);
             // The counts take the lock.
             drop(by_addr);
-            if let Some(conn) = resting.wake() {
+            if let Some(conn) = connection.into_busy() {
                 return Some(conn);
             }
         }
     }
 
-    fn put(&self, addr: SocketAddr, resting: Resting) {
+    fn put_idle(&self, addr: SocketAddr, connection: IdleConnection) {
         let mut by_addr = self.by_addr.lock().expect("no panic under lock");
         let upstream = by_addr.entry(addr).or_default();
-        if upstream.idle.len() < IDLE_MAX && upstream.open <= upstream.kept_max {
-            upstream.idle.push(resting);
+        if upstream.idle.len() < IDLE_CONNECTIONS_MAX && upstream.open <= upstream.kept_max {
+            upstream.idle.push(connection);
             return;
         }
         drop(by_addr);
-        resting.close();
+        connection.close();
     }
 
     async fn connect(
         self: &Arc<UpstreamConnections>,
         addr: SocketAddr,
         quota: ConnectionQuota,
-    ) -> Result<Conn, Error> {
-        let count = self.count(addr, quota).ok_or(Error::LimitReached)?;
+    ) -> Result<BusyConnection, Error> {
+        let open_count = self.count_open(addr, quota).ok_or(Error::LimitReached)?;
         let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr))
             .await
             .map_err(|_| Error::ConnectTimeout)?
@@ -492,16 +543,24 @@
             .handshake(TokioIo::new(stream))
             .await
             .map_err(|e| Error::Connect(std::io::Error::other(e)))?;
-        let (made, cut) = (util::unix_millis(), Arc::default());
-        let (driver, keep) = (Some(driver), KEEP_DEFAULT);
-        Ok(Conn { tx, driver, keep, count, made, is_proven: false, cut })
+        let (opened_at_ms, restart_flag) = (util::unix_millis(), Arc::default());
+        let (driver, idle_max) = (Some(driver), KEEP_ALIVE_DEFAULT);
+        Ok(BusyConnection {
+            tx,
+            driver,
+            idle_max,
+            open_count,
+            opened_at_ms,
+            is_authentic: false,
+            restart_flag,
+        })
     }
 
-    fn count(
+    fn count_open(
         self: &Arc<UpstreamConnections>,
         addr: SocketAddr,
         quota: ConnectionQuota,
-    ) -> Option<Count> {
+    ) -> Option<OpenCount> {
         let mut by_addr = self.by_addr.lock().expect("no panic under lock");
         let upstream = by_addr.entry(addr).or_default();
         if quota.open_max <= upstream.open {
@@ -509,11 +568,11 @@
         }
         upstream.kept_max = quota.kept_max;
         upstream.open += 1;
-        Some(Count { upstream_connections: self.clone(), addr })
+        Some(OpenCount { connections: self.clone(), addr })
     }
 }
 
-/// Makes a connection notice a peer that is gone without a word.
+/// Sets the socket options that detect a peer which is gone without closing the connection.
 pub fn set_tcp_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let sock = SockRef::from(stream);
@@ -522,8 +581,8 @@
     sock.set_tcp_keepalive(&probes.with_retries(2))
 }
 
-/// How long an upstream says that it keeps idle connections.
-fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
+/// The timeout of idle connections that an upstream announces.
+fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let seconds = text.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
     seconds.parse().ok().map(Duration::from_secs)
--- a/tests/proxy_capacity.rs
+++ b/tests/proxy_capacity.rs
@@ -20,7 +20,7 @@
 fn late_timers_limit_nothing_where_few_streams_run() {
     let mut capacity = StreamLimiter::new(FIRST);
     let limits: Vec<usize> = (0..50).map(|_| capacity.record_tick(LATE, 10)).collect();
-    assert!(capacity.is_behind() && !capacity.is_full());
+    assert!(capacity.is_overloaded() && !capacity.is_full());
     assert_eq!(limits, [FIRST; 50]);
 }
 
@@ -28,7 +28,7 @@
 fn a_box_that_is_behind_takes_fewer_streams_than_it_has() {
     let mut capacity = StreamLimiter::new(FIRST);
     let limits: Vec<usize> = (0..10).map(|_| capacity.record_tick(LATE, 300)).collect();
-    assert!(capacity.is_behind() && capacity.is_full());
+    assert!(capacity.is_overloaded() && capacity.is_full());
     assert!(limits[9] < 250, "{limits:?}");
     assert!(limits[4..].is_sorted_by(|a, b| b < a), "{limits:?}");
     let low = (0..100).map(|_| capacity.record_tick(LATE, 300)).last();
