--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -54,15 +54,15 @@
 use crate::web;
 use crate::web::BodyFault;
 
-/// Attempts that did not reach an upstream, after which a request is refused.
-const FAILED_CONNECTS_MAX: u32 = 4;
+/// Attempts that did not reach an upstream after which a request is refused.
+const UNSENT_ATTEMPTS_MAX: u32 = 4;
 
 /// Maximum number of sends of one request, including those that upstreams did not run.
 const SENDS_MAX: u32 = 4;
 
-/// Time after which this box has received reports of other boxes that a request broke off with its
-/// upstream: they detect it by a refused connection and send a datagram within the region, if they
-/// aren't busy.
+/// Time within which boxes that aren't busy learn that a request broke off because its upstream
+/// crashed: one box detects it by a refused connection, and notifies the others by a datagram within
+/// the region.
 const BREAK_REPORT_DELAY: Duration = Duration::from_millis(10);
 
 /// Maximum length of a response that is buffered until it is complete.
@@ -214,7 +214,7 @@
 
     /// Sends the request, repeatedly if necessary, until there is a response to pass on.
     async fn send_until_response(&mut self) -> Result<Box<UpstreamResponse>, Refusal> {
-        let mut failed_connects = 0;
+        let mut unsent_attempts = 0;
         let mut earlier = EarlierSends::default();
         loop {
             // After a suspension of the machine, the deadline may have passed before a timer fires.
@@ -236,8 +236,8 @@
                 SendOutcome::NotSent(e) => {
                     info!(self.hub.log(), "request not sent"; "id" => &self.head.id,
                         "upstream" => choice.upstream.as_str(), "error" => util::with_causes(&e));
-                    failed_connects += 1;
-                    if FAILED_CONNECTS_MAX <= failed_connects {
+                    unsent_attempts += 1;
+                    if UNSENT_ATTEMPTS_MAX <= unsent_attempts {
                         let retry_after = self.resumes_in().unwrap_or(NO_UPSTREAM_RETRY);
                         return earlier.give_up(Refusal::NoUpstream { retry_after });
                     }
@@ -386,10 +386,10 @@
             let (request, notice) = (&self.head.id, verdict.notice);
             notices::apply(&self.hub, Said { upstream, born, request, sent, notice });
         }
-        self.judge(resp, placed, verdict, began)
+        self.classify_response(resp, placed, verdict, began)
     }
 
-    fn judge(
+    fn classify_response(
         &self,
         resp: Response<UpstreamBody>,
         placed: Placed,
--- a/src/proxy/upstream_connections.rs
+++ b/src/proxy/upstream_connections.rs
@@ -69,9 +69,9 @@
 /// heartbeats.
 const KNOWN_BOXES_FRACTION: f64 = 0.83;
 
-/// Fraction of an upstream's connections reserved for requests that its owner has placed, apart
-/// from those divided among boxes. Half of it per owner: two boxes may consider themselves owners
-/// at the same time.
+/// Fraction of an upstream's connections reserved at most for requests that its owner has placed,
+/// apart from those divided among boxes. Half of it per owner: two boxes may consider themselves
+/// owners at the same time.
 const OWNER_PLACED_FRACTION: f64 = 0.35;
 
 /// With fewer connections to divide than boxes, this many standard deviations of the number of
@@ -160,8 +160,8 @@
             (shared / boxes) as u32
         } else {
             // Only some boxes get a connection; the others use other upstreams. Each box draws
-            // independently, so the number of connections has a standard deviation of about its
-            // square root.
+            // independently, so the number of boxes that get one has a standard deviation of about
+            // its square root.
             let expected = (shared - DRAW_MARGIN_DEVIATIONS * shared.sqrt()).max(0.0);
             u32::from(f64::from(inputs.draw) < expected / boxes * f64::from(u32::MAX))
         };
