--- a/src/proxy/connection_rejecter.rs
+++ b/src/proxy/connection_rejecter.rs
@@ -15,9 +15,9 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use crate::proxy::answer;
-use crate::proxy::answer::Refusal;
 use crate::proxy::hub::Hub;
+use crate::proxy::refusal;
+use crate::proxy::refusal::Refusal;
 
 /// Rejected connections handled at a time; further ones are closed unread. A box of 0.12 cores
 /// rejects at most some 1,000 a second, so this is half a second's worth.
@@ -63,7 +63,7 @@
 }
 
 async fn run(hub: Arc<Hub>, mut rx: mpsc::Receiver<TcpStream>) {
-    let response = answer::prepared(Refusal::BoxBusy);
+    let response = refusal::http1_bytes(Refusal::BoxBusy);
     let mut buf = vec![0; BUF_LEN];
     let mut connections: Vec<RejectedConnection> = Vec::new();
     loop {
--- /dev/null
+++ b/src/proxy/engine_placement.rs
@@ -0,0 +1,466 @@
+//! Places requests for engines. The decision is made by the box that tracks the engines' state:
+//! this box, or the owner of a group of engines, which is asked by a datagram.
+
+use std::net::IpAddr;
+use std::sync::Arc;
+use std::sync::Mutex;
+use std::time::Duration;
+
+use rustc_hash::FxHashMap;
+use slog::info;
+use tokio::sync::oneshot;
+use tokio::time::Instant;
+use xxhash_rust::xxh3::xxh3_64_with_seed;
+
+use crate::fleet::owners::EngineGroup;
+use crate::fleet::owners::GroupOwners;
+use crate::fleet::owners::OwnerTable;
+use crate::fleet::rollout::VersionFilter;
+use crate::names::ServiceName;
+use crate::names::UpstreamName;
+use crate::placement::admit::Denial;
+use crate::placement::admit::PlacementQuery;
+use crate::placement::admit::Purpose;
+use crate::placement::choice::Choice;
+use crate::placement::choice::ChoiceError;
+use crate::placement::choice::CopySource;
+use crate::placement::cold::Role;
+use crate::placement::upstream;
+use crate::proxy::adapter::Prompt;
+use crate::proxy::aligned_timer;
+use crate::proxy::hub::Hub;
+use crate::proxy::message::Message;
+use crate::proxy::message::PlacementRequest;
+use crate::proxy::message::PlacementResponse;
+use crate::proxy::message::ShareUsage;
+use crate::proxy::notices;
+
+/// How long to wait for an owner's response: several round trips within a region, plus the pauses
+/// of a healthy box under load.
+const OWNER_RESPONSE_TIMEOUT: Duration = Duration::from_millis(40);
+
+/// A timer that fires later than this shows that this process was stalled; the response may already
+/// have arrived.
+const STALL_THRESHOLD: Duration = Duration::from_millis(10);
+
+/// A box that did not respond isn't asked again for this long, the time in which the other boxes
+/// detect that a box is dead. Finding out whether it responds again delays one request per
+/// interval.
+const UNRESPONSIVE_FOR: Duration = Duration::from_millis(1000);
+
+/// Groups of engines tried for one request: its own and one more, which makes twenty engines.
+const GROUPS_PER_REQUEST_MAX: usize = 2;
+
+/// Interval at which owners report share usage to each other: a twentieth of the default window.
+const SHARE_REPORT_INTERVAL: Duration = Duration::from_millis(200);
+
+/// Usage entries per message, so that it fits a datagram.
+const USAGES_PER_DATAGRAM_MAX: usize = 24;
+
+/// Excluded upstreams listed in a placement request, so that it fits a datagram.
+pub const EXCLUDED_MAX: usize = 40;
+
+/// Where a request is placed, or why it isn't.
+pub type PlacementResult = Result<Choice, Denial>;
+
+/// A placement result and the box that decided it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct PlacementDecision {
+    /// Where the request is placed, or why it isn't.
+    pub result: PlacementResult,
+    /// The box that decided.
+    pub decided_by: IpAddr,
+    /// That box's role for the engines.
+    pub role: Role,
+    /// Identifies the attempt at the boxes that have recorded it.
+    pub request: u64,
+}
+
+impl PlacementDecision {
+    /// Whether there is no known upstream that may serve the request.
+    pub fn has_no_upstream(&self) -> bool {
+        self.result.as_ref().is_err_and(|denial| denial.cause == ChoiceError::NoUpstream)
+    }
+
+    fn may_be_cached_elsewhere(&self) -> bool {
+        self.result.as_ref().is_err_and(|denial| denial.cause == ChoiceError::NotCached)
+    }
+}
+
+/// Placement requests of this box that await the response of an owner.
+#[derive(Debug, Default)]
+pub struct OwnerRequests {
+    pending: Mutex<FxHashMap<u64, oneshot::Sender<PlacementResult>>>,
+    /// Boxes that did not respond, and until when they aren't asked.
+    unresponsive: Mutex<FxHashMap<IpAddr, Duration>>,
+}
+
+impl OwnerRequests {
+    fn register(&self, request: u64) -> oneshot::Receiver<PlacementResult> {
+        let (tx, rx) = oneshot::channel();
+        self.pending.lock().expect("no panic under lock").insert(request, tx);
+        rx
+    }
+
+    fn take(&self, request: u64) -> Option<oneshot::Sender<PlacementResult>> {
+        self.pending.lock().expect("no panic under lock").remove(&request)
+    }
+
+    /// Records that a box did not respond, or decided from stale state.
+    pub fn mark_unresponsive(&self, ip: IpAddr, now: Duration) {
+        let mut unresponsive = self.unresponsive.lock().expect("no panic under lock");
+        unresponsive.retain(|_, until| now < *until);
+        unresponsive.insert(ip, now + UNRESPONSIVE_FOR);
+    }
+
+    /// Whether a box isn't asked for now.
+    pub fn is_unresponsive(&self, ip: IpAddr, now: Duration) -> bool {
+        let unresponsive = self.unresponsive.lock().expect("no panic under lock");
+        unresponsive.get(&ip).is_some_and(|until| now < *until)
+    }
+}
+
+/// Removes a pending request when the task that awaits its response is dropped.
+struct PendingGuard<'a> {
+    requests: &'a OwnerRequests,
+    request: u64,
+}
+
+impl Drop for PendingGuard<'_> {
+    fn drop(&mut self) {
+        self.requests.take(self.request);
+    }
+}
+
+/// Places a request, or says why it isn't placed.
+pub async fn place(hub: &Arc<Hub>, query: PlacementQuery<'_>) -> PlacementDecision {
+    let owners = hub.peers().owners();
+    if owners.is_empty() {
+        return place_and_broadcast(hub, query);
+    }
+    let mut query = query;
+    let mut last_denied = None;
+    for n in 1..=GROUPS_PER_REQUEST_MAX {
+        let home =
+            hub.read(|v| v.fleet().home(query.service, query.prompt, query.side, query.group));
+        let Some(group) = home.map(|hash| owners.group(hash)) else { break };
+        query.group = Some(group);
+        query.is_last_group = n == GROUPS_PER_REQUEST_MAX;
+        let Some(owned) = owners.owners_of(group) else { break };
+        let Some(decision) = place_with_copy_source(hub, query, &owners, group, owned).await else {
+            break;
+        };
+        query.purpose = Purpose::Place;
+        match &decision.result {
+            Err(denial) if denial.may_try_other_groups => {
+                query.source = denial.source.or(query.source)
+            }
+            _ => return decision,
+        }
+        last_denied = Some(decision);
+    }
+    last_denied.unwrap_or_else(|| place_without_owner(hub, PlacementQuery { group: None, ..query }))
+}
+
+/// Places a request in a group of engines. If none of them has cached the shared part of the
+/// prompt, looks for an engine in another group to copy it from, and tries again.
+async fn place_with_copy_source(
+    hub: &Arc<Hub>,
+    query: PlacementQuery<'_>,
+    owners: &OwnerTable,
+    group: EngineGroup,
+    owned: GroupOwners,
+) -> Option<PlacementDecision> {
+    let decision = place_in_group(hub, query, group, owned).await?;
+    if !decision.may_be_cached_elsewhere() {
+        return Some(decision);
+    }
+    let source = find_copy_source(hub, query, owners, group).await;
+    place_in_group(hub, PlacementQuery { source, purpose: Purpose::Place, ..query }, group, owned)
+        .await
+}
+
+/// Places a request by this box's own state, and broadcasts the result. Used in small fleets.
+fn place_and_broadcast(hub: &Hub, query: PlacementQuery<'_>) -> PlacementDecision {
+    let role = Role::Peer { boxes: hub.peers().known_count(), draw: hub.peers().own_draw("") };
+    let result =
+        hub.admit(PlacementQuery { is_last_group: true, purpose: Purpose::Place, role, ..query });
+    match &result {
+        Ok(choice) => hub.peers().broadcast(&placed_message(&query, choice)),
+        Err(_) => {
+            if let Some(workspace) = query.workspace.cloned() {
+                let tokens = query.prompt.charge();
+                hub.peers().broadcast(&Message::Refused { workspace, tokens });
+            }
+        }
+    }
+    PlacementDecision { result, decided_by: hub.peers().own_ip(), role, request: query.request }
+}
+
+/// Places a request by the incomplete state of this box, when neither owner nor standby responds.
+fn place_without_owner(hub: &Hub, query: PlacementQuery<'_>) -> PlacementDecision {
+    let role = Role::Unassigned;
+    let result =
+        hub.admit(PlacementQuery { is_last_group: true, purpose: Purpose::Place, role, ..query });
+    if let Ok(choice) = &result {
+        // Without the workspace: its usage is sent by `report_share_usage`.
+        notify_owners(
+            hub,
+            &choice.upstream,
+            &placed_message(&PlacementQuery { workspace: None, ..query }, choice),
+        );
+    }
+    PlacementDecision { result, decided_by: hub.peers().own_ip(), role, request: query.request }
+}
+
+/// Has a request placed by the owner of a group of engines or its standby; `None` if neither
+/// responds.
+async fn place_in_group(
+    hub: &Arc<Hub>,
+    query: PlacementQuery<'_>,
+    group: EngineGroup,
+    owned: GroupOwners,
+) -> Option<PlacementDecision> {
+    for ip in owned.boxes() {
+        let role = owned.role(ip);
+        if ip == hub.peers().own_ip() {
+            let result = hub.admit(PlacementQuery { role, ..query });
+            if let Ok(choice) = &result {
+                notify_other_owner(hub, &query, choice, owned);
+            }
+            return Some(PlacementDecision {
+                result,
+                decided_by: ip,
+                role,
+                request: query.request,
+            });
+        }
+        if hub.owner_requests().is_unresponsive(ip, hub.now()) {
+            continue;
+        }
+        let request = request_id_at(query.request, ip);
+        let message = Message::PlacementRequest(placement_request(
+            hub,
+            &PlacementQuery { request, ..query },
+            group,
+        ));
+        match request_decision(hub, ip, request, &message).await {
+            Some(Ok(choice)) if is_stale_choice(hub, ip, &choice, query.side) => {
+                notices::resend(hub, &choice.upstream, ip);
+            }
+            // The backoff began while this box waited for the owner.
+            Some(Ok(choice)) if hub.is_backing_off(&choice.upstream) => {
+                withdraw(hub, request, owned.boxes());
+                continue;
+            }
+            Some(result) => {
+                return Some(PlacementDecision { result, decided_by: ip, role, request });
+            }
+            None => info!(hub.log(), "owner did not respond"; "ip" => %ip, "group" => %group),
+        }
+        withdraw(hub, request, owned.boxes());
+        hub.owner_requests().mark_unresponsive(ip, hub.now());
+    }
+    None
+}
+
+/// The id of an attempt at the box that is asked to place it. Each box gets its own id, since its
+/// decision may arrive too late, after another box has decided.
+pub fn request_id_at(request: u64, ip: IpAddr) -> u64 {
+    xxh3_64_with_seed(ip.to_string().as_bytes(), request)
+}
+
+/// Cancels a placement here and at the boxes that may have recorded it.
+pub fn withdraw(hub: &Hub, request: u64, from: impl Iterator<Item = IpAddr>) {
+    hub.withdraw(request);
+    hub.peers().send_batched(from, &Message::Withdrawn { request });
+}
+
+/// Finds an engine outside of a group that has cached some of a prompt: the prompt's home engine
+/// before an engine of the group was added, or one that is leaving.
+async fn find_copy_source(
+    hub: &Arc<Hub>,
+    query: PlacementQuery<'_>,
+    owners: &OwnerTable,
+    group: EngineGroup,
+) -> Option<CopySource> {
+    let home = hub.read(|v| {
+        v.fleet().home_including_leaving(query.service, query.prompt, query.side, group)
+    })?;
+    let other_group = owners.group(home);
+    let query = PlacementQuery { group: Some(other_group), purpose: Purpose::Lookup, ..query };
+    let lookup = place_in_group(hub, query, other_group, owners.owners_of(other_group)?).await?;
+    lookup.result.err()?.source
+}
+
+fn placement_request(
+    hub: &Hub,
+    query: &PlacementQuery<'_>,
+    group: EngineGroup,
+) -> PlacementRequest {
+    PlacementRequest {
+        request: query.request,
+        group,
+        service: ServiceName::from(query.service),
+        prompt: query.prompt.into(),
+        workspace: query.workspace.cloned(),
+        zone: hub.peers().zone().clone(),
+        excluded: excluded_in(query, group),
+        side: query.side,
+        aim_ms: duration_ms(query.target_latency),
+        waited_ms: duration_ms(query.waited),
+        source: query.source,
+        purpose: query.purpose,
+        is_last_group: query.is_last_group,
+    }
+}
+
+/// The excluded upstreams that belong to a group.
+fn excluded_in(query: &PlacementQuery<'_>, group: EngineGroup) -> Vec<UpstreamName> {
+    let in_group = query.excluded.iter().filter(|name| group.contains(upstream::name_hash(name)));
+    in_group.take(EXCLUDED_MAX).cloned().collect()
+}
+
+/// A duration in milliseconds, as messages between boxes carry it.
+pub fn duration_ms(d: Duration) -> u32 {
+    u32::try_from(d.as_millis()).unwrap_or(u32::MAX)
+}
+
+/// Whether an owner has chosen an upstream that must get no requests, because the owner was
+/// partitioned or stalled and its state is stale.
+pub fn is_stale_choice(hub: &Hub, ip: IpAddr, choice: &Choice, side: VersionFilter) -> bool {
+    let is_stale = hub.read(|view| {
+        view.is_barred(&choice.upstream) || !view.fleet().allows_side(&choice.upstream, side)
+    });
+    if is_stale {
+        let upstream = choice.upstream.as_str();
+        info!(hub.log(), "owner chose an upstream that must get no requests"; "ip" => %ip,
+            "upstream" => upstream);
+    }
+    is_stale
+}
+
+/// Asks another box to place a request; `None` if it doesn't respond in time.
+pub async fn request_decision(
+    hub: &Hub,
+    ip: IpAddr,
+    request: u64,
+    message: &Message,
+) -> Option<PlacementResult> {
+    let requests = hub.owner_requests();
+    let mut response = requests.register(request);
+    let _pending = PendingGuard { requests, request };
+    hub.peers().send_now(ip, message);
+    let deadline = Instant::now() + OWNER_RESPONSE_TIMEOUT;
+    if let Ok(result) = tokio::time::timeout_at(deadline, &mut response).await {
+        return result.ok();
+    }
+    if deadline.elapsed() < STALL_THRESHOLD {
+        return None;
+    }
+    tokio::time::timeout(OWNER_RESPONSE_TIMEOUT, response).await.ok()?.ok()
+}
+
+/// Places a request on behalf of another box, and responds to it.
+pub fn handle_request(hub: &Hub, message: &PlacementRequest, from: IpAddr) {
+    let prompt = Prompt::from(&message.prompt);
+    let owned = hub.peers().owners().owners_of(message.group);
+    let query = PlacementQuery {
+        request: message.request,
+        service: &message.service,
+        prompt: &prompt,
+        workspace: message.workspace.as_ref(),
+        excluded: &message.excluded,
+        side: message.side,
+        target_latency: Duration::from_millis(message.aim_ms.into()),
+        waited: Duration::from_millis(message.waited_ms.into()),
+        group: Some(message.group),
+        zone: Some(&message.zone),
+        sender: Some(from),
+        source: message.source,
+        purpose: message.purpose,
+        is_last_group: message.is_last_group,
+        role: owned.map_or(Role::Unassigned, |owned| owned.role(hub.peers().own_ip())),
+    };
+    let result = hub.admit(query);
+    let request = message.request;
+    if let Ok(choice) = &result
+        && let Some(owned) = owned
+    {
+        notify_other_owner(hub, &query, choice, owned);
+    }
+    hub.peers().send_now(from, &Message::PlacementResponse(PlacementResponse { request, result }));
+}
+
+/// Delivers an owner's response to the task that awaits it. If none does any more, the request
+/// isn't sent, so its placement is cancelled.
+pub fn handle_response(hub: &Hub, response: PlacementResponse, from: IpAddr) {
+    let PlacementResponse { request, result } = response;
+    let upstream = result.as_ref().ok().map(|choice| choice.upstream.clone());
+    let pending = hub.owner_requests().take(request);
+    if pending.is_some_and(|tx| tx.send(result).is_ok()) {
+        return;
+    }
+    let owned = upstream.and_then(|u| hub.peers().owners().owners_of_hash(upstream::name_hash(&u)));
+    let standby = owned.into_iter().flat_map(GroupOwners::boxes).filter(|ip| *ip != from);
+    withdraw(hub, request, standby.chain([from]));
+}
+
+/// Sends a placement to the other one of a group's owner and standby. The workspace is left out:
+/// its usage is sent by [`report_share_usage`].
+fn notify_other_owner(hub: &Hub, query: &PlacementQuery<'_>, choice: &Choice, owned: GroupOwners) {
+    let message = placed_message(&PlacementQuery { workspace: None, ..*query }, choice);
+    hub.peers().send_batched(owned.boxes(), &message);
+}
+
+fn placed_message(query: &PlacementQuery<'_>, choice: &Choice) -> Message {
+    let Choice { prefill_tokens, copied_tokens, .. } = *choice;
+    Message::Placed {
+        upstream: choice.upstream.clone(),
+        request: query.request,
+        prompt: query.prompt.into(),
+        prefill_tokens,
+        copied_tokens,
+        workspace: query.workspace.cloned(),
+        sender: query.sender,
+    }
+}
+
+/// Sends the usage of workspaces at this box to the other owners, until the process ends: shares
+/// are enforced over the whole fleet.
+pub async fn report_share_usage(hub: Arc<Hub>) {
+    loop {
+        aligned_timer::wait_for_tick(SHARE_REPORT_INTERVAL).await;
+        let own = hub.shares(|shares| shares.take_local());
+        let owners = hub.peers().owners();
+        if owners.is_empty() || own.is_empty() {
+            continue;
+        }
+        let used: Vec<ShareUsage> =
+            own.into_iter().map(|(workspace, tokens)| ShareUsage { workspace, tokens }).collect();
+        for used in used.chunks(USAGES_PER_DATAGRAM_MAX) {
+            hub.peers().send_batched(
+                owners.all_boxes().iter().copied(),
+                &Message::ShareUsage(used.to_vec()),
+            );
+        }
+    }
+}
+
+/// Whether this box tracks the state of an engine. In a small fleet, all boxes do.
+pub fn tracks_engine(hub: &Hub, name: &UpstreamName) -> bool {
+    let owned = hub.peers().owners().owners_of_hash(upstream::name_hash(name));
+    owned.is_none_or(|owned| owned.boxes().any(|ip| ip == hub.peers().own_ip()))
+}
+
+/// Sends a message to the boxes that track the state of an engine. In a small fleet, all boxes do.
+pub fn notify_owners(hub: &Hub, name: &UpstreamName, message: &Message) {
+    let owners = hub.peers().owners();
+    if owners.is_empty() {
+        hub.peers().broadcast(message);
+        return;
+    }
+    if let Some(owned) = owners.owners_of_hash(upstream::name_hash(name)) {
+        hub.peers().send_batched(owned.boxes(), message);
+    }
+}
--- a/src/proxy/gossip.rs
+++ b/src/proxy/gossip.rs
@@ -11,19 +11,19 @@
 use slog::info;
 use tokio::time::Instant;
 
-use crate::fleet::members::BEAT;
-use crate::fleet::members::Beat;
-use crate::fleet::members::Heard;
-use crate::fleet::standing::Standing;
-use crate::proxy::asking;
+use crate::fleet::members::HEARTBEAT_INTERVAL;
+use crate::fleet::members::HeartbeatMessage;
+use crate::fleet::members::HeartbeatOutcome;
+use crate::fleet::sync_state::SyncState;
+use crate::proxy::aligned_timer;
+use crate::proxy::box_api;
+use crate::proxy::engine_placement;
 use crate::proxy::hub::Hub;
 use crate::proxy::message::Message;
-use crate::proxy::pace;
-use crate::proxy::peers::DATAGRAM_MAX;
-use crate::proxy::peers::State;
-use crate::proxy::plain;
+use crate::proxy::peers::DATAGRAM_MAX_BYTES;
+use crate::proxy::peers::OwnState;
+use crate::proxy::plain_placement;
 use crate::proxy::rollouts;
-use crate::proxy::side;
 use crate::proxy::state_updates;
 use crate::proxy::view::View;
 
@@ -59,7 +59,7 @@
 
 async fn listen(hub: Arc<Hub>) {
     let socket = hub.peers().socket.clone();
-    let mut buf = [0; DATAGRAM_MAX];
+    let mut buf = [0; DATAGRAM_MAX_BYTES];
     loop {
         let (len, from) = match socket.recv_from(&mut buf).await {
             Ok(received) => received,
@@ -88,9 +88,13 @@
         };
         buf = rest;
         match message {
-            Message::Beat(beat) => hear(hub, &beat),
-            Message::Ask(ask) => asking::answer(hub, &ask, from.ip()),
-            Message::AskPlain(ask) => plain::answer(hub, &ask, from.ip()),
+            Message::Heartbeat(beat) => hear(hub, &beat),
+            Message::PlacementRequest(ask) => {
+                engine_placement::handle_request(hub, &ask, from.ip())
+            }
+            Message::PlainPlacementRequest(ask) => {
+                plain_placement::handle_request(hub, &ask, from.ip())
+            }
             message => state_updates::apply_message(hub, message, from.ip()),
         }
     }
@@ -98,42 +102,43 @@
 
 /// Takes in a sign of life. Boxes that start learn of each other within some round trips, since
 /// each answers at once.
-fn hear(hub: &Hub, beat: &Beat) {
+fn hear(hub: &Hub, beat: &HeartbeatMessage) {
     let peers = hub.peers();
     let now = peers.now();
-    let Heard { greet, is_new, has_restarted } = peers.members(|members| members.hear(beat, now));
-    let record = &beat.record;
+    let HeartbeatOutcome { reply_to, is_new, has_restarted } =
+        peers.members(|members| members.receive(beat, now));
+    let report = &beat.report;
     if has_restarted {
-        info!(hub.log(), "box restarted"; "name" => record.name.as_str());
-        hub.fleet(|fleet| fleet.forget_sender(record.addr.ip()));
+        info!(hub.log(), "box restarted"; "name" => report.name.as_str());
+        hub.fleet(|fleet| fleet.remove_sender(report.addr.ip()));
     }
     if is_new {
-        info!(hub.log(), "box heard"; "name" => record.name.as_str(),
-            "zone" => record.zone.as_str(), "version" => record.version);
+        info!(hub.log(), "box heard"; "name" => report.name.as_str(),
+            "zone" => report.zone.as_str(), "version" => report.version);
     }
-    if hub.read(|view| view.evacuated().revision) < record.evacuated.revision {
-        hub.change(|view, now| view.evacuate(&record.evacuated, now));
+    if hub.read(|view| view.evacuated().revision) < report.evacuated.revision {
+        hub.change(|view, now| view.evacuate(&report.evacuated, now));
     }
-    rollouts::hear(hub, &record.rollouts);
-    if hub.version() < record.version {
-        peers.behind.notify_one();
+    rollouts::merge_reports(hub, &report.rollouts);
+    if hub.version() < report.version {
+        peers.newer_configuration.notify_one();
     }
-    if !greet.is_empty() {
-        peers.greet(state(hub), &greet);
+    if !reply_to.is_empty() {
+        peers.send_heartbeat_to(state(hub), &reply_to);
     }
 }
 
-/// Tells what is news of other boxes, if anything is; to be called every [`NEWS_EVERY`].
+/// Tells what is news of other boxes, if anything is; to be called every [`GOSSIP_INTERVAL`].
 ///
-/// [`NEWS_EVERY`]: crate::fleet::members::NEWS_EVERY
-pub fn tell_news(hub: &Hub) {
-    hub.peers().tell_news(|| state(hub));
+/// [`GOSSIP_INTERVAL`]: crate::fleet::members::GOSSIP_INTERVAL
+pub fn send_gossip(hub: &Hub) {
+    hub.peers().send_gossip(|| state(hub));
 }
 
-fn state(hub: &Hub) -> State {
-    let held = hub.suspects().read(|quarantine| quarantine.digest(hub.now()));
-    let rollouts = rollouts::told(hub);
-    hub.read(|view| State {
+fn state(hub: &Hub) -> OwnState {
+    let held = hub.suspects().read(|quarantine| quarantine.held_digest(hub.now()));
+    let rollouts = rollouts::own_reports(hub);
+    hub.read(|view| OwnState {
         version: view.version(),
         sees_store: view.reaches_store(),
         is_warm: hub.is_warm(),
@@ -149,13 +154,17 @@
     loop {
         let peers = hub.peers();
         let now = peers.now();
-        for ip in peers.members(|members| members.take_silent(now)) {
+        for ip in peers.members(|members| members.take_dead(now)) {
             info!(hub.log(), "box silent"; "ip" => %ip);
-            hub.fleet(|fleet| fleet.forget_sender(ip));
+            hub.fleet(|fleet| fleet.remove_sender(ip));
         }
-        peers.beat(state(&hub));
+        peers.send_heartbeats(state(&hub));
         // Whichever comes first.
-        let _ = tokio::time::timeout_at(pace::next(BEAT), peers.announced.notified()).await;
+        let _ = tokio::time::timeout_at(
+            aligned_timer::next_tick(HEARTBEAT_INTERVAL),
+            peers.heartbeat_requested.notified(),
+        )
+        .await;
     }
 }
 
@@ -166,25 +175,25 @@
     let mut asked_at = None;
     loop {
         // Whichever comes first. Many boxes hear of a configuration at once; they don't ask at once.
-        let due = pace::next(ASK_AFTER);
-        if tokio::time::timeout_at(due, hub.peers().behind.notified()).await.is_ok() {
+        let due = aligned_timer::next_tick(ASK_AFTER);
+        if tokio::time::timeout_at(due, hub.peers().newer_configuration.notified()).await.is_ok() {
             let part = rand::rng().random_range(0.0..1.0);
             tokio::time::sleep(ASK_SPREAD.mul_f64(part)).await;
         }
         let is_known = hub.read(View::is_ready);
-        let is_small = hub.peers().owners().is_none();
+        let is_small = hub.peers().owners().is_empty();
         let (ahead, standing) = missing(&hub, is_small);
-        let apart = matches!(standing, Standing::Apart(_)).then(Instant::now);
+        let apart = matches!(standing, SyncState::Diverged(_)).then(Instant::now);
         apart_since = apart.map(|now| apart_since.unwrap_or(now));
         let is_apart = apart_since.is_some_and(|at| APART_FOR <= at.elapsed()) || is_small;
         let was_asked = asked_at.is_some_and(|at: Instant| at.elapsed() < BEHIND_EVERY);
         match (ahead, standing) {
             (Some(addr), _) => ask(&hub, addr).await,
-            (None, Standing::Apart(addr)) if is_apart || !is_known => ask(&hub, addr).await,
-            (None, Standing::Behind(all)) if !was_asked || !is_known => {
+            (None, SyncState::Diverged(addr)) if is_apart || !is_known => ask(&hub, addr).await,
+            (None, SyncState::Behind(all)) if !was_asked || !is_known => {
                 let Some(addr) = all.into_iter().choose(&mut rand::rng()) else { continue };
                 asked_at = Some(Instant::now());
-                ask_changes(&hub, addr).await;
+                fetch_changes(&hub, addr).await;
             }
             (None, _) => {}
         }
@@ -192,31 +201,31 @@
 }
 
 /// A box with a newer configuration, and how this one stands to those that see the store.
-fn missing(hub: &Hub, is_small: bool) -> (Option<SocketAddr>, Standing) {
-    let State { version, sees_store, upstreams, revision, .. } = state(hub);
+fn missing(hub: &Hub, is_small: bool) -> (Option<SocketAddr>, SyncState) {
+    let OwnState { version, sees_store, upstreams, revision, .. } = state(hub);
     let peers = hub.peers();
     let standing = if sees_store {
-        Standing::Level
+        SyncState::InSync
     } else if is_small {
-        peers.with_store().map_or(Standing::Level, Standing::Apart)
+        peers.box_with_store().map_or(SyncState::InSync, SyncState::Diverged)
     } else {
         peers.standing(revision, upstreams)
     };
-    (peers.ahead_of(version), standing)
+    (peers.box_with_newer_configuration(version), standing)
 }
 
 /// Asks another box for all that differs.
 async fn ask(hub: &Hub, addr: SocketAddr) {
-    match side::ask(addr, hub).await {
-        Ok(snapshot) => hub.take_over(snapshot),
+    match box_api::fetch_difference(addr, hub).await {
+        Ok(snapshot) => hub.apply_snapshot(snapshot),
         Err(e) => debug!(hub.log(), "box not asked"; "addr" => %addr, "error" => %e),
     }
 }
 
 /// Asks another box for what has changed, or for all that differs if it doesn't know that any more.
-async fn ask_changes(hub: &Hub, addr: SocketAddr) {
-    match side::ask_changes(addr, hub).await {
-        Ok(Some(changes)) => hub.take_over(changes),
+async fn fetch_changes(hub: &Hub, addr: SocketAddr) {
+    match box_api::fetch_changes(addr, hub).await {
+        Ok(Some(changes)) => hub.apply_snapshot(changes),
         Ok(None) => ask(hub, addr).await,
         Err(e) => debug!(hub.log(), "box not asked"; "addr" => %addr, "error" => %e),
     }
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -22,15 +22,15 @@
 use tokio::sync::watch;
 
 use crate::proxy::ShutdownPhase;
-use crate::proxy::answer;
-use crate::proxy::answer::Refusal;
 use crate::proxy::connection_limiter::AdmittedConnection;
 use crate::proxy::connection_limiter::ConnectionLimiter;
 use crate::proxy::connection_rejecter::ConnectionRejecter;
 use crate::proxy::hub::Hub;
+use crate::proxy::refusal;
+use crate::proxy::refusal::Refusal;
 use crate::proxy::request;
 use crate::proxy::response_body::Body;
-use crate::proxy::table::Limits;
+use crate::proxy::routing_table::Limits;
 use crate::proxy::upstream_connections;
 
 /// Pause after a connection could not be accepted.
@@ -80,14 +80,14 @@
         if accepted % ACCEPT_BATCH == 0 {
             tokio::task::yield_now().await;
         }
-        let Some(admitted) = limiter.try_admit(hub.starts(), hub.now()) else {
-            hub.turn_away();
+        let Some(admitted) = limiter.try_admit(hub.unsent(), hub.now()) else {
+            hub.count_turned_away();
             rejecter.reject(stream);
             continue;
         };
         let (hub, shutdown) = (hub.clone(), shutdown.clone());
         tokio::spawn(async move {
-            let connected = hub.connected();
+            let connected = hub.track_connection();
             serve_connection(stream, admitted, hub, shutdown).await;
             drop((connected, permit));
         });
@@ -166,11 +166,11 @@
 ) -> Result<Response<Body>, Infallible> {
     let phase = *shutdown.borrow();
     let mut resp = match phase {
-        ShutdownPhase::Refusing => answer::refusal(Refusal::Stopping),
+        ShutdownPhase::Refusing => refusal::response(Refusal::Stopping),
         ShutdownPhase::Running | ShutdownPhase::Closing => request::serve(hub.clone(), req).await,
     };
     // Closes the connection, so that the caller's next one leads to another box.
-    if *shutdown.borrow() != ShutdownPhase::Running || hub.sends_away() {
+    if *shutdown.borrow() != ShutdownPhase::Running || hub.should_close_connections() {
         resp.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     Ok(resp)
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -1,44 +1,44 @@
 //! The proxy: the process on each box that forwards callers' requests to upstreams.
 //!
-//! It watches routes, workspaces and upstreams through a [`dialect::Directory`], translates the
-//! headers of callers and upstreams through a [`dialect::Dialect`], and notifies the other boxes by
+//! It watches routes, workspaces and upstreams through a [`adapter::StoreWatcher`], translates the
+//! headers of callers and upstreams through a [`adapter::HeaderAdapter`], and notifies the other boxes by
 //! datagrams of the requests that it sends. Everything runs on one thread.
 
+pub mod adapter;
 pub mod admission;
-pub mod answer;
-pub mod ask;
-pub mod asking;
-pub mod budget;
+pub mod aligned_timer;
+pub mod box_api;
 pub mod capacity;
 pub mod connection_limiter;
 pub mod connection_rejecter;
-pub mod dialect;
 pub mod digests;
+pub mod engine_placement;
 pub mod gossip;
 pub mod history;
+pub mod http_client;
 pub mod hub;
 pub mod listener;
-pub mod look;
 pub mod message;
 pub mod notices;
-pub mod pace;
 pub mod peers;
-pub mod placed;
-pub mod placing;
-pub mod plain;
+pub mod placed_request;
+pub mod plain_placement;
 pub mod proxy_metrics;
+pub mod reachability;
+pub mod refusal;
 pub mod request;
 pub mod response_body;
+pub mod retry_budget;
 pub mod rollouts;
+pub mod routing_table;
 pub mod settings;
-pub mod side;
 pub mod state_updates;
 pub mod stream_relay;
 pub mod suspects;
-pub mod table;
 pub mod upstream_connections;
+pub mod upstream_selection;
 pub mod view;
-pub mod warm;
+pub mod warm_up;
 
 use std::collections::BTreeSet;
 use std::io;
@@ -62,19 +62,19 @@
 use crate::clock::Clock;
 use crate::clock::SinceBoot;
 use crate::clock::SuspensionMeter;
-use crate::fleet::members::NEWS_EVERY;
-use crate::fleet::owners::Group;
+use crate::fleet::members::GOSSIP_INTERVAL;
+use crate::fleet::owners::EngineGroup;
 use crate::log;
 use crate::metrics;
 use crate::metrics::Metrics;
 use crate::placement::cold;
+use crate::proxy::adapter::EngineClient;
+use crate::proxy::adapter::HeaderAdapter;
+use crate::proxy::adapter::RolloutReporter;
+use crate::proxy::adapter::StoreWatcher;
+use crate::proxy::adapter::SuspectStore;
 use crate::proxy::capacity::StreamLimiter;
 use crate::proxy::connection_limiter::ConnectionLimiter;
-use crate::proxy::dialect::Dialect;
-use crate::proxy::dialect::Directory;
-use crate::proxy::dialect::Engines;
-use crate::proxy::dialect::Records;
-use crate::proxy::dialect::Rollouts;
 use crate::proxy::hub::Hub;
 use crate::proxy::peers::Peers;
 use crate::proxy::proxy_metrics::ProxyMetrics;
@@ -82,7 +82,7 @@
 use crate::stop::Signals;
 
 /// Interval of the housekeeping task.
-const TICK_INTERVAL: Duration = NEWS_EVERY;
+const TICK_INTERVAL: Duration = GOSSIP_INTERVAL;
 
 /// Time between checks of the settings file, which may change without a signal.
 const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(1);
@@ -123,15 +123,15 @@
 /// Implementations that the proxy needs from the product that embeds it.
 pub struct Dependencies {
     /// Reads and writes the headers of callers and upstreams.
-    pub dialect: Arc<dyn Dialect>,
+    pub dialect: Arc<dyn HeaderAdapter>,
     /// Queries engines outside of callers' requests.
-    pub engines: Arc<dyn Engines>,
+    pub engines: Arc<dyn EngineClient>,
     /// Watches the store.
-    pub directory: Arc<dyn Directory>,
+    pub directory: Arc<dyn StoreWatcher>,
     /// Records that this product keeps in the store.
-    pub records: Arc<dyn Records>,
+    pub records: Arc<dyn SuspectStore>,
     /// Reports the progress of roll-outs to the operator.
-    pub rollouts: Arc<dyn Rollouts>,
+    pub rollouts: Arc<dyn RolloutReporter>,
 }
 
 /// Runs the proxy until it receives a stop signal. The settings file at `path` is reloaded when it
@@ -169,21 +169,21 @@
     let (store_due, is_store_due) = watch::channel(false);
     watch_store(&hub, &*deps.directory, is_store_due);
     gossip::start(&hub);
-    tokio::spawn(warm::up(hub.clone(), deps.engines.clone()));
-    tokio::spawn(warm::keep(hub.clone(), deps.engines));
-    tokio::spawn(asking::tell_shares(hub.clone()));
+    tokio::spawn(warm_up::run_at_start(hub.clone(), deps.engines.clone()));
+    tokio::spawn(warm_up::run_for_own_groups(hub.clone(), deps.engines));
+    tokio::spawn(engine_placement::report_share_usage(hub.clone()));
     tokio::spawn(rollouts::run(hub.clone(), deps.rollouts));
     tokio::spawn(suspects::catch_up(hub.clone()));
-    tokio::spawn(suspects::keep(hub.clone(), deps.records.clone()));
+    tokio::spawn(suspects::persist(hub.clone(), deps.records.clone()));
     if !cfg.is_first_start {
-        tokio::spawn(suspects::recall(hub.clone(), deps.records));
+        tokio::spawn(suspects::load_persisted(hub.clone(), deps.records));
     }
     store_due.send_replace(hub.peers().is_store_due());
     tokio::spawn(run_housekeeping(hub.clone(), store_due));
-    tokio::spawn(look::run(hub.clone()));
+    tokio::spawn(reachability::run(hub.clone()));
     tokio::spawn(reload(hub.clone(), path));
-    tokio::spawn(side::serve_ready(ready, hub.clone(), shutdown.clone()));
-    tokio::spawn(side::serve_peers(peer_port, hub.clone()));
+    tokio::spawn(box_api::serve_ready(ready, hub.clone(), shutdown.clone()));
+    tokio::spawn(box_api::serve_peers(peer_port, hub.clone()));
     tokio::spawn(listener::serve(
         callers,
         ConnectionLimiter::new(cfg.cores),
@@ -202,9 +202,9 @@
     TcpListener::bind(addr).await.map_err(|source| Error::Io { what, source })
 }
 
-fn watch_store(hub: &Arc<Hub>, directory: &dyn Directory, is_due: watch::Receiver<bool>) {
+fn watch_store(hub: &Arc<Hub>, directory: &dyn StoreWatcher, is_due: watch::Receiver<bool>) {
     let (tx, mut rx) = mpsc::unbounded_channel();
-    directory.follow(tx, is_due);
+    directory.watch(tx, is_due);
     let hub = hub.clone();
     tokio::spawn(async move {
         while let Some(update) = rx.recv().await {
@@ -217,10 +217,10 @@
     let mut limiter = StreamLimiter::new(hub.streams_max());
     let mut rejected = 0;
     let mut not_ready_until = Instant::now();
-    let mut groups: BTreeSet<Group> = BTreeSet::new();
+    let mut groups: BTreeSet<EngineGroup> = BTreeSet::new();
     let mut suspension_meter = SuspensionMeter::new(hub.clock().clone());
     loop {
-        let tick_at = pace::next(TICK_INTERVAL);
+        let tick_at = aligned_timer::next_tick(TICK_INTERVAL);
         tokio::time::sleep_until(tick_at).await;
         if let Some(suspended) = suspension_meter.suspended() {
             handle_suspension(&hub, suspended);
@@ -239,17 +239,18 @@
                 "streams_max" => hub.streams_max(), "in_flight" => hub.in_flight(),
                 "turned_away" => rejected);
         }
-        gossip::tell_news(&hub);
+        gossip::send_gossip(&hub);
         hub.change(view::View::tick);
         hub.suspects().tick(hub.now());
         let engines = hub.read(|view| view.fleet().engine_count());
         if hub.peers().refresh(engines) {
             let owners = hub.peers().owners();
-            let new_groups = owners.kept_by(hub.peers().me()).map(|(group, _)| group).collect();
+            let new_groups =
+                owners.groups_of(hub.peers().own_ip()).map(|(group, _)| group).collect();
             hold_cold_engines(&hub, &new_groups, &groups);
             groups = new_groups;
-            info!(hub.log(), "engine owners changed"; "boxes" => hub.peers().live() + 1,
-                "engines" => engines, "kept" => owners.kept_by(hub.peers().me()).count());
+            info!(hub.log(), "engine owners changed"; "boxes" => hub.peers().live_count() + 1,
+                "engines" => engines, "kept" => owners.groups_of(hub.peers().own_ip()).count());
         }
         let is_due = hub.peers().is_store_due();
         if store_due.send_if_modified(|was| std::mem::replace(was, is_due) != is_due) {
@@ -276,9 +277,11 @@
 
 /// Gives the cold engines of groups that are new to this box nothing until [`cold::LOOKS_BACK`] has
 /// passed, since this box doesn't know what other boxes have just sent to them.
-fn hold_cold_engines(hub: &Hub, groups: &BTreeSet<Group>, before: &BTreeSet<Group>) {
-    let until = hub.now() + cold::LOOKS_BACK;
-    hub.fleet(|fleet| groups.difference(before).for_each(|group| fleet.hold_cold(*group, until)));
+fn hold_cold_engines(hub: &Hub, groups: &BTreeSet<EngineGroup>, before: &BTreeSet<EngineGroup>) {
+    let until = hub.now() + cold::RATE_WINDOW;
+    hub.fleet(|fleet| {
+        groups.difference(before).for_each(|group| fleet.hold_cold_engines(*group, until))
+    });
 }
 
 /// Waits until all requests have ended and no new ones are expected, or until the time is up.
@@ -308,7 +311,7 @@
     loop {
         let signalled = tokio::select! {
             _ = hangup.recv() => true,
-            () = pace::wait(SETTINGS_POLL_INTERVAL) => false,
+            () = aligned_timer::wait_for_tick(SETTINGS_POLL_INTERVAL) => false,
         };
         let modified = modified_at(&path);
         if !signalled && modified == last_modified {
--- a/src/proxy/peers.rs
+++ b/src/proxy/peers.rs
@@ -15,24 +15,24 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::clock::Clock;
-use crate::fleet::duty;
-use crate::fleet::duty::Colleague;
-use crate::fleet::duty::Situation;
-use crate::fleet::evacuated::Evacuated;
-use crate::fleet::members::Age;
-use crate::fleet::members::Beat;
-use crate::fleet::members::Call;
+use crate::fleet::evacuated::EvacuatedZones;
+use crate::fleet::members::BoxReport;
+use crate::fleet::members::GOSSIP_ROUNDS;
+use crate::fleet::members::HeartbeatMessage;
+use crate::fleet::members::HeartbeatOptions;
+use crate::fleet::members::LivenessUpdate;
 use crate::fleet::members::Member;
 use crate::fleet::members::Members;
-use crate::fleet::members::NEWS_AT_ONCE;
-use crate::fleet::members::Record;
 use crate::fleet::owners::Candidate;
-use crate::fleet::owners::Owners;
+use crate::fleet::owners::OwnerTable;
 use crate::fleet::revision::Revision;
-use crate::fleet::rollout::Told;
-use crate::fleet::standing;
-use crate::fleet::standing::Standing;
-use crate::fleet::standing::Word;
+use crate::fleet::rollout::RolloutReport;
+use crate::fleet::store_watch;
+use crate::fleet::store_watch::WatchInputs;
+use crate::fleet::store_watch::ZoneBox;
+use crate::fleet::sync_state;
+use crate::fleet::sync_state::SyncState;
+use crate::fleet::sync_state::UpstreamListReport;
 use crate::names::BoxName;
 use crate::names::ZoneName;
 use crate::proxy::message::Message;
@@ -40,7 +40,7 @@
 use crate::util;
 
 /// Largest datagram, in bytes: fits an Ethernet frame.
-pub(super) const DATAGRAM_MAX: usize = 1400;
+pub(super) const DATAGRAM_MAX_BYTES: usize = 1400;
 
 /// What is told to all waits for more for this long a box that hears it, so that the cost of telling
 /// grows with the number of boxes and not with that times the requests.
@@ -66,15 +66,15 @@
 
 /// What a box says of itself that changes.
 #[derive(Clone, Debug)]
-pub(super) struct State {
+pub(super) struct OwnState {
     pub(super) version: u64,
     pub(super) sees_store: bool,
     pub(super) is_warm: bool,
     pub(super) upstreams: u64,
     pub(super) revision: Revision,
-    pub(super) evacuated: Evacuated,
+    pub(super) evacuated: EvacuatedZones,
     pub(super) held: u64,
-    pub(super) rollouts: Vec<Told>,
+    pub(super) rollouts: Vec<RolloutReport>,
 }
 
 /// The other boxes.
@@ -95,10 +95,10 @@
     told_later: Notify,
     to_some: Mutex<BTreeMap<IpAddr, Vec<u8>>>,
     told_some: Notify,
-    pub(super) announced: Notify,
+    pub(super) heartbeat_requested: Notify,
     is_first_start: bool,
     /// Woken when another box is ahead.
-    pub(super) behind: Notify,
+    pub(super) newer_configuration: Notify,
 }
 
 /// What is worked out of the members now and then, since it is asked for with each request.
@@ -109,7 +109,7 @@
     /// The boxes and how many engines, by which the owners were worked out.
     boxes: Vec<Candidate>,
     engines: usize,
-    owners: Arc<Owners>,
+    owners: Arc<OwnerTable>,
 }
 
 /// What waits to be told to all.
@@ -140,14 +140,14 @@
             told_later: Notify::new(),
             to_some: Mutex::default(),
             told_some: Notify::new(),
-            announced: Notify::new(),
+            heartbeat_requested: Notify::new(),
             is_first_start: cfg.is_first_start,
-            behind: Notify::new(),
+            newer_configuration: Notify::new(),
         }
     }
 
     /// This box's address.
-    pub fn me(&self) -> IpAddr {
+    pub fn own_ip(&self) -> IpAddr {
         self.me.ip()
     }
 
@@ -163,17 +163,17 @@
     }
 
     /// How many others are alive.
-    pub fn live(&self) -> usize {
+    pub fn live_count(&self) -> usize {
         self.seen.lock().expect("no panic under lock").live
     }
 
     /// How many boxes have been heard of lately, this one and those that are silent now included.
-    pub fn known(&self) -> usize {
+    pub fn known_count(&self) -> usize {
         self.seen.lock().expect("no panic under lock").known
     }
 
     /// Who owns the models of which engines.
-    pub fn owners(&self) -> Arc<Owners> {
+    pub fn owners(&self) -> Arc<OwnerTable> {
         self.seen.lock().expect("no panic under lock").owners.clone()
     }
 
@@ -182,12 +182,12 @@
         let now = self.now();
         let me = Candidate { ip: self.me.ip(), zone: self.zone.clone(), cores: self.cores };
         let candidate = |(ip, member): (IpAddr, &Member)| {
-            let record = member.record.as_ref()?;
-            Some(Candidate { ip, zone: record.zone.clone(), cores: record.cores })
+            let report = member.report.as_ref()?;
+            Some(Candidate { ip, zone: report.zone.clone(), cores: report.cores })
         };
         let (live, known, others) = self.members(|members| {
             let others: Vec<Candidate> = members.live(now).filter_map(candidate).collect();
-            (members.live(now).count(), members.known() + 1, others)
+            (members.live(now).count(), members.known_count() + 1, others)
         });
         let boxes: Vec<Candidate> = others.into_iter().chain([me]).collect();
         let mut seen = self.seen.lock().expect("no panic under lock");
@@ -196,7 +196,7 @@
         if seen.boxes == boxes && seen.engines == engines {
             return false;
         }
-        let owners = Owners::new(&boxes, engines);
+        let owners = OwnerTable::new(&boxes, engines);
         (seen.boxes, seen.engines) = (boxes, engines);
         let has_changed = *seen.owners != owners;
         if has_changed {
@@ -207,10 +207,10 @@
 
     /// Tells all boxes that are alive: at once where there are few, else together with what else
     /// is told within a moment, since each datagram costs each box a call.
-    pub fn tell(&self, message: &Message) {
+    pub fn broadcast(&self, message: &Message) {
         let Ok(mut buf) = postcard::to_stdvec(message) else { return };
         let mut pending = self.to_all.lock().expect("no panic under lock");
-        if DATAGRAM_MAX < pending.buf.len() + buf.len() {
+        if DATAGRAM_MAX_BYTES < pending.buf.len() + buf.len() {
             self.send_to_live(&std::mem::take(&mut pending.buf));
         }
         if message.can_wait() {
@@ -226,14 +226,14 @@
 
     /// Tells all boxes that are alive, and waits for nothing: for what is rare, and must be known before the next request
     /// comes.
-    pub fn tell_at_once(&self, message: &Message) {
+    pub fn broadcast_now(&self, message: &Message) {
         if let Ok(buf) = postcard::to_stdvec(message) {
             self.send_to_live(&buf);
         }
     }
 
     /// Tells single boxes, together with what else they are told within a moment.
-    pub fn tell_some(&self, to: impl Iterator<Item = IpAddr>, message: &Message) {
+    pub fn send_batched(&self, to: impl Iterator<Item = IpAddr>, message: &Message) {
         let Ok(buf) = postcard::to_stdvec(message) else { return };
         let mut pending = self.to_some.lock().expect("no panic under lock");
         if pending.is_empty() {
@@ -241,7 +241,7 @@
         }
         for ip in to.filter(|ip| *ip != self.me.ip()) {
             let waiting = pending.entry(ip).or_default();
-            if DATAGRAM_MAX < waiting.len() + buf.len() {
+            if DATAGRAM_MAX_BYTES < waiting.len() + buf.len() {
                 self.send(&std::mem::take(waiting), ip);
             }
             waiting.extend_from_slice(&buf);
@@ -250,43 +250,43 @@
 
     /// Tells the boxes for which this one watches the store: all in a small fleet, else those of its
     /// zone.
-    pub fn tell_followers(&self, message: &Message) {
-        if self.owners().is_none() {
-            self.tell(message);
+    pub fn send_to_followers(&self, message: &Message) {
+        if self.owners().is_empty() {
+            self.broadcast(message);
             return;
         }
-        let zone = self.members(|members| members.zone(&self.zone, self.now()));
-        self.tell_some(zone.into_iter(), message);
+        let zone = self.members(|members| members.live_in_zone(&self.zone, self.now()));
+        self.send_batched(zone.into_iter(), message);
     }
 
     /// Has a sign of life given at once, since what this box says of itself has changed.
-    pub fn announce(&self) {
-        self.announced.notify_one();
+    pub fn request_heartbeat(&self) {
+        self.heartbeat_requested.notify_one();
     }
 
     /// Whether this box is to watch the store.
     pub fn is_store_due(&self) -> bool {
         let now = self.now();
         let colleague = |(ip, member): (IpAddr, &Member)| {
-            let (record, age) = member.word(now)?;
-            let saw_store = record.sees_store.then_some(age);
-            let is_here = record.zone == self.zone;
-            is_here.then_some(Colleague { ip, cores: record.cores, saw_store })
+            let (report, age) = member.report_with_age(now)?;
+            let store_seen_ago = report.sees_store.then_some(age);
+            let is_here = report.zone == self.zone;
+            is_here.then_some(ZoneBox { ip, cores: report.cores, store_seen_ago })
         };
-        let zone: Vec<Colleague> =
+        let zone: Vec<ZoneBox> =
             self.members(|members| members.live(now).filter_map(colleague).collect());
-        duty::is_due(Situation {
-            me: self.me.ip(),
+        store_watch::should_watch(WatchInputs {
+            own_ip: self.me.ip(),
             cores: self.cores,
-            zone: &zone,
-            alive: self.live() + 1,
-            age: now,
+            zone_boxes: &zone,
+            live_boxes: self.live_count() + 1,
+            uptime: now,
             is_first_start: self.is_first_start,
         })
     }
 
     /// Tells one box at once.
-    pub fn tell_now(&self, to: IpAddr, message: &Message) {
+    pub fn send_now(&self, to: IpAddr, message: &Message) {
         if let Ok(buf) = postcard::to_stdvec(message) {
             self.send(&buf, to);
         }
@@ -298,12 +298,12 @@
             tokio::select! {
                 () = self.told.notified() => {}
                 () = self.told_later.notified() => {
-                    let most = (LATER_PER_BOX * self.live() as u32).min(LATER_MAX);
+                    let most = (LATER_PER_BOX * self.live_count() as u32).min(LATER_MAX);
                     // Whichever comes first.
                     let _ = tokio::time::timeout(most, self.told.notified()).await;
                 }
             }
-            let delay = DELAY_PER_BOX * self.live() as u32;
+            let delay = DELAY_PER_BOX * self.live_count() as u32;
             if DELAY_MIN <= delay {
                 tokio::time::sleep(delay.min(DELAY_MAX)).await;
             }
@@ -331,50 +331,70 @@
     }
 
     /// Gives the boxes that are due a sign of life.
-    pub(super) fn beat(&self, state: State) {
+    pub(super) fn send_heartbeats(&self, state: OwnState) {
         let now = self.now();
-        let (to, ages) = self.members(|members| {
+        let (to, updates) = self.members(|members| {
             let mut rng = rand::rng();
             // Those for which this box watches the store rely on its word.
             let zone = state.sees_store.then_some(&self.zone);
-            (members.targets(zone, now, &mut rng), members.ages(now, &mut rng))
+            (
+                members.heartbeat_targets(zone, now, &mut rng),
+                members.heartbeat_updates(now, &mut rng),
+            )
         });
-        self.give_sign(state, ages, &to);
+        self.send_heartbeat(state, updates, &to);
     }
 
     /// Tells what is news of other boxes, if anything is.
-    pub(super) fn tell_news(&self, state: impl FnOnce() -> State) {
+    pub(super) fn send_gossip(&self, state: impl FnOnce() -> OwnState) {
         let now = self.now();
-        let news: Vec<(Vec<IpAddr>, Vec<Age>)> = self.members(|members| {
-            let take = || members.news(now, &mut rand::rng());
-            std::iter::from_fn(take).take(NEWS_AT_ONCE).collect()
+        let news: Vec<(Vec<IpAddr>, Vec<LivenessUpdate>)> = self.members(|members| {
+            let take = || members.gossip(now, &mut rand::rng());
+            std::iter::from_fn(take).take(GOSSIP_ROUNDS).collect()
         });
         if news.is_empty() {
             return;
         }
         let state = state();
-        let call = Call { asks: false, tells: true };
-        for (to, ages) in news {
+        let call = HeartbeatOptions { requests_reply: false, includes_updates: true };
+        for (to, updates) in news {
             let to = to.into_iter().map(|ip| (ip, call)).collect();
-            self.give_sign(state.clone(), ages, &to);
+            self.send_heartbeat(state.clone(), updates, &to);
         }
     }
 
     /// Gives some boxes a sign of life at once.
-    pub(super) fn greet(&self, state: State, to: &BTreeSet<IpAddr>) {
+    pub(super) fn send_heartbeat_to(&self, state: OwnState, to: &BTreeSet<IpAddr>) {
         let now = self.now();
-        let (to, ages) = self.members(|members| {
-            let call = |ip| Call { asks: members.record(ip).is_none(), tells: true };
-            let to: BTreeMap<IpAddr, Call> = to.iter().map(|ip| (*ip, call(*ip))).collect();
-            (to, members.greeting_ages(now, &mut rand::rng()))
+        let (to, updates) = self.members(|members| {
+            let call = |ip| HeartbeatOptions {
+                requests_reply: members.report(ip).is_none(),
+                includes_updates: true,
+            };
+            let to: BTreeMap<IpAddr, HeartbeatOptions> =
+                to.iter().map(|ip| (*ip, call(*ip))).collect();
+            (to, members.reply_updates(now, &mut rand::rng()))
         });
-        self.give_sign(state, ages, &to);
+        self.send_heartbeat(state, updates, &to);
     }
 
-    fn give_sign(&self, state: State, ages: Vec<Age>, to: &BTreeMap<IpAddr, Call>) {
-        let State { version, sees_store, is_warm, upstreams, revision, evacuated, held, rollouts } =
-            state;
-        let record = Record {
+    fn send_heartbeat(
+        &self,
+        state: OwnState,
+        updates: Vec<LivenessUpdate>,
+        to: &BTreeMap<IpAddr, HeartbeatOptions>,
+    ) {
+        let OwnState {
+            version,
+            sees_store,
+            is_warm,
+            upstreams,
+            revision,
+            evacuated,
+            held,
+            rollouts,
+        } = state;
+        let report = BoxReport {
             name: self.name.clone(),
             zone: self.zone.clone(),
             addr: self.me,
@@ -383,32 +403,34 @@
             version,
             sees_store,
             is_warm,
-            upstreams,
+            upstreams_digest: upstreams,
             revision,
             evacuated,
-            held,
+            held_digest: held,
             rollouts,
         };
-        let mut beat = Beat { record, asks: false, ages };
-        for tells in [true, false] {
-            if !tells {
-                beat.ages.clear();
+        let mut beat = HeartbeatMessage { report, requests_reply: false, updates };
+        for includes_updates in [true, false] {
+            if !includes_updates {
+                beat.updates.clear();
             }
-            for asks in [false, true] {
-                let call = Call { asks, tells };
+            for requests_reply in [false, true] {
+                let call = HeartbeatOptions { requests_reply, includes_updates };
                 let mut to = to.iter().filter(|(_, c)| **c == call).map(|(ip, _)| *ip).peekable();
                 if to.peek().is_none() {
                     continue;
                 }
-                beat.asks = asks;
-                let Ok(buf) = postcard::to_stdvec(&Message::Beat(beat.clone())) else { continue };
+                beat.requests_reply = requests_reply;
+                let Ok(buf) = postcard::to_stdvec(&Message::Heartbeat(beat.clone())) else {
+                    continue;
+                };
                 to.for_each(|ip| self.send(&buf, ip));
             }
         }
     }
 
     fn send(&self, buf: &[u8], to: IpAddr) {
-        if DATAGRAM_MAX < buf.len() {
+        if DATAGRAM_MAX_BYTES < buf.len() {
             return;
         }
         // What can't be sent now is lost, as any datagram may be.
@@ -416,52 +438,52 @@
     }
 
     /// A box that has a newer configuration than `version`, preferably one that sees the store.
-    pub(super) fn ahead_of(&self, version: u64) -> Option<SocketAddr> {
+    pub(super) fn box_with_newer_configuration(&self, version: u64) -> Option<SocketAddr> {
         self.pick(|r| (version < r.version).then_some((r.sees_store, r.version)))
     }
 
     /// A box that knows what engines keep.
-    pub fn warm(&self) -> Option<SocketAddr> {
+    pub fn warm_box(&self) -> Option<SocketAddr> {
         self.pick(|r| r.is_warm.then_some(()))
     }
 
     /// A box that sees the store.
-    pub(super) fn with_store(&self) -> Option<SocketAddr> {
+    pub(super) fn box_with_store(&self) -> Option<SocketAddr> {
         self.pick(|r| r.sees_store.then_some(()))
     }
 
     /// A box that has just said that it holds other requests back than those of this digest.
-    pub(super) fn with_other_held(&self, own: u64) -> Option<SocketAddr> {
+    pub(super) fn box_with_other_held(&self, own: u64) -> Option<SocketAddr> {
         let now = self.now();
-        let is_other = |r: &Record| r.held != 0 && r.held != own;
+        let is_other = |r: &BoxReport| r.held_digest != 0 && r.held_digest != own;
         self.members(|members| {
-            let words = members.live(now).filter_map(|(_, member)| member.word(now));
+            let words = members.live(now).filter_map(|(_, member)| member.report_with_age(now));
             let others = words.filter(|(r, age)| *age < HELD_FRESH && is_other(r));
             others.choose(&mut rand::rng()).map(|(r, _)| r.addr)
         })
     }
 
     /// What those others say that are alive of a service's roll-out, each by its last word.
-    pub(super) fn rollouts_told(&self, service: &str) -> Vec<Option<Told>> {
+    pub(super) fn reported_rollouts(&self, service: &str) -> Vec<Option<RolloutReport>> {
         let now = self.now();
         let told = |(_, member): (IpAddr, &Member)| {
-            let record = member.record.as_ref()?;
-            record.rollouts.iter().find(|told| &*told.service == service).cloned()
+            let report = member.report.as_ref()?;
+            report.rollouts.iter().find(|told| &*told.service == service).cloned()
         };
         self.members(|members| members.live(now).map(told).collect())
     }
 
     /// How this box stands to those that watch the store for it, while it lists what has this digest and
     /// its list is whole up to this revision.
-    pub(super) fn standing(&self, revision: Revision, upstreams: u64) -> Standing {
+    pub(super) fn standing(&self, revision: Revision, upstreams: u64) -> SyncState {
         let now = self.now();
         let word = |(_, member): (IpAddr, &Member)| {
-            let (r, age) = member.word(now)?;
-            let Record { addr, sees_store, revision, upstreams, .. } = *r;
-            Some(Word { addr, sees_store, revision, upstreams, age })
+            let (r, age) = member.report_with_age(now)?;
+            let BoxReport { addr, sees_store, revision, upstreams_digest, .. } = *r;
+            Some(UpstreamListReport { addr, sees_store, revision, upstreams_digest, age })
         };
         self.members(|members| {
-            standing::judge(revision, upstreams, members.live(now).filter_map(word))
+            sync_state::evaluate(revision, upstreams, members.live(now).filter_map(word))
         })
     }
 
@@ -470,16 +492,16 @@
         let now = self.now();
         self.members(|members| {
             let (_, member) = members.live(now).find(|(live, _)| *live == ip)?;
-            member.record.as_ref().map(|r| r.addr)
+            member.report.as_ref().map(|r| r.addr)
         })
     }
 
     /// Of the boxes that are alive and have a rank, one with the highest. Boxes with the same rank
     /// are asked by different ones: when many start at once, one alone could not answer them all.
-    fn pick<R: Ord>(&self, rank: impl Fn(&Record) -> Option<R>) -> Option<SocketAddr> {
+    fn pick<R: Ord>(&self, rank: impl Fn(&BoxReport) -> Option<R>) -> Option<SocketAddr> {
         let now = self.now();
         self.members(|members| {
-            let records = members.live(now).filter_map(|(_, m)| m.record.as_ref());
+            let records = members.live(now).filter_map(|(_, m)| m.report.as_ref());
             let ranked = records.filter_map(|r| Some((rank(r)?, self.draw(&r.addr), r.addr)));
             ranked.max().map(|(_, _, addr)| addr)
         })
--- a/src/proxy/proxy_metrics.rs
+++ b/src/proxy/proxy_metrics.rs
@@ -10,10 +10,10 @@
 
 use crate::metrics::Metrics;
 use crate::names::WorkspaceName;
-use crate::placement::share::Tokens;
-use crate::proxy::dialect::Notice;
+use crate::placement::share::TokenCounts;
+use crate::proxy::adapter::Notice;
 use crate::proxy::hub::Hub;
-use crate::proxy::placed::FirstToken;
+use crate::proxy::placed_request::FirstTokenTiming;
 use crate::proxy::view::View;
 
 /// Bucket bounds of the time histograms, denser around the usual target latencies.
@@ -105,9 +105,9 @@
         gauge("frostdyke_proxy_streams_max", |hub| hub.streams_max() as u64);
         gauge("frostdyke_proxy_turned_away", |hub| hub.turned_away() as u64);
         gauge("frostdyke_proxy_connections", |hub| hub.connections() as u64);
-        gauge("frostdyke_boxes_alive", |hub| hub.peers().live() as u64 + 1);
+        gauge("frostdyke_boxes_alive", |hub| hub.peers().live_count() as u64 + 1);
         gauge("frostdyke_groups_kept", |hub| {
-            hub.peers().owners().kept_by(hub.peers().me()).count() as u64
+            hub.peers().owners().groups_of(hub.peers().own_ip()).count() as u64
         });
         gauge("frostdyke_configuration_version", Hub::version);
         gauge("frostdyke_store_reached", |hub| u64::from(hub.read(View::reaches_store)));
@@ -115,20 +115,24 @@
         gauge("frostdyke_upstreams_leaving", |hub| {
             hub.read(|v| v.fleet().listed().filter(|l| l.leaving).count() as u64)
         });
-        gauge("frostdyke_upstreams_backing_off", |hub| hub.read(|v| v.fleet().backoffs() as u64));
+        gauge("frostdyke_upstreams_backing_off", |hub| {
+            hub.read(|v| v.fleet().backoff_count() as u64)
+        });
         gauge("frostdyke_upstreams_draining", |hub| {
-            hub.read(|v| v.draining().all().count() as u64)
+            hub.read(|v| v.draining().iter().count() as u64)
         });
         gauge("frostdyke_suspects", |hub| hub.suspects().read(|q| q.len() as u64));
         self.register_share_gauges(hub);
-        gauge("frostdyke_upstreams_in_doubt", |hub| hub.read(|v| v.fleet().in_doubt() as u64));
+        gauge("frostdyke_upstreams_in_doubt", |hub| {
+            hub.read(|v| v.fleet().unverified_count() as u64)
+        });
     }
 
     /// Registers the gauges of workspaces' shares: the tokens requested and begun in the whole
     /// fleet, as far as this box has counted them or received them from others. Each gauge has one
     /// series per workspace.
     fn register_share_gauges(&self, hub: &Arc<Hub>) {
-        let gauge = |name: &'static str, read: fn(Tokens) -> i64| {
+        let gauge = |name: &'static str, read: fn(TokenCounts) -> i64| {
             let hub: Weak<Hub> = Arc::downgrade(hub);
             // The meter keeps the callback.
             let _ = (self.metrics.meter().i64_observable_gauge(name))
@@ -143,8 +147,8 @@
                 })
                 .build();
         };
-        gauge("frostdyke_share_asked_tokens", |tokens| tokens.asked);
-        gauge("frostdyke_share_begun_tokens", |tokens| tokens.begun);
+        gauge("frostdyke_share_asked_tokens", |tokens| tokens.requested);
+        gauge("frostdyke_share_begun_tokens", |tokens| tokens.admitted);
     }
 
     /// Counts the tokens charged to a workspace for a request that has returned its first token.
@@ -231,7 +235,7 @@
     }
 
     /// Records the expected and the actual time to a request's first token.
-    pub fn first_token(&self, first: FirstToken) {
+    pub fn first_token(&self, first: FirstTokenTiming) {
         let (expected, took) = (first.expected.as_secs_f64(), first.took.as_secs_f64());
         self.first_expected.record(expected, &[]);
         self.first_actual.record(took, &[]);
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -18,38 +18,38 @@
 use slog::info;
 use tokio::time::Instant;
 
-use crate::fleet::fingerprint::Content;
 use crate::fleet::fingerprint::Fingerprint;
+use crate::fleet::fingerprint::RequestContent;
 use crate::names::ServiceName;
 use crate::names::UpstreamName;
 use crate::names::VersionName;
 use crate::names::WorkspaceName;
 use crate::placement::choice::Choice;
 use crate::placement::upstream::Health;
+use crate::proxy::adapter::RequestHead;
+use crate::proxy::adapter::UpstreamRequestInfo;
+use crate::proxy::adapter::Verdict;
 use crate::proxy::admission;
-use crate::proxy::answer;
-use crate::proxy::answer::Refusal;
-use crate::proxy::dialect::Head;
-use crate::proxy::dialect::Outgoing;
-use crate::proxy::dialect::Verdict;
 use crate::proxy::hub::Hub;
-use crate::proxy::look;
 use crate::proxy::notices;
-use crate::proxy::notices::Said;
-use crate::proxy::placed::FirstToken;
-use crate::proxy::placed::InFlight;
-use crate::proxy::placed::Placed;
-use crate::proxy::placing::NO_UPSTREAM_RETRY;
-use crate::proxy::placing::OVERLOAD_RETRY_MIN;
+use crate::proxy::notices::ReceivedNotice;
+use crate::proxy::placed_request::CountGuard;
+use crate::proxy::placed_request::FirstTokenTiming;
+use crate::proxy::placed_request::PlacedRequest;
+use crate::proxy::reachability;
+use crate::proxy::refusal;
+use crate::proxy::refusal::Refusal;
 use crate::proxy::response_body;
 use crate::proxy::response_body::Body;
+use crate::proxy::routing_table::Repeat;
+use crate::proxy::routing_table::Route;
 use crate::proxy::stream_relay;
 use crate::proxy::suspects;
-use crate::proxy::suspects::Break;
-use crate::proxy::table::Repeat;
-use crate::proxy::table::Route;
+use crate::proxy::suspects::BrokenRequest;
 use crate::proxy::upstream_connections;
 use crate::proxy::upstream_connections::UpstreamBody;
+use crate::proxy::upstream_selection::NO_UPSTREAM_RETRY;
+use crate::proxy::upstream_selection::OVERLOAD_RETRY_MIN;
 use crate::util;
 use crate::web;
 use crate::web::BodyFault;
@@ -73,7 +73,7 @@
     /// The state shared by all requests of the process.
     pub hub: Arc<Hub>,
     /// The parsed head of the request.
-    pub head: Head,
+    pub head: RequestHead,
     /// The head as received.
     pub parts: request::Parts,
     /// The route.
@@ -101,13 +101,13 @@
     /// Sends that broke off.
     pub broken_sends: u32,
     /// The expected and the actual time of the first token, once it has arrived.
-    pub first_token: Option<FirstToken>,
+    pub first_token: Option<FirstTokenTiming>,
     /// Counts the request until the whole response has been passed on.
-    pub in_flight_guard: InFlight,
+    pub in_flight_guard: CountGuard,
     /// Counts the request until it is sent for the first time.
-    pub unsent_guard: Option<InFlight>,
+    pub unsent_guard: Option<CountGuard>,
     /// Counts the request as a stream, if it is one.
-    pub stream_guard: Option<InFlight>,
+    pub stream_guard: Option<CountGuard>,
 }
 
 /// The outcome of one send.
@@ -147,7 +147,7 @@
     /// The response; dropping its body closes the connection.
     pub resp: Response<UpstreamBody>,
     /// The request's entry in the state of upstreams.
-    pub placed: Placed,
+    pub placed: PlacedRequest,
 }
 
 /// Serves one request.
@@ -163,7 +163,7 @@
         Err(cause) => return ctx.refuse(cause),
     }
     if ctx.route.streaming {
-        ctx.stream_guard = hub.enter_stream();
+        ctx.stream_guard = hub.try_track_stream();
         if ctx.stream_guard.is_none() {
             return ctx.refuse(Refusal::BoxBusy);
         }
@@ -176,7 +176,7 @@
     info!(hub.log(), "request refused"; "id" => id, "cause" => cause.code(),
         "version" => hub.version());
     hub.metrics().refused(cause.code());
-    answer::refusal(cause)
+    refusal::response(cause)
 }
 
 impl RequestContext {
@@ -209,7 +209,7 @@
         if let (Some(workspace), Some(prompt)) = (&self.workspace, &self.head.prompt) {
             hub.metrics().workspace_refused(workspace, prompt.charge(), cause.code());
         }
-        answer::refusal(cause)
+        refusal::response(cause)
     }
 
     /// Sends the request, repeatedly if necessary, until there is a response to pass on.
@@ -238,13 +238,14 @@
                         "upstream" => choice.upstream.as_str(), "error" => util::with_causes(&e));
                     unsent_attempts += 1;
                     if UNSENT_ATTEMPTS_MAX <= unsent_attempts {
-                        let retry_after = self.resumes_in().unwrap_or(NO_UPSTREAM_RETRY);
+                        let retry_after = self.min_backoff_remaining().unwrap_or(NO_UPSTREAM_RETRY);
                         return earlier.give_up(Refusal::NoUpstream { retry_after });
                     }
                 }
                 SendOutcome::NotRun => {
-                    if !self.may_retry() {
-                        let retry_after = self.resumes_in().unwrap_or(OVERLOAD_RETRY_MIN);
+                    if !self.try_take_retry() {
+                        let retry_after =
+                            self.min_backoff_remaining().unwrap_or(OVERLOAD_RETRY_MIN);
                         return earlier.give_up(Refusal::Overloaded { retry_after });
                     }
                 }
@@ -253,7 +254,7 @@
                         self.route.repeat != Repeat::Never && self.sends < self.route.max_upstreams;
                     earlier.may_have_run = true;
                     earlier.response = response.or(earlier.response);
-                    if !is_repeatable || !self.may_retry() {
+                    if !is_repeatable || !self.try_take_retry() {
                         return earlier.give_up(Refusal::Broken);
                     }
                 }
@@ -262,9 +263,9 @@
     }
 
     /// The parts of the request that identify it across retries of the caller.
-    fn content(&self) -> Content<'_> {
+    fn content(&self) -> RequestContent<'_> {
         let target = self.parts.uri.path_and_query();
-        Content {
+        RequestContent {
             method: self.parts.method.as_str(),
             host: &self.head.host,
             target: target.map_or("/", |target| target.as_str()),
@@ -290,51 +291,55 @@
         } else if !self.may_be_suspect() {
             return None;
         }
-        let content = self.fingerprint();
-        let retry_after = suspects::held_for(&self.hub, &content);
-        let is_doubtful =
-            self.broken_sends != 0 && suspects.would_be_too_many(&content, self.hub.now());
+        let fingerprint = self.fingerprint();
+        let retry_after = suspects::hold_time(&self.hub, &fingerprint);
+        let is_doubtful = self.broken_sends != 0
+            && suspects.would_reach_crash_limit(&fingerprint, self.hub.now());
         let retry_after = retry_after.or(is_doubtful.then_some(NO_UPSTREAM_RETRY));
-        retry_after.map(|retry_after| Refusal::EndsUpstreams { retry_after })
+        retry_after.map(|retry_after| Refusal::CrashesUpstreams { retry_after })
     }
 
     /// A cheap check whether this may be a request that upstreams have crashed under; if not, the
     /// fingerprint isn't needed.
     fn may_be_suspect(&self) -> bool {
         let suspects = self.hub.suspects();
-        suspects.read(|known| !known.is_empty() && known.may_know(self.content().hint()))
+        suspects.read(|known| !known.is_empty() && known.may_contain(self.content().quick_hash()))
     }
 
     /// Records that the response broke off, and ends the request's entry in the state of upstreams.
     /// `has_restarted` if the upstream is known to have restarted.
-    pub fn record_break(&mut self, placed: Placed, has_restarted: bool) {
+    pub fn record_break(&mut self, placed: PlacedRequest, has_restarted: bool) {
         let upstream = placed.upstream().clone();
         // The end of an upstream, whether it crashed or leaves, is no evidence about the responses
         // of its version.
         if !has_restarted && self.hub.read(|view| view.fleet().is_open(&upstream)) {
-            placed.failed();
+            placed.record_failure();
         }
-        let start = suspects::start_of(&upstream, placed.born());
+        let instance = suspects::instance_id(&upstream, placed.started_at_ms());
         self.broken_sends += 1;
-        look::unreachable(&self.hub, &upstream);
+        reachability::mark_unreachable(&self.hub, &upstream);
         placed.close(Some(Health::Broken));
         // An upstream that leaves ends without being crashed by a request.
         if has_restarted || self.hub.read(|view| view.fleet().is_open(&upstream)) {
-            let content = self.fingerprint();
-            suspects::broke_off(&self.hub, Break { upstream, start, content }, has_restarted);
+            let fingerprint = self.fingerprint();
+            suspects::connection_broken(
+                &self.hub,
+                BrokenRequest { upstream, instance, fingerprint },
+                has_restarted,
+            );
         }
     }
 
     /// Records that the response was complete.
     pub fn record_success(&self) {
         if self.may_be_suspect() {
-            suspects::ended_well(&self.hub, &self.fingerprint());
+            suspects::request_succeeded(&self.hub, &self.fingerprint());
         }
     }
 
     /// Whether the request may be sent once more, by the number of sends and the retry budget.
-    pub fn may_retry(&self) -> bool {
-        self.sends < SENDS_MAX && self.hub.may_repeat(&self.service)
+    pub fn try_take_retry(&self) -> bool {
+        self.sends < SENDS_MAX && self.hub.try_take_retry(&self.service)
     }
 
     /// Sends the request to an upstream. With `resume_after`, the response is to begin after that
@@ -342,7 +347,7 @@
     async fn send(
         &mut self,
         choice: &Choice,
-        placed: Placed,
+        placed: PlacedRequest,
         resume_after: Option<u64>,
     ) -> SendOutcome {
         self.unsent_guard = None;
@@ -353,7 +358,7 @@
         let connections = self.hub.upstream_connections().clone();
         let quota =
             self.hub.connection_quota(&choice.upstream, self.connections_max, choice.is_counted);
-        let withheld = || notices::withheld(&self.hub, &placed);
+        let withheld = || notices::reason_to_withhold(&self.hub, &placed);
         let result = connections.send(choice.addr, quota, is_once_only, req, withheld).await;
         let mut resp = match result {
             Ok(resp) => resp,
@@ -364,7 +369,7 @@
                     }
                     // This box's own limit says nothing about the upstream.
                     upstream_connections::Error::LimitReached => {}
-                    _ => look::unreachable(&self.hub, &choice.upstream),
+                    _ => reachability::mark_unreachable(&self.hub, &choice.upstream),
                 }
                 placed.withdraw(None);
                 return SendOutcome::NotSent(e);
@@ -380,11 +385,15 @@
         };
         self.sends += 1;
         let status = resp.status();
-        let verdict = self.hub.dialect().judge(&self.head.id, status, resp.headers());
-        if resp.body_mut().record_authentic(verdict.proves(status)) && !verdict.misdirected {
-            let (upstream, born, sent) = (placed.upstream(), placed.born(), placed.sent());
+        let verdict = self.hub.dialect().check_response(&self.head.id, status, resp.headers());
+        if resp.body_mut().record_authentic(verdict.is_authentic(status)) && !verdict.misdirected {
+            let (upstream, started_at_ms, sent) =
+                (placed.upstream(), placed.started_at_ms(), placed.sent_at());
             let (request, notice) = (&self.head.id, verdict.notice);
-            notices::apply(&self.hub, Said { upstream, born, request, sent, notice });
+            notices::apply(
+                &self.hub,
+                ReceivedNotice { upstream, started_at_ms, request, sent, notice },
+            );
         }
         self.classify_response(resp, placed, verdict, began)
     }
@@ -392,7 +401,7 @@
     fn classify_response(
         &self,
         resp: Response<UpstreamBody>,
-        placed: Placed,
+        placed: PlacedRequest,
         verdict: Verdict,
         began: Instant,
     ) -> SendOutcome {
@@ -403,12 +412,12 @@
             placed.withdraw(Some(broken.unwrap_or(Health::Failed)));
             return SendOutcome::NotRun;
         }
-        let is_invalid = !verdict.own
+        let is_invalid = !verdict.matches_request
             || (status.is_success() && !verdict.signed)
             || resp.headers().contains_key(CONTENT_ENCODING);
         if is_invalid {
             self.log_unusual_response(&resp, &placed, verdict, "odd");
-            placed.failed();
+            placed.record_failure();
             placed.close(Some(Health::Failed));
             return SendOutcome::MayHaveRun(None);
         }
@@ -421,13 +430,13 @@
         let response = Box::new(UpstreamResponse { resp, placed });
         if status.is_server_error() {
             self.log_unusual_response(&response.resp, &response.placed, verdict, "failed");
-            response.placed.note(Health::Failed);
-            response.placed.failed();
+            response.placed.record_health(Health::Failed);
+            response.placed.record_failure();
             return SendOutcome::MayHaveRun(Some(response));
         }
-        response.placed.note(Health::Good(began.elapsed()));
+        response.placed.record_health(Health::Good(began.elapsed()));
         if self.head.prompt.is_none() {
-            response.placed.first();
+            response.placed.record_first_token();
         }
         SendOutcome::Response(response)
     }
@@ -436,13 +445,13 @@
     fn log_unusual_response(
         &self,
         resp: &Response<UpstreamBody>,
-        placed: &Placed,
+        placed: &PlacedRequest,
         verdict: Verdict,
         taken_for: &'static str,
     ) {
         info!(self.hub.log(), "unusual response from upstream"; "id" => &self.head.id,
             "upstream" => placed.upstream().as_str(), "status" => resp.status().as_u16(),
-            "taken_for" => taken_for, "own" => verdict.own, "signed" => verdict.signed,
+            "taken_for" => taken_for, "own" => verdict.matches_request, "signed" => verdict.signed,
             "try" => self.tried.len());
     }
 
@@ -453,7 +462,7 @@
         while is_repeatable
             && !self.remaining().is_zero()
             && self.check_quarantine().await.is_none()
-            && self.may_retry()
+            && self.try_take_retry()
         {
             let (choice, placed) = self.place().await.ok()?;
             match self.send(&choice, placed, after.or(self.head.resume_after)).await {
@@ -466,9 +475,9 @@
     }
 
     fn request_for(&self, choice: &Choice, resume_after: Option<u64>) -> Request<Full<Bytes>> {
-        let out = Outgoing {
+        let out = UpstreamRequestInfo {
             upstream: &choice.upstream,
-            left: self.remaining(),
+            remaining: self.remaining(),
             workspace: self.workspace.as_ref().map(WorkspaceName::as_str),
             resume_after,
             copy_from: choice.copy_from,
@@ -476,7 +485,7 @@
         let mut req = Request::new(Full::new(self.body.clone()));
         *req.method_mut() = self.parts.method.clone();
         *req.uri_mut() = self.parts.uri.clone();
-        *req.headers_mut() = self.hub.dialect().outgoing(&self.parts.headers, &out);
+        *req.headers_mut() = self.hub.dialect().upstream_headers(&self.parts.headers, &out);
         if !self.body.is_empty() {
             req.headers_mut().insert(CONTENT_LENGTH, HeaderValue::from(self.body.len()));
         }
@@ -503,7 +512,7 @@
                 placed.close(None);
                 self.record_success();
                 self.log_end(head.status, "whole");
-                let headers = self.hub.dialect().incoming(&head.headers);
+                let headers = self.hub.dialect().caller_headers(&head.headers);
                 respond(head.status, headers, response_body::full(bytes))
             }
             Err(fault) => {
--- a/src/proxy/settings.rs
+++ b/src/proxy/settings.rs
@@ -9,7 +9,7 @@
 use crate::config::settings::Reader;
 use crate::placement::cold::ColdBound;
 use crate::placement::tuning::Tuning;
-use crate::proxy::budget::Bounds;
+use crate::proxy::retry_budget::RetryBounds;
 
 /// Default time that a watch of the store waits for a change. Each watch costs a call, so longer is
 /// cheaper; separate probes detect a store that doesn't respond. An interruption between two probes
@@ -57,7 +57,7 @@
     /// `[stop] within-s`: time from the signal to stop until the process must have ended.
     pub stop_within: Duration,
     /// `[repeats]`: how many requests the fleet may retry.
-    pub repeats: Bounds,
+    pub repeats: RetryBounds,
     /// `[streams] late-max-ms`: the permitted delay of a stream's chunks; zero to pass them on at
     /// once.
     pub late_max: Duration,
@@ -93,7 +93,7 @@
         exposure: reader.optional("rollouts", "exposure", EXPOSURE_DEFAULT),
         seeds: seeds(&mut reader),
         stop_within: Duration::from_secs_f64(reader.optional("stop", "within-s", 8.0)),
-        repeats: Bounds {
+        repeats: RetryBounds {
             ratio: reader.optional("repeats", "ratio", 0.1),
             slack: reader.optional("repeats", "slack", 0.0),
             window: Duration::from_secs_f64(reader.optional("repeats", "window-s", 10.0)),
@@ -113,11 +113,11 @@
     let time = |ms: f64| Duration::from_secs_f64(ms.max(0.0) / 1e3);
     Tuning {
         tokens_per_ms: number("tokens-per-ms", defaults.tokens_per_ms),
-        pairs: time(number("pairs-ms", millis(defaults.pairs))),
-        step: time(number("step-ms", millis(defaults.step))),
-        first_step: time(number("first-step-ms", millis(defaults.first_step))),
-        reading_share: number("reading-share", defaults.reading_share),
-        read_weight: number("read-weight", defaults.read_weight),
+        per_million_pairs: time(number("pairs-ms", millis(defaults.per_million_pairs))),
+        per_prompt: time(number("step-ms", millis(defaults.per_prompt))),
+        first_token_overhead: time(number("first-step-ms", millis(defaults.first_token_overhead))),
+        prefill_share: number("reading-share", defaults.prefill_share),
+        prefill_weight: number("read-weight", defaults.prefill_weight),
         copy_weight: number("copy-weight", defaults.copy_weight),
         wait_share: number("wait-share", defaults.wait_share),
         wait_share_over: number("wait-share-over", defaults.wait_share_over),
--- a/src/proxy/state_updates.rs
+++ b/src/proxy/state_updates.rs
@@ -11,11 +11,11 @@
 use crate::placement::engine::Placement;
 use crate::placement::plain;
 use crate::placement::share::Shares;
-use crate::placement::share::Tokens;
+use crate::placement::share::TokenCounts;
 use crate::placement::upstream;
-use crate::proxy::asking;
-use crate::proxy::dialect::News;
-use crate::proxy::dialect::Prompt;
+use crate::proxy::adapter::Prompt;
+use crate::proxy::adapter::StoreUpdate;
+use crate::proxy::engine_placement;
 use crate::proxy::hub::Hub;
 use crate::proxy::message::Message;
 use crate::proxy::notices;
@@ -24,39 +24,45 @@
 use crate::proxy::view::View;
 
 /// Applies an update from the store.
-pub fn apply_store_update(hub: &Hub, news: News) {
+pub fn apply_store_update(hub: &Hub, news: StoreUpdate) {
     match news {
-        News::Configured(table) => hub.change(|view, now| view.configure(table, now)),
-        News::BadConfiguration(fault) => {
+        StoreUpdate::Configuration(table) => hub.change(|view, now| view.configure(table, now)),
+        StoreUpdate::InvalidConfiguration(fault) => {
             warn!(hub.log(), "configuration refused"; "fault" => fault);
         }
-        News::Listed(all) => hub.change(|view, now| view.list(all, now)),
-        News::Changed(listed) => hub.change(|view, now| view.set(listed, now)),
-        News::Gone(name) => hub.change(|view, now| view.gone(&name, now)),
-        News::UpTo(revision) => hub.change(|view, _| view.up_to(revision)),
-        News::Evacuated(all) => hub.change(|view, now| view.evacuate(&all, now)),
-        News::Ordered { orders, revision } => hub.change(|view, now| {
-            let evacuated = view.evacuated().after(&orders, revision);
+        StoreUpdate::AllUpstreams(all) => hub.change(|view, now| view.set_upstreams(all, now)),
+        StoreUpdate::UpstreamChanged(listed) => {
+            hub.change(|view, now| view.set_upstream(listed, now))
+        }
+        StoreUpdate::UpstreamRemoved(name) => {
+            hub.change(|view, now| view.entry_removed(&name, now))
+        }
+        StoreUpdate::CompleteUpTo(revision) => hub.change(|view, _| view.complete_up_to(revision)),
+        StoreUpdate::EvacuatedZones(all) => hub.change(|view, now| view.evacuate(&all, now)),
+        StoreUpdate::EvacuationOrders { orders, revision } => hub.change(|view, now| {
+            let evacuated = view.evacuated().with_orders(&orders, revision);
             view.evacuate(&evacuated, now);
         }),
-        News::Rollouts(all, revision) => rollouts::hear_all(hub, &all, revision),
-        News::Rollout(entry) => rollouts::hear_store(hub, &entry),
-        News::BadRollout { service, fault } => {
+        StoreUpdate::AllRollouts(all, revision) => rollouts::apply_list(hub, &all, revision),
+        StoreUpdate::RolloutChanged(entry) => rollouts::apply_entry(hub, &entry),
+        StoreUpdate::InvalidRollout { service, fault } => {
             warn!(hub.log(), "order of a roll-out refused";
                 "service" => service.as_ref().map(|s| s.as_str()), "fault" => fault);
             hub.metrics().rollout_refused();
         }
-        News::BadEntry { name, fault } => invalid_entry(hub, name.as_ref(), &fault),
-        News::InEra(era) => hub.change(|view, now| view.in_era(era, now)),
-        News::Lost(cause) => {
+        StoreUpdate::InvalidUpstreamEntry { name, fault } => {
+            invalid_entry(hub, name.as_ref(), &fault)
+        }
+        StoreUpdate::StoreEra(era) => hub.change(|view, now| view.enter_era(era, now)),
+        StoreUpdate::Unavailable(cause) => {
             if hub.read(View::reaches_store) {
                 warn!(hub.log(), "store lost"; "cause" => cause);
                 hub.metrics().store_lost();
             }
             hub.change(|view, _| view.store_lost());
         }
-        News::LeftToOthers => hub.change(|view, _| view.store_left_to_others()),
-        News::Regained => {
+        StoreUpdate::WatchStopped => hub.change(|view, _| view.store_left_to_others()),
+        StoreUpdate::Available => {
             if !hub.read(View::reaches_store) {
                 info!(hub.log(), "store reached");
             }
@@ -68,7 +74,8 @@
 /// Records an entry of the store that can't be parsed, and why. Logs it unless that is known
 /// already.
 fn invalid_entry(hub: &Hub, name: Option<&UpstreamName>, fault: &str) {
-    let is_new = name.is_none_or(|name| hub.change(|view, now| view.unreadable(name, fault, now)));
+    let is_new =
+        name.is_none_or(|name| hub.change(|view, now| view.mark_unreadable(name, fault, now)));
     if is_new {
         warn!(hub.log(), "entry refused"; "name" => name.map(|n| n.as_str()), "fault" => fault);
         hub.metrics().entry_refused();
@@ -79,17 +86,35 @@
 pub fn apply_message(hub: &Hub, message: Message, sender: IpAddr) {
     let now = hub.now();
     match message {
-        Message::Placed { upstream, request, prompt, unread, copied, workspace, sender: by } => {
+        Message::Placed {
+            upstream,
+            request,
+            prompt,
+            prefill_tokens,
+            copied_tokens,
+            workspace,
+            sender: by,
+        } => {
             let prompt = Prompt::from(&prompt);
             let sender = Some(by.unwrap_or(sender));
-            let placement =
-                Placement { request, prompt: &prompt, unread, copied, sender, decided: None };
+            let placement = Placement {
+                request,
+                prompt: &prompt,
+                prefill_tokens,
+                copied_tokens,
+                sender,
+                decided_by: None,
+            };
             hub.fleet(|fleet| fleet.place(&upstream, placement, now));
             let is_engine = hub.read(|view| view.fleet().is_engine(&upstream));
             if !is_engine && let Some(workspace) = workspace {
                 hub.plain_shares(|shares| {
-                    let charge = shares.add(&workspace, Tokens::begun(plain::CHARGE), now);
-                    shares.keep(request, charge);
+                    let charge = shares.add_remote(
+                        &workspace,
+                        TokenCounts::admitted(plain::REQUEST_CHARGE),
+                        now,
+                    );
+                    shares.remember(request, charge);
                 });
             } else if let Some(workspace) = workspace {
                 let is_owner = is_owner_of(hub, &upstream);
@@ -99,49 +124,55 @@
             }
         }
         Message::Refused { workspace, tokens } => {
-            hub.shares(|shares| _ = shares.add(&workspace, Tokens::refused(tokens), now));
+            hub.shares(|shares| {
+                _ = shares.add_remote(&workspace, TokenCounts::refused(tokens), now)
+            });
         }
-        Message::First { upstream, request, took_ms } => {
+        Message::FirstToken { upstream, request, took_ms } => {
             let took = Duration::from_millis(took_ms.into());
-            hub.fleet(|fleet| fleet.first(&upstream, request, Some(took), now));
+            hub.fleet(|fleet| fleet.record_first_token(&upstream, request, Some(took), now));
         }
         Message::Ended { upstream, request } => {
-            hub.fleet(|fleet| fleet.end(&upstream, request));
+            hub.fleet(|fleet| fleet.remove_request(&upstream, request));
         }
         Message::Withdrawn { request } => hub.withdraw(request),
         Message::Unreachable { upstream } => {
-            if hub.fleet(|fleet| fleet.doubt(&upstream, false, now)) {
+            if hub.fleet(|fleet| fleet.mark_unverified(&upstream, false, now)) {
                 info!(hub.log(), "upstream reported unreachable by another box";
                     "name" => upstream.as_str());
-                hub.look();
+                hub.request_probe();
             }
         }
         Message::Leaving { upstream } => {
-            hub.change(|view, now| view.told_leaving(&upstream, now));
+            hub.change(|view, now| view.reported_leaving(&upstream, now));
+        }
+        Message::DrainNotice(draining) => notices::receive(hub, &draining, sender),
+        Message::Listed(listed) => hub.change(|view, now| view.reported_listed(listed, now)),
+        Message::Gone { upstream } => hub.change(|view, now| view.reported_gone(&upstream, now)),
+        Message::PlacementResponse(answer) => {
+            engine_placement::handle_response(hub, answer, sender)
         }
-        Message::Draining(draining) => notices::receive(hub, &draining, sender),
-        Message::Listed(listed) => hub.change(|view, now| view.told_listed(listed, now)),
-        Message::Gone { upstream } => hub.change(|view, now| view.told_gone(&upstream, now)),
-        Message::Answer(answer) => asking::answered(hub, answer, sender),
-        Message::Used(all) => hub.shares(|shares| {
+        Message::ShareUsage(all) => hub.shares(|shares| {
             for used in &all {
-                shares.add(&used.workspace, used.tokens, now);
+                shares.add_remote(&used.workspace, used.tokens, now);
             }
         }),
-        Message::Observed { service, target, all } => {
-            hub.rollouts().observe(&service, &target, &all);
+        Message::ResponseReports { service, target, all } => {
+            hub.rollouts().add_reports(&service, &target, &all);
         }
-        Message::Suspects(all) => suspects::hear(hub, &all),
-        Message::Cleared { content } => suspects::cleared(hub, &content),
+        Message::Suspects(all) => suspects::merge_reports(hub, &all),
+        Message::SuspectCleared { fingerprint } => suspects::clear(hub, &fingerprint),
         // Handled by `Peers`.
-        Message::Beat(_) | Message::Ask(_) | Message::AskPlain(_) => {}
+        Message::Heartbeat(_)
+        | Message::PlacementRequest(_)
+        | Message::PlainPlacementRequest(_) => {}
     }
 }
 
 /// Whether this box owns an engine; `None` while engines have no owners.
 fn is_owner_of(hub: &Hub, upstream: &UpstreamName) -> Option<bool> {
-    let owned = hub.peers().owners().of_hash(upstream::hash(upstream));
-    owned.map(|owned| owned.owner == hub.peers().me())
+    let owned = hub.peers().owners().owners_of_hash(upstream::name_hash(upstream));
+    owned.map(|owned| owned.owner == hub.peers().own_ip())
 }
 
 /// Adds the tokens of a request to its workspace's share. The sender placed the request by itself
@@ -159,7 +190,7 @@
         Some(true) => shares.begin(workspace, tokens, now),
         // Reported by the owner.
         Some(false) => return,
-        None => shares.add(workspace, Tokens::begun(tokens), now),
+        None => shares.add_remote(workspace, TokenCounts::admitted(tokens), now),
     };
-    shares.keep(request, charge);
+    shares.remember(request, charge);
 }
--- a/src/proxy/stream_relay.rs
+++ b/src/proxy/stream_relay.rs
@@ -20,13 +20,13 @@
 use slog::info;
 use tokio::time::Sleep;
 
-use crate::proxy::placed::Placed;
+use crate::proxy::placed_request::PlacedRequest;
 use crate::proxy::request;
 use crate::proxy::request::RequestContext;
 use crate::proxy::request::UpstreamResponse;
 use crate::proxy::response_body::Body;
 use crate::proxy::response_body::EventSplitter;
-use crate::proxy::table::Repeat;
+use crate::proxy::routing_table::Repeat;
 use crate::proxy::upstream_connections;
 use crate::proxy::upstream_connections::UpstreamBody;
 use crate::util;
@@ -59,7 +59,7 @@
 struct Source {
     body: UpstreamBody,
     headers: HeaderMap,
-    placed: Placed,
+    placed: PlacedRequest,
 }
 
 /// Where the next chunk comes from.
@@ -95,7 +95,7 @@
 /// Responds to the caller with the stream that begins with `upstream_response`.
 pub fn start(ctx: RequestContext, upstream_response: UpstreamResponse) -> Response<Body> {
     let status = upstream_response.resp.status();
-    let headers = ctx.hub.dialect().incoming(upstream_response.resp.headers());
+    let headers = ctx.hub.dialect().caller_headers(upstream_response.resp.headers());
     let relay = StreamRelay {
         timed_out: ctx.hub.clock().clone().sleep_until(ctx.deadline).boxed(),
         ctx: Some(Box::new(ctx)),
@@ -219,7 +219,7 @@
         }
         self.has_begun = true;
         self.chunks += 1;
-        if let Some(first) = source.placed.first() {
+        if let Some(first) = source.placed.record_first_token() {
             ctx.first_token.get_or_insert(first);
         }
         if ctx.route.repeat != Repeat::AfterEvent {
@@ -233,7 +233,7 @@
         if let State::Relaying(source) = std::mem::replace(&mut self.state, State::Ended) {
             let Source { body, headers, placed } = *source;
             body.keep(&headers);
-            placed.paced(self.chunks);
+            placed.record_pace(self.chunks);
             placed.close(None);
             self.ctx.iter().for_each(|ctx| ctx.record_success());
         }
--- a/src/proxy/upstream_connections.rs
+++ b/src/proxy/upstream_connections.rs
@@ -32,7 +32,7 @@
 use tokio::task::AbortHandle;
 
 use crate::clock::Clock;
-use crate::proxy::notices::Withheld;
+use crate::proxy::notices::WithholdReason;
 use crate::util;
 
 /// Timeout for connecting: several round trips within a region, but less than the retransmission of
@@ -106,7 +106,7 @@
     Restarted,
     /// The upstream gets no further requests.
     #[error("withheld: {}", .0.code())]
-    Withheld(Withheld),
+    Withheld(WithholdReason),
 }
 
 impl Error {
@@ -137,7 +137,7 @@
     /// Connections that the upstream accepts from all boxes together.
     pub connections: u32,
     /// Maximum number of requests that its owner places there at a time.
-    pub placed_max: u32,
+    pub admission_limit: u32,
     /// Boxes that are alive or were lately.
     pub boxes: usize,
     /// A uniform number of this box for the upstream, which decides whether it gets one of too few
@@ -153,7 +153,7 @@
     pub fn new(inputs: QuotaInputs, is_placed: bool) -> ConnectionQuota {
         let connections = f64::from(inputs.connections);
         let placed = (connections * OWNER_PLACED_FRACTION / 2.0) as u32;
-        let placed = placed.min(inputs.placed_max);
+        let placed = placed.min(inputs.admission_limit);
         let shared = (connections * KNOWN_BOXES_FRACTION - 2.0 * f64::from(placed)).max(0.0);
         let boxes = inputs.boxes.max(BOXES_MIN) as f64;
         let kept = if boxes <= shared {
@@ -404,7 +404,7 @@
         quota: ConnectionQuota,
         is_once_only: bool,
         req: Request<Full<Bytes>>,
-        withheld: impl FnOnce() -> Option<Withheld>,
+        withheld: impl FnOnce() -> Option<WithholdReason>,
     ) -> Result<Response<UpstreamBody>, Error> {
         let mut conn = match self.take_idle(addr, is_once_only) {
             Some(conn) => conn,
--- /dev/null
+++ b/src/proxy/upstream_selection.rs
@@ -0,0 +1,205 @@
+//! Selects an upstream for a request: by the box that tracks the service's upstreams or, if none
+//! responds, by this box alone.
+
+use std::time::Duration;
+
+use slog::info;
+use xxhash_rust::xxh3::xxh3_64;
+
+use crate::fleet::rollout::VersionFilter;
+use crate::names::UpstreamName;
+use crate::names::WorkspaceName;
+use crate::placement::admit::Denial;
+use crate::placement::admit::PlacementQuery;
+use crate::placement::admit::Purpose;
+use crate::placement::choice::Choice;
+use crate::placement::choice::ChoiceError;
+use crate::placement::choice::SelectionCriteria;
+use crate::placement::cold::Role;
+use crate::placement::plain::PlainQuery;
+use crate::proxy::adapter::Prompt;
+use crate::proxy::engine_placement;
+use crate::proxy::engine_placement::PlacementDecision;
+use crate::proxy::placed_request::PlacedRequest;
+use crate::proxy::plain_placement;
+use crate::proxy::refusal::Refusal;
+use crate::proxy::request::RequestContext;
+
+/// Retry time for callers when no upstream is available; listings reappear within seconds.
+pub(super) const NO_UPSTREAM_RETRY: Duration = Duration::from_millis(500);
+
+/// Shortest retry time for callers after an overload.
+pub(super) const OVERLOAD_RETRY_MIN: Duration = Duration::from_millis(100);
+
+impl RequestContext {
+    /// Selects an upstream and records the request there, or says why it can't be served in time.
+    pub async fn place(&mut self) -> Result<(Choice, PlacedRequest), Refusal> {
+        let attempt = format!("{}/{}", self.head.id, self.tried.len());
+        let request = xxh3_64(attempt.as_bytes());
+        let side = self.side();
+        let mut decision = self.decide(request, side).await;
+        let target_denied = side == VersionFilter::Target && decision.result.is_err();
+        if target_denied && self.response_version.is_none() && self.may_fall_back() {
+            decision = self.decide(request, VersionFilter::Others).await;
+        }
+        match &decision.result {
+            Ok(choice) => self.log_placed(choice, &decision),
+            Err(denial) => self.log_denial(denial, &decision),
+        }
+        let choice = match decision.result {
+            Ok(choice) => choice,
+            Err(denial) => return Err(self.refusal(denial.cause, denial.wait_max)),
+        };
+        let placed = PlacedRequest::new(self, &choice, decision.request);
+        Ok((choice, placed))
+    }
+
+    async fn decide(&self, request: u64, side: VersionFilter) -> PlacementDecision {
+        match &self.head.prompt {
+            Some(prompt) => self.place_prompt(prompt, request, side).await,
+            None => self.place_plain(request, side).await,
+        }
+    }
+
+    /// The versions that may serve the request. A response that has begun is resumed by the version
+    /// that began it.
+    fn side(&self) -> VersionFilter {
+        let (rollouts, now) = (self.hub.rollouts(), self.hub.now());
+        match &self.response_version {
+            Some(version) => rollouts.version_filter_for(&self.service, version, now),
+            None => rollouts.version_filter(&self.service, &self.head.id, now),
+        }
+    }
+
+    fn may_fall_back(&self) -> bool {
+        self.hub.rollouts().may_fall_back(&self.service)
+    }
+
+    async fn place_prompt(
+        &self,
+        prompt: &Prompt,
+        request: u64,
+        side: VersionFilter,
+    ) -> PlacementDecision {
+        let excluded = self.excluded();
+        let query = PlacementQuery {
+            request,
+            service: &self.service,
+            prompt,
+            workspace: self.workspace.as_ref(),
+            excluded: &excluded,
+            target_latency: self.route.aim,
+            waited: self.hub.now().saturating_sub(self.arrived),
+            group: None,
+            side,
+            zone: None,
+            sender: None,
+            source: None,
+            purpose: Purpose::PlaceIfCached,
+            is_last_group: false,
+            role: Role::Unassigned,
+        };
+        engine_placement::place(&self.hub, query).await
+    }
+
+    async fn place_plain(&self, request: u64, side: VersionFilter) -> PlacementDecision {
+        let now = self.hub.now();
+        let resting = self.hub.read(|view| view.fleet().unavailable(&self.service, now));
+        let excluded: Vec<UpstreamName> = self.excluded().into_iter().chain(resting).collect();
+        let query = PlainQuery {
+            request,
+            service: &self.service,
+            workspace: self.workspace.as_ref(),
+            excluded: &excluded,
+            side,
+            target_latency: self.route.aim,
+            waited: self.hub.now().saturating_sub(self.arrived),
+            zone: self.hub.peers().zone(),
+            sender: None,
+        };
+        match plain_placement::place(&self.hub, query).await {
+            Some(decision) if !decision.has_no_upstream() => decision,
+            // Neither owner nor standby responds, or all that are left are unavailable.
+            _ => self.choose_uncounted(request, side),
+        }
+    }
+
+    /// Chooses any upstream of a plain service, without counting the request anywhere.
+    fn choose_uncounted(&self, request: u64, side: VersionFilter) -> PlacementDecision {
+        let excluded = self.excluded();
+        let any = SelectionCriteria::any(&self.service, None, &excluded, Duration::MAX);
+        let criteria = SelectionCriteria { side, ..any };
+        let denial = |cause| Denial {
+            cause,
+            share_used: 0.0,
+            wait_max: Duration::ZERO,
+            source: None,
+            may_try_other_groups: false,
+        };
+        let result = self.hub.choose(criteria).map_err(denial);
+        PlacementDecision {
+            result,
+            decided_by: self.hub.peers().own_ip(),
+            role: Role::Unassigned,
+            request,
+        }
+    }
+
+    /// Upstreams that must not be chosen: already tried, or this box backs off from them.
+    fn excluded(&self) -> Vec<UpstreamName> {
+        let now = self.hub.now();
+        let backing_off = self.hub.read(|view| view.fleet().backing_off(&self.service, now));
+        self.tried.iter().cloned().chain(backing_off).collect()
+    }
+
+    /// Retry time for the caller if this box backs off from all upstreams.
+    pub(super) fn min_backoff_remaining(&self) -> Option<Duration> {
+        let now = self.hub.now();
+        let left = self.hub.read(|view| view.fleet().min_backoff_remaining(&self.service, now))?;
+        Some(left.max(OVERLOAD_RETRY_MIN))
+    }
+
+    /// The refusal of a request that isn't placed and could have waited for up to `wait_max`.
+    fn refusal(&self, cause: ChoiceError, wait_max: Duration) -> Refusal {
+        match cause {
+            ChoiceError::NoUpstream => {
+                let retry_after = self.min_backoff_remaining().unwrap_or(NO_UPSTREAM_RETRY);
+                Refusal::NoUpstream { retry_after }
+            }
+            ChoiceError::Full | ChoiceError::NotCached | ChoiceError::LookupOnly => {
+                Refusal::Overloaded { retry_after: NO_UPSTREAM_RETRY }
+            }
+            ChoiceError::Busy { wait } => {
+                let excess = wait.saturating_sub(wait_max);
+                Refusal::Overloaded { retry_after: excess.max(OVERLOAD_RETRY_MIN) }
+            }
+        }
+    }
+
+    fn log_denial(&self, denial: &Denial, decision: &PlacementDecision) {
+        let wait = match denial.cause {
+            ChoiceError::Busy { wait } => Some(wait.as_millis() as u64),
+            _ => None,
+        };
+        info!(self.hub.log(), "not placed"; "id" => &self.head.id, "route" => &self.route.name,
+            "service" => self.service.as_str(), "cause" => denial.cause.code(),
+            "workspace" => self.workspace.as_ref().map(WorkspaceName::as_str),
+            "share_used" => (denial.share_used * 100.0).round() / 100.0,
+            "wait_ms" => wait, "wait_max_ms" => denial.wait_max.as_millis() as u64,
+            "by" => %decision.decided_by, "as" => decision.role.code(),
+            "tried" => self.tried.len(), "version" => self.hub.version());
+    }
+
+    fn log_placed(&self, choice: &Choice, decision: &PlacementDecision) {
+        info!(self.hub.log(), "placed"; "id" => &self.head.id, "route" => &self.route.name,
+            "workspace" => self.workspace.as_ref().map(WorkspaceName::as_str),
+            "upstream" => choice.upstream.as_str(), "prompt" => self.head.prompt.as_ref().map_or(0, |p| p.tokens),
+            "own" => self.head.prompt.as_ref().and_then(|p| p.parts.last()).map_or(0, |p| p.tokens),
+            "unread" => choice.prefill_tokens,
+            "copied" => choice.copied_tokens, "running" => choice.running,
+            "running_tokens" => choice.running_tokens, "wait_ms" => choice.wait.as_millis() as u64,
+            "expected_ms" => choice.first_token.as_millis() as u64,
+            "by" => %decision.decided_by, "as" => decision.role.code(),
+            "version" => self.hub.version(), "try" => self.tried.len() + 1);
+    }
+}
--- a/src/proxy/view.rs
+++ b/src/proxy/view.rs
@@ -11,20 +11,20 @@
 use serde::Serialize;
 
 use crate::fleet::draining;
-use crate::fleet::draining::Draining;
-use crate::fleet::evacuated::Evacuated;
-use crate::fleet::owners::Group;
+use crate::fleet::draining::DrainNotice;
+use crate::fleet::evacuated::EvacuatedZones;
+use crate::fleet::owners::EngineGroup;
 use crate::fleet::revision::Revision;
 use crate::names::UpstreamName;
 use crate::names::ZoneName;
-use crate::placement::fleet::Fleet;
-use crate::placement::fleet::learned::Learned;
-use crate::proxy::dialect::Listed;
+use crate::placement::registry::UpstreamRegistry;
+use crate::placement::registry::learned::LearnedReport;
+use crate::proxy::adapter::UpstreamListing;
 use crate::proxy::digests;
 use crate::proxy::digests::Digests;
 use crate::proxy::history::History;
-use crate::proxy::table::EngineLimits;
-use crate::proxy::table::Table;
+use crate::proxy::routing_table::EngineLimits;
+use crate::proxy::routing_table::RoutingTable;
 
 /// Entries that lapse while the store is away come back by themselves within about two seconds of
 /// its return; one that is missing after this is gone.
@@ -46,9 +46,9 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Snapshot {
     /// The configuration in force; nothing if whoever asks has it.
-    pub table: Option<Arc<Table>>,
+    pub table: Option<Arc<RoutingTable>>,
     /// All upstreams in use or leaving that are in these buckets.
-    pub upstreams: Vec<Listed>,
+    pub upstreams: Vec<UpstreamListing>,
     /// The buckets of upstreams that are told of; all if nothing is given.
     pub buckets: Option<BTreeSet<u8>>,
     /// Others that are gone.
@@ -56,7 +56,8 @@
     /// The revision of the store up to which the sender's list is whole.
     pub revision: Revision,
     /// Whether the sender sees the store, so that there are no others.
-    pub is_sure: bool,
+    #[serde(rename = "is_sure")]
+    pub is_complete: bool,
 }
 
 /// A change of what is believed, for the log and for the other boxes.
@@ -67,19 +68,19 @@
     /// All upstreams are known for the first time, so many. Others have them, or ask for them.
     Listed(usize),
     /// An upstream is new or has changed.
-    Upstream(Listed),
+    Upstream(UpstreamListing),
     /// An upstream leaves: it gets no new work.
     Leaving(UpstreamName),
     /// Another box says that an upstream leaves or is gone.
-    Told(UpstreamName),
+    ReportedLeaving(UpstreamName),
     /// An upstream is gone.
     Gone(UpstreamName),
     /// An upstream's entry is missing; it is kept until it is sure to be gone.
     Missing(UpstreamName),
     /// Other zones are evacuated than before.
-    Evacuated(Evacuated),
+    Evacuated(EvacuatedZones),
     /// The store has come back from an older copy, and counts this era.
-    Restored(u64),
+    StoreRestored(u64),
     /// An upstream of this name and address has started anew, by its own clock at this time in milliseconds since
     /// 1970.
     Restarted(UpstreamName, SocketAddr, u64),
@@ -91,27 +92,27 @@
     /// When that was known.
     at: Duration,
     /// Which start of it.
-    born: Option<u64>,
+    started_at_ms: Option<u64>,
 }
 
 /// What this box knows.
 #[derive(Debug)]
 pub struct View {
-    table: Option<Arc<Table>>,
-    fleet: Fleet,
+    table: Option<Arc<RoutingTable>>,
+    fleet: UpstreamRegistry,
     history: History,
     /// Upstreams whose entries may have lapsed while the store was away.
     missing: BTreeSet<UpstreamName>,
-    evacuated: Evacuated,
+    evacuated: EvacuatedZones,
     /// Zones whose evacuation an older copy of the store lacks, until when they are kept so all the same.
     held_zones: BTreeMap<ZoneName, Duration>,
     /// Upstreams that have said themselves that they are draining.
-    draining: draining::Marks,
+    draining: draining::DrainNotices,
     /// Upstreams that are gone. Another start of one may have its name.
     dropped: BTreeMap<UpstreamName, Dropped>,
     /// Upstreams that are listed though there is reason to believe that they are gone or draining, and when the list is
     /// believed.
-    returned: BTreeMap<UpstreamName, (Listed, Duration)>,
+    returned: BTreeMap<UpstreamName, (UpstreamListing, Duration)>,
     /// Entries that can't be read, and why.
     unreadable: BTreeMap<UpstreamName, String>,
     /// The store's era, if this box has heard it from the store itself.
@@ -129,15 +130,15 @@
 
 impl View {
     /// Nothing is known yet.
-    pub fn new(fleet: Fleet) -> View {
+    pub fn new(fleet: UpstreamRegistry) -> View {
         View {
             table: None,
             fleet,
             history: History::default(),
             missing: BTreeSet::new(),
-            evacuated: Evacuated::default(),
+            evacuated: EvacuatedZones::default(),
             held_zones: BTreeMap::new(),
-            draining: draining::Marks::default(),
+            draining: draining::DrainNotices::default(),
             dropped: BTreeMap::new(),
             returned: BTreeMap::new(),
             unreadable: BTreeMap::new(),
@@ -152,7 +153,7 @@
     }
 
     /// The configuration in force.
-    pub fn table(&self) -> Option<&Arc<Table>> {
+    pub fn table(&self) -> Option<&Arc<RoutingTable>> {
         self.table.as_ref()
     }
 
@@ -162,24 +163,24 @@
     }
 
     /// The upstreams.
-    pub fn fleet(&self) -> &Fleet {
+    pub fn fleet(&self) -> &UpstreamRegistry {
         &self.fleet
     }
 
     /// The upstreams, to note what is sent there.
-    pub fn fleet_mut(&mut self) -> &mut Fleet {
+    pub fn fleet_mut(&mut self) -> &mut UpstreamRegistry {
         &mut self.fleet
     }
 
     /// The zones whose engines get nothing.
-    pub fn evacuated(&self) -> &Evacuated {
+    pub fn evacuated(&self) -> &EvacuatedZones {
         &self.evacuated
     }
 
     /// Takes over which zones are evacuated, if that is newer than what is known. Engines of a zone that is
     /// taken back may have turned cold.
-    pub fn evacuate(&mut self, evacuated: &Evacuated, now: Duration) {
-        let Evacuated { revision, zones: before } = self.evacuated.clone();
+    pub fn evacuate(&mut self, evacuated: &EvacuatedZones, now: Duration) {
+        let EvacuatedZones { revision, zones: before } = self.evacuated.clone();
         if !self.evacuated.merge(evacuated) {
             return;
         }
@@ -189,10 +190,10 @@
             if is_restored {
                 self.held_zones.insert(zone.clone(), now + LAPSE_GRACE);
             } else {
-                self.fleet.chill_zone(zone, now);
+                self.fleet.mark_zone_cold(zone, now);
             }
         }
-        self.fleet.close(self.closed());
+        self.fleet.set_closed_zones(self.closed());
         self.changes.push(Change::Evacuated(self.evacuated.clone()));
     }
 
@@ -203,7 +204,7 @@
 
     /// The store counts this era in what it tells from now on. If that is a new one, it has come back from an older
     /// copy: what is missing there isn't gone, and what is there may be.
-    pub fn in_era(&mut self, era: u64, now: Duration) {
+    pub fn enter_era(&mut self, era: u64, now: Duration) {
         let known = self.era.max(self.revision().era);
         self.era = self.era.max(era);
         if era <= known || !self.listed_once {
@@ -211,29 +212,29 @@
         }
         self.grace_until = self.grace_until.max(now + LAPSE_GRACE);
         self.returns_until = now + RETURN_GRACE;
-        self.changes.push(Change::Restored(era));
+        self.changes.push(Change::StoreRestored(era));
     }
 
     /// An upstream's entry can't be read, so it gets nothing. True where that is news.
-    pub fn unreadable(&mut self, name: &UpstreamName, fault: &str, now: Duration) -> bool {
+    pub fn mark_unreadable(&mut self, name: &UpstreamName, fault: &str, now: Duration) -> bool {
         if self.unreadable.get(name).is_some_and(|known| known == fault) {
             return false;
         }
         self.unreadable.insert(name.clone(), fault.to_owned());
         self.returned.remove(name);
         if self.fleet.get(name).is_some() {
-            self.drop_upstream(name, now);
+            self.remove_upstream(name, now);
         }
         true
     }
 
     /// Whether requests can be served: there are a configuration and upstreams.
     pub fn is_ready(&self) -> bool {
-        self.table.is_some() && self.has_list()
+        self.table.is_some() && self.has_upstream_list()
     }
 
     /// Whether all upstreams were listed once.
-    pub fn has_list(&self) -> bool {
+    pub fn has_upstream_list(&self) -> bool {
         self.listed_once
     }
 
@@ -251,16 +252,16 @@
     pub fn snapshot(&self, now: Duration) -> Snapshot {
         Snapshot {
             table: self.table.clone(),
-            upstreams: self.fleet.told(now),
+            upstreams: self.fleet.listings(now),
             buckets: None,
             gone: Vec::new(),
             revision: self.revision(),
-            is_sure: self.is_sure(),
+            is_complete: self.is_complete(),
         }
     }
 
     /// Whether there are no other upstreams than those that are listed.
-    fn is_sure(&self) -> bool {
+    fn is_complete(&self) -> bool {
         // The configuration may come before the list, and an entry that is missing may be gone.
         self.reached && self.listed_once && self.missing.is_empty()
     }
@@ -271,24 +272,30 @@
     }
 
     /// Notes that the store has told all up to a revision.
-    pub fn up_to(&mut self, revision: Revision) {
-        self.history.up_to(revision);
+    pub fn complete_up_to(&mut self, revision: Revision) {
+        self.history.complete_up_to(revision);
     }
 
     /// What another box may take over that has a configuration of this version and all changes of upstreams
     /// up to a revision; nothing if that is too long ago.
-    pub fn since(&self, version: u64, revision: Revision, now: Duration) -> Option<Snapshot> {
+    pub fn changes_since(
+        &self,
+        version: u64,
+        revision: Revision,
+        now: Duration,
+    ) -> Option<Snapshot> {
         // Nobody knows of an entry that is missing whether it is gone.
-        let changed = self.history.since(revision)?.filter(|name| !self.missing.contains(*name));
+        let changed =
+            self.history.changes_since(revision)?.filter(|name| !self.missing.contains(*name));
         let (kept, gone): (Vec<_>, Vec<_>) =
             changed.partition(|name| self.fleet.get(name).is_some());
         Some(Snapshot {
             table: self.newer_table(version),
-            upstreams: kept.iter().filter_map(|name| self.fleet.told_of(name, now)).collect(),
+            upstreams: kept.iter().filter_map(|name| self.fleet.listing(name, now)).collect(),
             buckets: Some(BTreeSet::new()),
             gone: gone.into_iter().cloned().collect(),
             revision: self.revision(),
-            is_sure: self.is_sure(),
+            is_complete: self.is_complete(),
         })
     }
 
@@ -301,36 +308,36 @@
         Snapshot { table: self.newer_table(version), buckets: Some(buckets), ..all }
     }
 
-    fn newer_table(&self, version: u64) -> Option<Arc<Table>> {
+    fn newer_table(&self, version: u64) -> Option<Arc<RoutingTable>> {
         self.table.clone().filter(|t| version < t.version)
     }
 
     /// By what another box finds out what this one misses.
     pub fn digests(&self, now: Duration) -> Digests {
-        Digests::of(self.fleet.told(now).iter())
+        Digests::of(self.fleet.listings(now).iter())
     }
 
     /// Takes over a configuration, unless it is no newer than the one in force.
-    pub fn configure(&mut self, table: Arc<Table>, now: Duration) {
+    pub fn configure(&mut self, table: Arc<RoutingTable>, now: Duration) {
         if table.version <= self.version() {
             return;
         }
         self.changes.push(Change::Configured(table.version));
         self.table = Some(table);
-        let known: Vec<Listed> = self.fleet.listed().cloned().collect();
+        let known: Vec<UpstreamListing> = self.fleet.listed().cloned().collect();
         for listed in known {
             let limits = self.engine_limits(&listed);
             let is_new = limits.is_some() && !self.fleet.is_engine(&listed.name);
             let (name, cold_for) = (listed.name.clone(), listed.cold_for);
-            self.fleet.set(listed, limits);
+            self.fleet.upsert(listed, limits);
             if is_new {
-                self.fleet.chill(&name, cold_for, now);
+                self.fleet.mark_cold(&name, cold_for, now);
             }
         }
     }
 
     /// Takes over the store's whole list of upstreams.
-    pub fn list(&mut self, all: Vec<Listed>, now: Duration) {
+    pub fn set_upstreams(&mut self, all: Vec<UpstreamListing>, now: Duration) {
         let names: FxHashSet<&UpstreamName> = all.iter().map(|l| &l.name).collect();
         let absent: Vec<UpstreamName> = self
             .fleet
@@ -343,17 +350,17 @@
             if is_gone && now < self.returns_until {
                 self.returned.insert(listed.name.clone(), (listed, now + RETURN_GRACE));
             } else {
-                self.set(listed, now);
+                self.set_upstream(listed, now);
             }
         }
         for name in absent {
-            self.gone(&name, now);
+            self.entry_removed(&name, now);
         }
-        self.has_listed();
+        self.mark_listed();
     }
 
     /// Notes that all upstreams are known.
-    fn has_listed(&mut self) {
+    fn mark_listed(&mut self) {
         if self.listed_once {
             return;
         }
@@ -363,7 +370,7 @@
     }
 
     /// Takes over one upstream.
-    pub fn set(&mut self, mut listed: Listed, now: Duration) {
+    pub fn set_upstream(&mut self, mut listed: UpstreamListing, now: Duration) {
         if self.is_older_start(&listed) {
             return;
         }
@@ -373,7 +380,7 @@
         self.returned.remove(&listed.name);
         self.unreadable.remove(&listed.name);
         let has_drained = self.draining.get(&listed.name).is_some();
-        let drains = self.draining.covers(&listed.name, listed.born, now);
+        let drains = self.draining.is_draining(&listed.name, listed.started_at_ms, now);
         let is_other_start = is_restarted || has_drained && !drains;
         if drains {
             if !listed.leaving {
@@ -391,8 +398,9 @@
                 self.restart(&listed);
             }
         }
-        let is_known = self.fleet.get(&listed.name).is_some_and(|known| known.is_same(&listed));
-        let is_colder = self.fleet.chill(&listed.name, listed.cold_for, now);
+        let is_known =
+            self.fleet.get(&listed.name).is_some_and(|known| known.eq_ignoring_cold_for(&listed));
+        let is_colder = self.fleet.mark_cold(&listed.name, listed.cold_for, now);
         if is_known && !is_colder {
             return;
         }
@@ -405,38 +413,42 @@
         self.history.note(&listed.name, now);
         let limits = self.engine_limits(&listed);
         let (name, cold_for) = (listed.name.clone(), listed.cold_for);
-        self.fleet.set(listed, limits);
-        self.fleet.chill(&name, cold_for, now);
+        self.fleet.upsert(listed, limits);
+        self.fleet.mark_cold(&name, cold_for, now);
     }
 
     /// The start of an upstream that this box knows or knew.
-    fn born(&self, name: &UpstreamName) -> Option<u64> {
-        let dropped = || self.dropped.get(name)?.born;
-        self.fleet.get(name).map_or_else(dropped, |known| known.born)
+    fn started_at_ms(&self, name: &UpstreamName) -> Option<u64> {
+        let dropped = || self.dropped.get(name)?.started_at_ms;
+        self.fleet.get(name).map_or_else(dropped, |known| known.started_at_ms)
     }
 
     /// Whether this is an earlier start of an upstream than the one that is known. By the clock of its machine: where
     /// that was set back before it started, it is believed once it says a later time or its entry was gone for as long
     /// as that is remembered.
-    fn is_older_start(&self, listed: &Listed) -> bool {
-        self.born(&listed.name).zip(listed.born).is_some_and(|(known, new)| new < known)
+    fn is_older_start(&self, listed: &UpstreamListing) -> bool {
+        self.started_at_ms(&listed.name)
+            .zip(listed.started_at_ms)
+            .is_some_and(|(known, new)| new < known)
     }
 
-    fn is_newer_start(&self, listed: &Listed) -> bool {
-        self.born(&listed.name).zip(listed.born).is_some_and(|(known, new)| known < new)
+    fn is_newer_start(&self, listed: &UpstreamListing) -> bool {
+        self.started_at_ms(&listed.name)
+            .zip(listed.started_at_ms)
+            .is_some_and(|(known, new)| known < new)
     }
 
     /// Forgets what was known of the start before: what it kept, what ran there, how it went.
-    fn restart(&mut self, listed: &Listed) {
+    fn restart(&mut self, listed: &UpstreamListing) {
         let Some(known) = self.fleet.get(&listed.name) else { return };
-        let (addr, born) = (known.addr, listed.born.unwrap_or_default());
-        self.changes.push(Change::Restarted(listed.name.clone(), addr, born));
+        let (addr, started_at_ms) = (known.addr, listed.started_at_ms.unwrap_or_default());
+        self.changes.push(Change::Restarted(listed.name.clone(), addr, started_at_ms));
         self.fleet.remove(&listed.name);
-        self.fleet.end_backoff(&listed.name);
+        self.fleet.remove_backoff(&listed.name);
     }
 
     /// An entry is gone. Near trouble with the store it may only have lapsed.
-    pub fn gone(&mut self, name: &UpstreamName, now: Duration) {
+    pub fn entry_removed(&mut self, name: &UpstreamName, now: Duration) {
         self.returned.remove(name);
         self.unreadable.remove(name);
         let may_return = !self.reached || now < self.grace_until;
@@ -447,13 +459,13 @@
             }
             return;
         }
-        self.drop_upstream(name, now);
+        self.remove_upstream(name, now);
     }
 
     /// Whether this box knows that an upstream must get no requests: it leaves or is gone, or its zone
     /// is evacuated. Another box that was cut off may still believe in it.
     pub fn is_barred(&self, name: &UpstreamName) -> bool {
-        let is_closed = |l: &Listed| {
+        let is_closed = |l: &UpstreamListing| {
             let zone = &l.zone;
             l.leaving || self.evacuated.zones.contains(zone) || self.held_zones.contains_key(zone)
         };
@@ -465,21 +477,21 @@
 
     /// Applies an upstream's notice that it is draining, read by this box or another one. True if other boxes may not have
     /// it: it is new, and the store doesn't list the same.
-    pub fn drain(&mut self, draining: &Draining, now: Duration) -> bool {
+    pub fn apply_draining(&mut self, draining: &DrainNotice, now: Duration) -> bool {
         let name = &draining.upstream;
         if !self.draining.add(draining, now) {
             return false;
         }
         if let Some(listed) = self.fleet.get(name).cloned() {
             // A newer incarnation may be listed by now.
-            if !self.draining.covers(name, listed.born, now) {
+            if !self.draining.is_draining(name, listed.started_at_ms, now) {
                 return false;
             }
             if listed.leaving {
                 return false;
             }
             self.reopen_later(&listed);
-            self.fleet.leave(name);
+            self.fleet.mark_leaving(name);
             // The store's listing will be no change then.
             self.history.note(name, now);
         }
@@ -487,49 +499,49 @@
     }
 
     /// Opens an upstream that drains later, if its listing turns out to be of a newer incarnation.
-    fn reopen_later(&mut self, listed: &Listed) {
-        if let Some(due) = self.draining.uncertain_until(&listed.name, listed.born) {
+    fn reopen_later(&mut self, listed: &UpstreamListing) {
+        if let Some(due) = self.draining.uncertain_until(&listed.name, listed.started_at_ms) {
             self.returned.insert(listed.name.clone(), (listed.clone(), due));
         }
     }
 
     /// Upstreams that have said themselves that they are draining.
-    pub fn draining(&self) -> &draining::Marks {
+    pub fn draining(&self) -> &draining::DrainNotices {
         &self.draining
     }
 
     /// What this box has learned of the engines, or of those of one group, for one that has just started.
-    pub fn learned(&self, group: Option<Group>) -> Learned {
-        let draining = self.draining.all().cloned().collect();
-        Learned { draining, ..self.fleet.learned(group) }
+    pub fn learned(&self, group: Option<EngineGroup>) -> LearnedReport {
+        let draining = self.draining.iter().cloned().collect();
+        LearnedReport { draining, ..self.fleet.learned(group) }
     }
 
     /// Another box, which sees the store, says that an upstream leaves. None ever comes back from
     /// that, so it is believed at once.
-    pub fn told_leaving(&mut self, name: &UpstreamName, now: Duration) {
+    pub fn reported_leaving(&mut self, name: &UpstreamName, now: Duration) {
         if self.fleet.is_open(name) {
-            self.fleet.leave(name);
+            self.fleet.mark_leaving(name);
             // The store's own word will be no news then.
             self.history.note(name, now);
-            self.changes.push(Change::Told(name.clone()));
+            self.changes.push(Change::ReportedLeaving(name.clone()));
         }
     }
 
     /// Another box, which sees the store, says that an upstream's entry is gone. It may only have
     /// lapsed, so that is believed only while this box doesn't see the store itself.
-    pub fn told_gone(&mut self, name: &UpstreamName, now: Duration) {
+    pub fn reported_gone(&mut self, name: &UpstreamName, now: Duration) {
         if !self.reached {
-            self.told_leaving(name, now);
+            self.reported_leaving(name, now);
             self.said_gone.insert(name.clone(), now);
         }
     }
 
     /// Another box, which sees the store, says that an upstream is new or has changed.
-    pub fn told_listed(&mut self, listed: Listed, now: Duration) {
+    pub fn reported_listed(&mut self, listed: UpstreamListing, now: Duration) {
         let is_leaving = self.fleet.get(&listed.name).is_some_and(|known| known.leaving);
         let is_known = is_leaving || self.dropped.contains_key(&listed.name);
         if !self.reached && (!is_known || self.is_newer_start(&listed)) {
-            self.set(listed, now);
+            self.set_upstream(listed, now);
         }
     }
 
@@ -539,7 +551,7 @@
     }
 
     /// Takes over what another box knows, while this one doesn't see the store.
-    pub fn take_over(&mut self, snapshot: Snapshot, now: Duration) {
+    pub fn apply_snapshot(&mut self, snapshot: Snapshot, now: Duration) {
         if let Some(table) = snapshot.table {
             self.configure(table, now);
         }
@@ -548,13 +560,13 @@
         }
         // Nothing differs from what was told one by one.
         let is_changes = snapshot.buckets.as_ref().is_some_and(BTreeSet::is_empty);
-        let is_same = is_changes && self.fleet.listed().next().is_some();
-        let is_useful = !snapshot.upstreams.is_empty() || is_same;
+        let eq_ignoring_cold_for = is_changes && self.fleet.listed().next().is_some();
+        let is_useful = !snapshot.upstreams.is_empty() || eq_ignoring_cold_for;
         // What it hasn't heard of yet isn't gone.
         if snapshot.revision < self.revision() {
             return;
         }
-        if snapshot.is_sure {
+        if snapshot.is_complete {
             let listed: BTreeSet<&UpstreamName> =
                 snapshot.upstreams.iter().map(|l| &l.name).collect();
             let buckets = snapshot.buckets.as_ref();
@@ -567,11 +579,11 @@
                 .iter()
                 .filter(|name| !listed.contains(name))
                 .chain(&snapshot.gone)
-                .for_each(|name| self.drop_upstream(name, now));
+                .for_each(|name| self.remove_upstream(name, now));
         }
         // What differs is asked for when all who see the store list it: one that is gone, or was only said to
         // be, had lapsed then.
-        let may_return = snapshot.is_sure && !is_changes;
+        let may_return = snapshot.is_complete && !is_changes;
         for listed in snapshot.upstreams {
             let is_gone = self.dropped.contains_key(&listed.name);
             let was_said_gone = self.said_gone.contains_key(&listed.name);
@@ -580,14 +592,14 @@
             let is_other = self.is_newer_start(&listed);
             let is_believed = !is_leaving && (may_return || !is_gone);
             if is_other || may_return && was_said_gone || is_believed {
-                self.set(listed, now);
+                self.set_upstream(listed, now);
             }
         }
-        if snapshot.is_sure {
-            self.history.up_to(snapshot.revision);
+        if snapshot.is_complete {
+            self.history.complete_up_to(snapshot.revision);
         }
         if is_useful {
-            self.has_listed();
+            self.mark_listed();
         }
     }
 
@@ -615,16 +627,16 @@
         self.fleet.tick(now);
         self.history.tick(now);
         self.dropped.retain(|_, dropped| now < dropped.at + DROPPED_KEPT);
-        self.draining.tick(now, |name| self.fleet.get(name).is_some());
+        self.draining.expire(now, |name| self.fleet.get(name).is_some());
         self.tick_restored(now);
         let View { fleet, dropped, history, .. } = self;
         self.said_gone.retain(|name, said| {
             let is_kept = now < *said + SAID_GONE_KEPT;
             if !is_kept {
-                let born = fleet.get(name).and_then(|known| known.born);
+                let started_at_ms = fleet.get(name).and_then(|known| known.started_at_ms);
                 fleet.remove(name);
                 history.note(name, now);
-                dropped.insert(name.clone(), Dropped { at: now, born });
+                dropped.insert(name.clone(), Dropped { at: now, started_at_ms });
             }
             is_kept
         });
@@ -632,31 +644,31 @@
             return;
         }
         for name in std::mem::take(&mut self.missing) {
-            self.drop_upstream(&name, now);
+            self.remove_upstream(&name, now);
         }
     }
 
     /// Believes what a copy of the store said, once what was written since would have been written again.
     fn tick_restored(&mut self, now: Duration) {
-        let is_due = |(_, due): &&(Listed, Duration)| *due <= now;
-        let returned: Vec<Listed> =
+        let is_due = |(_, due): &&(UpstreamListing, Duration)| *due <= now;
+        let returned: Vec<UpstreamListing> =
             self.returned.values().filter(is_due).map(|(listed, _)| listed.clone()).collect();
-        returned.into_iter().for_each(|listed| self.set(listed, now));
+        returned.into_iter().for_each(|listed| self.set_upstream(listed, now));
         let held = self.held_zones.iter().filter(|(_, until)| **until <= now);
         let over: Vec<ZoneName> = held.map(|(zone, _)| zone.clone()).collect();
         over.iter().for_each(|zone| _ = self.held_zones.remove(zone));
         if over.is_empty() {
             return;
         }
-        over.iter().for_each(|zone| self.fleet.chill_zone(zone, now));
-        self.fleet.close(self.closed());
+        over.iter().for_each(|zone| self.fleet.mark_zone_cold(zone, now));
+        self.fleet.set_closed_zones(self.closed());
     }
 
-    fn drop_upstream(&mut self, name: &UpstreamName, now: Duration) {
+    fn remove_upstream(&mut self, name: &UpstreamName, now: Duration) {
         self.missing.remove(name);
         self.history.note(name, now);
-        let born = self.fleet.get(name).and_then(|known| known.born);
-        self.dropped.insert(name.clone(), Dropped { at: now, born });
+        let started_at_ms = self.fleet.get(name).and_then(|known| known.started_at_ms);
+        self.dropped.insert(name.clone(), Dropped { at: now, started_at_ms });
         self.fleet.remove(name);
         self.changes.push(Change::Gone(name.clone()));
     }
@@ -667,7 +679,7 @@
         Some(self.table.as_ref()?.service(service)?.probe_path.clone())
     }
 
-    fn engine_limits(&self, listed: &Listed) -> Option<EngineLimits> {
+    fn engine_limits(&self, listed: &UpstreamListing) -> Option<EngineLimits> {
         self.table.as_ref()?.service(&listed.service)?.engine
     }
 }
