--- a/src/proxy/hub.rs
+++ b/src/proxy/hub.rs
@@ -378,7 +378,7 @@
         let mut inner = self.inner.lock().expect("no panic under lock");
         let allowed = inner.budget.try_take(service, boxes, now);
         drop(inner);
-        self.metrics.repeat(allowed);
+        self.metrics.retry(allowed);
         allowed
     }
 
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -1,8 +1,8 @@
 //! The proxy: the process on each box that forwards callers' requests to upstreams.
 //!
 //! It watches routes, workspaces and upstreams through a [`adapter::StoreWatcher`], translates the
-//! headers of callers and upstreams through a [`adapter::HeaderAdapter`], and notifies the other boxes by
-//! datagrams of the requests that it sends. Everything runs on one thread.
+//! headers of callers and upstreams through a [`adapter::HeaderAdapter`], and notifies the other
+//! boxes by datagrams of the requests that it sends. Everything runs on one thread.
 
 pub mod adapter;
 pub mod admission;
@@ -123,15 +123,15 @@
 /// Implementations that the proxy needs from the product that embeds it.
 pub struct Dependencies {
     /// Reads and writes the headers of callers and upstreams.
-    pub dialect: Arc<dyn HeaderAdapter>,
+    pub header_adapter: Arc<dyn HeaderAdapter>,
     /// Queries engines outside of callers' requests.
-    pub engines: Arc<dyn EngineClient>,
+    pub engine_client: Arc<dyn EngineClient>,
     /// Watches the store.
-    pub directory: Arc<dyn StoreWatcher>,
-    /// Records that this product keeps in the store.
-    pub records: Arc<dyn SuspectStore>,
+    pub store_watcher: Arc<dyn StoreWatcher>,
+    /// Persists reports on requests that may crash upstreams.
+    pub suspect_store: Arc<dyn SuspectStore>,
     /// Reports the progress of roll-outs to the operator.
-    pub rollouts: Arc<dyn RolloutReporter>,
+    pub rollout_reporter: Arc<dyn RolloutReporter>,
 }
 
 /// Runs the proxy until it receives a stop signal. The settings file at `path` is reloaded when it
@@ -161,22 +161,23 @@
     let clock = Clock::new(Box::new(SinceBoot));
     let peers = Peers::new(&cfg, socket, clock.clone());
     peers.add_seeds(&cfg.seeds);
-    let engines = deps.engines.clone();
-    let hub = Hub::new(&cfg, clock, deps.dialect, engines, peers, metrics, log.clone());
+    let engine_client = deps.engine_client.clone();
+    let hub =
+        Hub::new(&cfg, clock, deps.header_adapter, engine_client, peers, metrics, log.clone());
     info!(log, "started"; "callers" => %cfg.callers, "zone" => cfg.identity.zone.as_str());
 
     let (phase, shutdown) = watch::channel(ShutdownPhase::Running);
     let (store_due, is_store_due) = watch::channel(false);
-    watch_store(&hub, &*deps.directory, is_store_due);
+    watch_store(&hub, &*deps.store_watcher, is_store_due);
     gossip::start(&hub);
-    tokio::spawn(warm_up::run_at_start(hub.clone(), deps.engines.clone()));
-    tokio::spawn(warm_up::run_for_own_groups(hub.clone(), deps.engines));
+    tokio::spawn(warm_up::run_at_start(hub.clone(), deps.engine_client.clone()));
+    tokio::spawn(warm_up::run_for_own_groups(hub.clone(), deps.engine_client));
     tokio::spawn(engine_placement::report_share_usage(hub.clone()));
-    tokio::spawn(rollouts::run(hub.clone(), deps.rollouts));
+    tokio::spawn(rollouts::run(hub.clone(), deps.rollout_reporter));
     tokio::spawn(suspects::catch_up(hub.clone()));
-    tokio::spawn(suspects::persist(hub.clone(), deps.records.clone()));
+    tokio::spawn(suspects::persist(hub.clone(), deps.suspect_store.clone()));
     if !cfg.is_first_start {
-        tokio::spawn(suspects::load_persisted(hub.clone(), deps.records));
+        tokio::spawn(suspects::load_persisted(hub.clone(), deps.suspect_store));
     }
     store_due.send_replace(hub.peers().is_store_due());
     tokio::spawn(run_housekeeping(hub.clone(), store_due));
@@ -202,9 +203,9 @@
     TcpListener::bind(addr).await.map_err(|source| Error::Io { what, source })
 }
 
-fn watch_store(hub: &Arc<Hub>, directory: &dyn StoreWatcher, is_due: watch::Receiver<bool>) {
+fn watch_store(hub: &Arc<Hub>, watcher: &dyn StoreWatcher, is_due: watch::Receiver<bool>) {
     let (tx, mut rx) = mpsc::unbounded_channel();
-    directory.watch(tx, is_due);
+    watcher.watch(tx, is_due);
     let hub = hub.clone();
     tokio::spawn(async move {
         while let Some(update) = rx.recv().await {
@@ -275,8 +276,8 @@
     hub.clock().wake();
 }
 
-/// Gives the cold engines of groups that are new to this box nothing until [`cold::LOOKS_BACK`] has
-/// passed, since this box doesn't know what other boxes have just sent to them.
+/// Gives the cold engines of groups that are new to this box nothing until [`cold::RATE_WINDOW`]
+/// has passed, since this box doesn't know what other boxes have just sent to them.
 fn hold_cold_engines(hub: &Hub, groups: &BTreeSet<EngineGroup>, before: &BTreeSet<EngineGroup>) {
     let until = hub.now() + cold::RATE_WINDOW;
     hub.fleet(|fleet| {
--- a/src/proxy/proxy_metrics.rs
+++ b/src/proxy/proxy_metrics.rs
@@ -34,7 +34,7 @@
     first_expected: Histogram<f64>,
     first_actual: Histogram<f64>,
     first_ratio: Histogram<f64>,
-    repeats: Counter<u64>,
+    retries: Counter<u64>,
     store_lost: Counter<u64>,
     store_restored: Counter<u64>,
     entries_refused: Counter<u64>,
@@ -66,7 +66,7 @@
                 .f64_histogram("frostdyke_first_token_ratio")
                 .with_boundaries(RATIO_BOUNDS.to_vec())
                 .build(),
-            repeats: meter.u64_counter("frostdyke_proxy_repeats").build(),
+            retries: meter.u64_counter("frostdyke_proxy_repeats").build(),
             store_lost: meter.u64_counter("frostdyke_store_lost").build(),
             store_restored: meter.u64_counter("frostdyke_store_restored").build(),
             entries_refused: meter.u64_counter("frostdyke_entries_refused").build(),
@@ -128,7 +128,7 @@
         });
     }
 
-    /// Registers the gauges of workspaces' shares: the tokens requested and begun in the whole
+    /// Registers the gauges of workspaces' shares: the tokens requested and admitted in the whole
     /// fleet, as far as this box has counted them or received them from others. Each gauge has one
     /// series per workspace.
     fn register_share_gauges(&self, hub: &Arc<Hub>) {
@@ -164,8 +164,8 @@
     }
 
     /// Counts a request that could be retried, by whether the budget allowed it.
-    pub fn repeat(&self, allowed: bool) {
-        self.repeats.add(1, &[KeyValue::new("allowed", allowed)]);
+    pub fn retry(&self, allowed: bool) {
+        self.retries.add(1, &[KeyValue::new("allowed", allowed)]);
     }
 
     /// Counts a loss of the store.
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -61,8 +61,8 @@
 const SENDS_MAX: u32 = 4;
 
 /// Time within which boxes that aren't busy learn that a request broke off because its upstream
-/// crashed: one box detects it by a refused connection, and notifies the others by a datagram within
-/// the region.
+/// crashed: one box detects it by a refused connection, and notifies the others by a datagram
+/// within the region.
 const BREAK_REPORT_DELAY: Duration = Duration::from_millis(10);
 
 /// Maximum length of a response that is buffered until it is complete.
@@ -293,9 +293,9 @@
         }
         let fingerprint = self.fingerprint();
         let retry_after = suspects::hold_time(&self.hub, &fingerprint);
-        let is_doubtful = self.broken_sends != 0
+        let may_crash_too_many = self.broken_sends != 0
             && suspects.would_reach_crash_limit(&fingerprint, self.hub.now());
-        let retry_after = retry_after.or(is_doubtful.then_some(NO_UPSTREAM_RETRY));
+        let retry_after = retry_after.or(may_crash_too_many.then_some(NO_UPSTREAM_RETRY));
         retry_after.map(|retry_after| Refusal::CrashesUpstreams { retry_after })
     }
 
@@ -303,7 +303,9 @@
     /// fingerprint isn't needed.
     fn may_be_suspect(&self) -> bool {
         let suspects = self.hub.suspects();
-        suspects.read(|known| !known.is_empty() && known.may_contain(self.content().quick_hash()))
+        suspects.read(|quarantine| {
+            !quarantine.is_empty() && quarantine.may_contain(self.content().quick_hash())
+        })
     }
 
     /// Records that the response broke off, and ends the request's entry in the state of upstreams.
@@ -337,7 +339,8 @@
         }
     }
 
-    /// Whether the request may be sent once more, by the number of sends and the retry budget.
+    /// Takes a retry from the budget. Returns whether the request may be sent once more, by the
+    /// budget and its number of sends.
     pub fn try_take_retry(&self) -> bool {
         self.sends < SENDS_MAX && self.hub.try_take_retry(&self.service)
     }
--- a/src/proxy/state_updates.rs
+++ b/src/proxy/state_updates.rs
@@ -24,15 +24,15 @@
 use crate::proxy::view::View;
 
 /// Applies an update from the store.
-pub fn apply_store_update(hub: &Hub, news: StoreUpdate) {
-    match news {
+pub fn apply_store_update(hub: &Hub, update: StoreUpdate) {
+    match update {
         StoreUpdate::Configuration(table) => hub.change(|view, now| view.configure(table, now)),
         StoreUpdate::InvalidConfiguration(fault) => {
             warn!(hub.log(), "configuration refused"; "fault" => fault);
         }
         StoreUpdate::AllUpstreams(all) => hub.change(|view, now| view.set_upstreams(all, now)),
-        StoreUpdate::UpstreamChanged(listed) => {
-            hub.change(|view, now| view.set_upstream(listed, now))
+        StoreUpdate::UpstreamChanged(listing) => {
+            hub.change(|view, now| view.set_upstream(listing, now))
         }
         StoreUpdate::UpstreamRemoved(name) => {
             hub.change(|view, now| view.entry_removed(&name, now))
@@ -146,15 +146,15 @@
         Message::Leaving { upstream } => {
             hub.change(|view, now| view.reported_leaving(&upstream, now));
         }
-        Message::DrainNotice(draining) => notices::receive(hub, &draining, sender),
-        Message::Listed(listed) => hub.change(|view, now| view.reported_listed(listed, now)),
+        Message::DrainNotice(notice) => notices::receive(hub, &notice, sender),
+        Message::Listed(listing) => hub.change(|view, now| view.reported_listed(listing, now)),
         Message::Gone { upstream } => hub.change(|view, now| view.reported_gone(&upstream, now)),
-        Message::PlacementResponse(answer) => {
-            engine_placement::handle_response(hub, answer, sender)
+        Message::PlacementResponse(response) => {
+            engine_placement::handle_response(hub, response, sender)
         }
         Message::ShareUsage(all) => hub.shares(|shares| {
-            for used in &all {
-                shares.add_remote(&used.workspace, used.tokens, now);
+            for usage in &all {
+                shares.add_remote(&usage.workspace, usage.tokens, now);
             }
         }),
         Message::ResponseReports { service, target, all } => {
@@ -171,8 +171,8 @@
 
 /// Whether this box owns an engine; `None` while engines have no owners.
 fn is_owner_of(hub: &Hub, upstream: &UpstreamName) -> Option<bool> {
-    let owned = hub.peers().owners().owners_of_hash(upstream::name_hash(upstream));
-    owned.map(|owned| owned.owner == hub.peers().own_ip())
+    let owners = hub.peers().owners().owners_of_hash(upstream::name_hash(upstream));
+    owners.map(|owners| owners.owner == hub.peers().own_ip())
 }
 
 /// Adds the tokens of a request to its workspace's share. The sender placed the request by itself
