--- a/src/proxy/engine_placement.rs
+++ b/src/proxy/engine_placement.rs
@@ -146,8 +146,9 @@
         let Some(group) = home.map(|hash| owners.group(hash)) else { break };
         query.group = Some(group);
         query.is_last_group = n == GROUPS_PER_REQUEST_MAX;
-        let Some(owned) = owners.owners_of(group) else { break };
-        let Some(decision) = place_with_copy_source(hub, query, &owners, group, owned).await else {
+        let Some(group_owners) = owners.owners_of(group) else { break };
+        let Some(decision) = place_with_copy_source(hub, query, &owners, group, group_owners).await
+        else {
             break;
         };
         query.purpose = Purpose::Place;
@@ -169,15 +170,20 @@
     query: PlacementQuery<'_>,
     owners: &OwnerTable,
     group: EngineGroup,
-    owned: GroupOwners,
+    group_owners: GroupOwners,
 ) -> Option<PlacementDecision> {
-    let decision = place_in_group(hub, query, group, owned).await?;
+    let decision = place_in_group(hub, query, group, group_owners).await?;
     if !decision.may_be_cached_elsewhere() {
         return Some(decision);
     }
     let source = find_copy_source(hub, query, owners, group).await;
-    place_in_group(hub, PlacementQuery { source, purpose: Purpose::Place, ..query }, group, owned)
-        .await
+    place_in_group(
+        hub,
+        PlacementQuery { source, purpose: Purpose::Place, ..query },
+        group,
+        group_owners,
+    )
+    .await
 }
 
 /// Places a request by this box's own state, and broadcasts the result. Used in small fleets.
@@ -219,14 +225,14 @@
     hub: &Arc<Hub>,
     query: PlacementQuery<'_>,
     group: EngineGroup,
-    owned: GroupOwners,
+    group_owners: GroupOwners,
 ) -> Option<PlacementDecision> {
-    for ip in owned.boxes() {
-        let role = owned.role(ip);
+    for ip in group_owners.boxes() {
+        let role = group_owners.role(ip);
         if ip == hub.peers().own_ip() {
             let result = hub.admit(PlacementQuery { role, ..query });
             if let Ok(choice) = &result {
-                notify_other_owner(hub, &query, choice, owned);
+                notify_other_owner(hub, &query, choice, group_owners);
             }
             return Some(PlacementDecision {
                 result,
@@ -250,7 +256,7 @@
             }
             // The backoff began while this box waited for the owner.
             Some(Ok(choice)) if hub.is_backing_off(&choice.upstream) => {
-                withdraw(hub, request, owned.boxes());
+                withdraw(hub, request, group_owners.boxes());
                 continue;
             }
             Some(result) => {
@@ -258,7 +264,7 @@
             }
             None => info!(hub.log(), "owner did not respond"; "ip" => %ip, "group" => %group),
         }
-        withdraw(hub, request, owned.boxes());
+        withdraw(hub, request, group_owners.boxes());
         hub.owner_requests().mark_unresponsive(ip, hub.now());
     }
     None
@@ -364,7 +370,7 @@
 /// Places a request on behalf of another box, and responds to it.
 pub fn handle_request(hub: &Hub, message: &PlacementRequest, from: IpAddr) {
     let prompt = Prompt::from(&message.prompt);
-    let owned = hub.peers().owners().owners_of(message.group);
+    let group_owners = hub.peers().owners().owners_of(message.group);
     let query = PlacementQuery {
         request: message.request,
         service: &message.service,
@@ -380,14 +386,15 @@
         source: message.source,
         purpose: message.purpose,
         is_last_group: message.is_last_group,
-        role: owned.map_or(Role::Unassigned, |owned| owned.role(hub.peers().own_ip())),
+        role: group_owners
+            .map_or(Role::Unassigned, |group_owners| group_owners.role(hub.peers().own_ip())),
     };
     let result = hub.admit(query);
     let request = message.request;
     if let Ok(choice) = &result
-        && let Some(owned) = owned
+        && let Some(group_owners) = group_owners
     {
-        notify_other_owner(hub, &query, choice, owned);
+        notify_other_owner(hub, &query, choice, group_owners);
     }
     hub.peers().send_now(from, &Message::PlacementResponse(PlacementResponse { request, result }));
 }
@@ -401,16 +408,22 @@
     if pending.is_some_and(|tx| tx.send(result).is_ok()) {
         return;
     }
-    let owned = upstream.and_then(|u| hub.peers().owners().owners_of_hash(upstream::name_hash(&u)));
-    let standby = owned.into_iter().flat_map(GroupOwners::boxes).filter(|ip| *ip != from);
+    let group_owners =
+        upstream.and_then(|u| hub.peers().owners().owners_of_hash(upstream::name_hash(&u)));
+    let standby = group_owners.into_iter().flat_map(GroupOwners::boxes).filter(|ip| *ip != from);
     withdraw(hub, request, standby.chain([from]));
 }
 
 /// Sends a placement to the other one of a group's owner and standby. The workspace is left out:
 /// its usage is sent by [`report_share_usage`].
-fn notify_other_owner(hub: &Hub, query: &PlacementQuery<'_>, choice: &Choice, owned: GroupOwners) {
+fn notify_other_owner(
+    hub: &Hub,
+    query: &PlacementQuery<'_>,
+    choice: &Choice,
+    group_owners: GroupOwners,
+) {
     let message = placed_message(&PlacementQuery { workspace: None, ..*query }, choice);
-    hub.peers().send_batched(owned.boxes(), &message);
+    hub.peers().send_batched(group_owners.boxes(), &message);
 }
 
 fn placed_message(query: &PlacementQuery<'_>, choice: &Choice) -> Message {
@@ -449,8 +462,9 @@
 
 /// Whether this box tracks the state of an engine. In a small fleet, all boxes do.
 pub fn tracks_engine(hub: &Hub, name: &UpstreamName) -> bool {
-    let owned = hub.peers().owners().owners_of_hash(upstream::name_hash(name));
-    owned.is_none_or(|owned| owned.boxes().any(|ip| ip == hub.peers().own_ip()))
+    let group_owners = hub.peers().owners().owners_of_hash(upstream::name_hash(name));
+    group_owners
+        .is_none_or(|group_owners| group_owners.boxes().any(|ip| ip == hub.peers().own_ip()))
 }
 
 /// Sends a message to the boxes that track the state of an engine. In a small fleet, all boxes do.
@@ -460,7 +474,7 @@
         hub.peers().broadcast(message);
         return;
     }
-    if let Some(owned) = owners.owners_of_hash(upstream::name_hash(name)) {
-        hub.peers().send_batched(owned.boxes(), message);
+    if let Some(group_owners) = owners.owners_of_hash(upstream::name_hash(name)) {
+        hub.peers().send_batched(group_owners.boxes(), message);
     }
 }
--- a/src/proxy/placed_request.rs
+++ b/src/proxy/placed_request.rs
@@ -150,9 +150,9 @@
         );
     }
 
-    fn record_outcome(&self, finding: Option<ResponseOutcome>) {
-        if let (Some(judged_response), Some(finding)) = (&self.judged_response, finding) {
-            self.hub.rollouts().record_outcome(judged_response, finding);
+    fn record_outcome(&self, outcome: Option<ResponseOutcome>) {
+        if let (Some(judged_response), Some(outcome)) = (&self.judged_response, outcome) {
+            self.hub.rollouts().record_outcome(judged_response, outcome);
         }
     }
 
@@ -178,9 +178,9 @@
         if let Some((workspace, tokens)) = &self.charge {
             self.hub.metrics().workspace_begun(workspace, *tokens);
         }
-        let first = FirstTokenTiming { expected: self.expected_first_token, took };
-        self.hub.metrics().first_token(first);
-        Some(first)
+        let timing = FirstTokenTiming { expected: self.expected_first_token, took };
+        self.hub.metrics().first_token(timing);
+        Some(timing)
     }
 
     /// Sends a message to the boxes that track the upstream.
--- a/src/proxy/upstream_selection.rs
+++ b/src/proxy/upstream_selection.rs
@@ -104,8 +104,8 @@
 
     async fn place_plain(&self, request: u64, side: VersionFilter) -> PlacementDecision {
         let now = self.hub.now();
-        let resting = self.hub.read(|view| view.fleet().unavailable(&self.service, now));
-        let excluded: Vec<UpstreamName> = self.excluded().into_iter().chain(resting).collect();
+        let unavailable = self.hub.read(|view| view.fleet().unavailable(&self.service, now));
+        let excluded: Vec<UpstreamName> = self.excluded().into_iter().chain(unavailable).collect();
         let query = PlainQuery {
             request,
             service: &self.service,
@@ -155,8 +155,9 @@
     /// Retry time for the caller if this box backs off from all upstreams.
     pub(super) fn min_backoff_remaining(&self) -> Option<Duration> {
         let now = self.hub.now();
-        let left = self.hub.read(|view| view.fleet().min_backoff_remaining(&self.service, now))?;
-        Some(left.max(OVERLOAD_RETRY_MIN))
+        let remaining =
+            self.hub.read(|view| view.fleet().min_backoff_remaining(&self.service, now))?;
+        Some(remaining.max(OVERLOAD_RETRY_MIN))
     }
 
     /// The refusal of a request that isn't placed and could have waited for up to `wait_max`.
--- a/src/proxy/warm_up.rs
+++ b/src/proxy/warm_up.rs
@@ -49,8 +49,8 @@
             return;
         }
         if HEARTBEAT_REPLIES_WITHIN < began.elapsed() && hub.peers().is_first() {
-            let kept = query_engines(&hub, &*engines, None).await;
-            hub.warm_up(&LearnedReport { cached: kept, ..LearnedReport::default() });
+            let cached = query_engines(&hub, &*engines, None).await;
+            hub.warm_up(&LearnedReport { cached, ..LearnedReport::default() });
             return;
         }
     }
@@ -74,12 +74,13 @@
     let mut known: BTreeSet<EngineGroup> = BTreeSet::new();
     loop {
         aligned_timer::wait_for_tick(OWNER_CHECK_INTERVAL).await;
-        let me = hub.peers().own_ip();
-        let kept: BTreeMap<EngineGroup, GroupOwners> = hub.peers().owners().groups_of(me).collect();
-        known.retain(|group| kept.contains_key(group));
-        for (group, owned) in kept {
+        let own_ip = hub.peers().own_ip();
+        let groups: BTreeMap<EngineGroup, GroupOwners> =
+            hub.peers().owners().groups_of(own_ip).collect();
+        known.retain(|group| groups.contains_key(group));
+        for (group, owners) in groups {
             if known.insert(group) {
-                tokio::spawn(learn_group(hub.clone(), engines.clone(), group, owned));
+                tokio::spawn(learn_group(hub.clone(), engines.clone(), group, owners));
             }
         }
     }
@@ -91,10 +92,10 @@
     hub: Arc<Hub>,
     engines: Arc<dyn EngineClient>,
     group: EngineGroup,
-    owned: GroupOwners,
+    owners: GroupOwners,
 ) {
-    let me = hub.peers().own_ip();
-    let other = owned.boxes().find(|ip| *ip != me).and_then(|ip| hub.peers().addr_of(ip));
+    let own_ip = hub.peers().own_ip();
+    let other = owners.boxes().find(|ip| *ip != own_ip).and_then(|ip| hub.peers().addr_of(ip));
     if let Some(addr) = other {
         match box_api::fetch_learned(addr, Some(group)).await {
             Ok(learned) if learned.cached.iter().any(|k| !k.parts.is_empty()) => {
@@ -108,9 +109,9 @@
             }
         }
     }
-    if owned.owner == me {
-        let kept = query_engines(&hub, &*engines, Some(group)).await;
-        hub.warm_up(&LearnedReport { cached: kept, ..LearnedReport::default() });
+    if owners.owner == own_ip {
+        let cached = query_engines(&hub, &*engines, Some(group)).await;
+        hub.warm_up(&LearnedReport { cached, ..LearnedReport::default() });
     }
 }
 
