--- a/src/proxy/hub.rs
+++ b/src/proxy/hub.rs
@@ -51,7 +51,7 @@
 pub struct Hub {
     inner: Mutex<Inner>,
     clock: Arc<Clock>,
-    dialect: Arc<dyn HeaderAdapter>,
+    header_adapter: Arc<dyn HeaderAdapter>,
     engines: Arc<dyn EngineClient>,
     upstream_connections: Arc<UpstreamConnections>,
     peers: Peers,
@@ -86,7 +86,7 @@
     pub fn new(
         cfg: &Settings,
         clock: Arc<Clock>,
-        dialect: Arc<dyn HeaderAdapter>,
+        header_adapter: Arc<dyn HeaderAdapter>,
         engines: Arc<dyn EngineClient>,
         peers: Peers,
         metrics: ProxyMetrics,
@@ -101,7 +101,7 @@
         };
         let hub = Arc::new(Hub {
             inner: Mutex::new(inner),
-            dialect,
+            header_adapter,
             engines,
             upstream_connections: UpstreamConnections::new(clock.clone()),
             clock,
@@ -128,8 +128,8 @@
     }
 
     /// How callers and upstreams speak.
-    pub fn dialect(&self) -> &dyn HeaderAdapter {
-        &*self.dialect
+    pub fn header_adapter(&self) -> &dyn HeaderAdapter {
+        &*self.header_adapter
     }
 
     /// Calls to engines beside requests.
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -123,7 +123,7 @@
 /// Where the proxy runs: how its surroundings speak.
 pub struct Dependencies {
     /// The headers of callers and upstreams.
-    pub dialect: Arc<dyn HeaderAdapter>,
+    pub header_adapter: Arc<dyn HeaderAdapter>,
     /// Calls to engines beside requests.
     pub engines: Arc<dyn EngineClient>,
     /// The store.
@@ -162,7 +162,7 @@
     let peers = Peers::new(&cfg, socket, clock.clone());
     peers.add_seeds(&cfg.seeds);
     let engines = deps.engines.clone();
-    let hub = Hub::new(&cfg, clock, deps.dialect, engines, peers, metrics, log.clone());
+    let hub = Hub::new(&cfg, clock, deps.header_adapter, engines, peers, metrics, log.clone());
     info!(log, "started"; "callers" => %cfg.callers, "zone" => cfg.identity.zone.as_str());
 
     let (stop, stopping) = watch::channel(ShutdownPhase::Running);
