--- a/src/proxy/stream_relay.rs
+++ b/src/proxy/stream_relay.rs
@@ -95,7 +95,7 @@
 /// Responds to the caller with the stream that begins with `upstream_response`.
 pub fn start(ctx: RequestContext, upstream_response: UpstreamResponse) -> Response<Body> {
     let status = upstream_response.resp.status();
-    let headers = ctx.hub.dialect().caller_headers(upstream_response.resp.headers());
+    let headers = ctx.hub.header_adapter().caller_headers(upstream_response.resp.headers());
     let relay = StreamRelay {
         timed_out: ctx.hub.clock().clone().sleep_until(ctx.deadline).boxed(),
         ctx: Some(Box::new(ctx)),
