--- a/src/fleet/draining.rs
+++ b/src/fleet/draining.rs
@@ -25,8 +25,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainNotice {
     pub upstream: UpstreamName,
-    /// When the instance that the request was sent to started, in milliseconds since 1970 by its own
-    /// clock; `None` if unknown.
+    /// When the instance that the request was sent to started, in milliseconds since 1970 by its
+    /// own clock; `None` if unknown.
     pub born: Option<u64>,
     /// When it responded, in milliseconds since 1970 by the clock of the box that sent the request.
     pub answered_at_ms: u64,
@@ -79,8 +79,8 @@
         true
     }
 
-    /// Returns until when an instance that is newer than the one the request was sent to is assumed to
-    /// be the one that responded; `None` if it isn't newer.
+    /// Returns until when an instance that is newer than the one the request was sent to is assumed
+    /// to be the one that responded; `None` if it isn't newer.
     pub fn uncertain_until(&self, name: &UpstreamName, born: Option<u64>) -> Option<Duration> {
         let entry = self.by_name.get(name)?;
         entry.is_newer_instance(born).then_some(entry.noted_at + DRAIN_TIME_MAX)
--- a/src/fleet/evacuated.rs
+++ b/src/fleet/evacuated.rs
@@ -1,9 +1,9 @@
 //! Availability zones that the operator has evacuated: their engines receive no requests until the
 //! order is revoked.
 //!
-//! The whole state is a handful of zone names. Each heartbeat carries it along with the revision of the
-//! store that it is valid for, and the highest revision wins. It thus reaches every box without being
-//! requested, also a box that starts meanwhile.
+//! The whole state is a handful of zone names. Each heartbeat carries it along with the revision of
+//! the store that it is valid for, and the highest revision wins. It thus reaches every box without
+//! being requested, also a box that starts meanwhile.
 
 use std::collections::BTreeSet;
 
--- a/src/fleet/fingerprint.rs
+++ b/src/fleet/fingerprint.rs
@@ -14,8 +14,8 @@
 /// The parts of a request that are the same in every retry: what the upstream receives, and the
 /// workspace, so that a request is never mistaken for another workspace's.
 ///
-/// The id, deadline and other headers differ between retries and are left out. A request without a body
-/// has an empty body, and a chunked body equals the same body sent with a length.
+/// The id, deadline and other headers differ between retries and are left out. A request without a
+/// body has an empty body, and a chunked body equals the same body sent with a length.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestContent<'a> {
     pub method: &'a str,
--- a/src/fleet/members.rs
+++ b/src/fleet/members.rs
@@ -1,10 +1,12 @@
-//! Which boxes are alive, as one box sees it.
+//! Membership and failure detection: which boxes are alive, as one box sees it.
 //!
-//! Each box gives a sign of life every [`HEARTBEAT_INTERVAL`]. In a small fleet it goes to all others, and who isn't heard of falls
-//! silent. In a larger one it goes to a few, drawn anew each time, of which one is to answer. Who doesn't is doubted; a
-//! doubt is told from box to box at once, and so is that the box has been heard of since. One that stands for a while means
-//! that the box is gone (SWIM, Das et al., 2002). So what a box sends, gets and works doesn't grow with the fleet, and the
-//! time in which a loss is noticed only by its logarithm.
+//! Each box sends a heartbeat every [`HEARTBEAT_INTERVAL`]. In a small fleet the heartbeat goes to
+//! all other boxes, and a box that isn't heard from counts as dead. In a larger fleet it goes to a
+//! few boxes, drawn anew each time, one of which has to reply. A box that doesn't reply is
+//! suspected. Suspicions and their refutations spread by gossip at once, and a suspicion that isn't
+//! refuted in time means that the box is dead (SWIM, Das et al., 2002). Traffic and work of a box
+//! thus don't grow with the fleet, and the time to detect a failure grows with the logarithm of its
+//! size only.
 
 mod member;
 
@@ -21,365 +23,379 @@
 use serde::Serialize;
 
 use crate::fleet::evacuated::EvacuatedZones;
-use crate::fleet::members::member::JudgedBy;
+use crate::fleet::members::member::LivenessRule;
 pub use crate::fleet::members::member::Member;
 use crate::fleet::revision::Revision;
 use crate::fleet::rollout::RolloutReport;
 use crate::names::BoxName;
 use crate::names::ZoneName;
 
-/// Time between signs of life.
+/// Time between heartbeats.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// A box that has not been heard of for this long doesn't count as alive where all hear of all: five
-/// beats and a lost one.
-const SILENT_AFTER: Duration = Duration::from_millis(2400);
+/// In a small fleet, where each box hears from all others, a box counts as dead after this time
+/// without a sign of it: five heartbeats and a lost one.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(2400);
 
-/// A box that has heard of nobody for this long takes itself for cut off, and nobody for alive.
-const ALONE_AFTER: Duration = Duration::from_millis(4800);
+/// A box that has received no heartbeat for this long considers itself cut off, and no other box
+/// alive.
+const ISOLATED_AFTER: Duration = Duration::from_millis(4800);
 
-/// A box that is asked and gives no answer for this long is doubted: three beats, at each of which it is asked again, so
-/// that a datagram that is lost is no reason.
-const DOUBTED_AFTER: Duration = Duration::from_millis(1200);
+/// A box that doesn't reply to probes for this long is suspected: three heartbeats, each of which
+/// repeats the probe, so that a single lost datagram raises no suspicion.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// Time between messages of news, where there are some.
+/// Time between gossip messages while there are updates to spread.
 pub const GOSSIP_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Messages of news at a time, each to others: what a zone that is lost makes known of two hundred boxes.
+/// Gossip messages per interval, each to other boxes: enough for the loss of a zone of two hundred
+/// boxes.
 pub const GOSSIP_ROUNDS: usize = 4;
 
-/// A doubt that nobody has contradicted for this long stands: twenty times [`GOSSIP_INTERVAL`], where nine reach three to the
-/// power of nine boxes, and as many bring the answer.
-const STANDS_AFTER: Duration = Duration::from_millis(2000);
+/// A box counts as dead once a suspicion has not been refuted for this long: twenty times
+/// [`GOSSIP_INTERVAL`]. Nine intervals spread the suspicion to three to the power of nine boxes,
+/// and as many spread the refutation.
+const SUSPICION_TIMEOUT: Duration = Duration::from_millis(2000);
 
-/// A box that has not been heard of for this long is forgotten, unless it is a seed.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(30);
+/// A box that has shown no sign of life for this long is removed, unless it is a seed.
+const FORGET_AFTER: Duration = Duration::from_secs(30);
 
-/// Up to so many others are told each sign of life directly. Above it costs less processor time to
-/// be told by a few.
-const DIRECT_MAX: usize = 16;
+/// Up to this many other boxes, heartbeats go to all of them. Above, gossip costs less processor
+/// time.
+const FULL_MESH_MAX: usize = 16;
 
-/// Boxes told directly at each beat of a larger fleet.
+/// Boxes that get each heartbeat or gossip message in a larger fleet.
 const FANOUT: usize = 2;
 
-/// Boxes that are to answer at each beat, and how many more of them there are at most while others haven't answered: a few
-/// boxes that are cut off find out about all others as soon as a whole fleet does about one.
-const PROBED: usize = 1;
-const PROBED_MORE: usize = 24;
+/// Boxes probed with each heartbeat, and how many more are probed at most while probes are
+/// unanswered: a few boxes that are cut off thus detect the loss of all others as soon as a whole
+/// fleet detects that of one.
+const PROBES_PER_HEARTBEAT: usize = 1;
+const EXTRA_PROBES_MAX: usize = 24;
 
-/// Ages told at a time, so that a sign of life fits a frame; an age takes seven bytes.
-const AGES_MAX: usize = 128;
+/// Updates per heartbeat, so that it fits into a frame; an update takes seven bytes.
+const UPDATES_MAX: usize = 128;
 
-/// Ages told at a time of boxes of which there is no news, for who has missed some.
-const KNOWN_AGES: usize = 32;
+/// Updates per heartbeat about randomly drawn boxes, for receivers that have missed some gossip.
+const RANDOM_UPDATES_MAX: usize = 32;
 
-/// Of those that reply_to a box, so many tell it updates: as many as it takes to know of hundreds of boxes several
-/// times over. Where all did, boxes that start together would be told the same by each other.
-const GREETED_WITH_AGES: usize = 16;
+/// Expected number of boxes whose reply to a new box includes updates: enough to cover hundreds of
+/// boxes several times over. If all replies did, boxes that start together would send each other
+/// the same updates.
+const REPLIES_WITH_UPDATES: usize = 16;
 
-/// Boxes that are alive, but whose own word hasn't come, asked for it at a time.
-const ASKED_MAX: usize = 16;
+/// Live boxes without a report that are asked for one with each heartbeat.
+const REPORT_REQUESTS_MAX: usize = 16;
 
-/// The unit in which updates are told.
+/// Unit of [`LivenessUpdate::age_tenths_s`].
 const AGE_UNIT: Duration = Duration::from_millis(100);
 
-/// What a box says of itself.
+/// What a box reports about itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BoxReport {
-    /// The box.
     pub name: BoxName,
-    /// Its availability zone.
     pub zone: ZoneName,
-    /// Where it answers other boxes.
+    /// Address at which it serves other boxes.
     pub addr: SocketAddr,
-    /// Which start of it this is.
+    /// Identifies a run of its process.
     pub incarnation: u64,
-    /// What it may use of a core.
+    /// CPU limit, in cores.
     pub cores: f64,
-    /// The version of its configuration; zero for none.
+    /// Version of its configuration; zero for none.
     pub version: u64,
-    /// Whether it sees the store.
+    /// Whether it reaches the store.
     pub sees_store: bool,
-    /// Whether it knows what engines keep.
+    /// Whether it knows what engines have cached.
     pub is_warm: bool,
-    /// A digest of the upstreams that it lists.
+    /// Digest of the upstreams that it lists.
     pub upstreams_digest: u64,
-    /// The revision of the store up to which that list is whole.
+    /// The revision of the store up to which that list is complete.
     pub revision: Revision,
-    /// The zones whose engines get nothing.
+    /// Zones whose engines receive no requests.
     pub evacuated: EvacuatedZones,
-    /// A digest of the requests that it holds back; zero for none.
+    /// Digest of the requests that it holds back; zero for none.
     pub held_digest: u64,
-    /// How far roll-outs have come, as far as it knows.
+    /// The stage of each roll-out, as far as it knows.
     pub rollouts: Vec<RolloutReport>,
 }
 
-/// How long ago a box was known to be alive, or was asked in vain.
+/// How long ago a box was last known to be alive, or failed to reply to a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LivenessUpdate {
-    /// The box.
     pub ip: IpAddr,
-    /// Tenths of a second.
     pub age_tenths_s: u8,
-    /// Whether it was asked in vain then.
+    /// Whether it failed to reply to a probe at that time.
     pub is_suspicion: bool,
 }
 
-/// A sign of life.
+/// The heartbeat that boxes send each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatMessage {
-    /// What the box says of itself.
     pub report: BoxReport,
-    /// Whether it requests_reply for a sign of life, since it doesn't know the other one yet.
+    /// Whether the sender asks for a heartbeat in return: as a probe, or because it has no report
+    /// of the receiver yet.
     pub requests_reply: bool,
-    /// What it knows of others.
+    /// What the sender knows about other boxes.
     pub updates: Vec<LivenessUpdate>,
 }
 
-/// How another box is given a sign of life.
+/// What a heartbeat to another box asks for and includes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HeartbeatOptions {
-    /// Whether it is asked for one.
+    /// Whether it asks for a heartbeat in return.
     pub requests_reply: bool,
-    /// Whether it is told of others.
+    /// Whether it includes updates about other boxes.
     pub includes_updates: bool,
 }
 
-/// What came of a sign of life.
+/// What follows from a received heartbeat.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HeartbeatOutcome {
-    /// The boxes that should get a sign of life at once: those never heard of before, and the sender
-    /// if it requests_reply or wasn't known to be alive.
+    /// The boxes to send a heartbeat at once: boxes never heard of before, and the sender if it
+    /// asks for one, suspects this box or wasn't known to be alive.
     pub reply_to: BTreeSet<IpAddr>,
     /// Whether the sender wasn't known to be alive.
     pub is_new: bool,
-    /// Whether the sender has ended and started since it was last heard.
+    /// Whether the sender has restarted since its last heartbeat.
     pub has_restarted: bool,
 }
 
-/// The other boxes.
+/// The other boxes of the fleet.
 #[derive(Debug)]
 pub struct Members {
-    me: IpAddr,
+    own_ip: IpAddr,
     known: BTreeMap<IpAddr, Member>,
-    /// Those that were asked and have not answered, and since when.
-    asked: BTreeMap<IpAddr, Duration>,
-    /// When any of them was heard last.
-    heard_at: Duration,
+    /// Boxes that have not replied to a probe yet, and when it was first sent.
+    probes: BTreeMap<IpAddr, Duration>,
+    /// When the last heartbeat from any box was received.
+    received_at: Duration,
 }
 
 impl Members {
-    /// Nobody is known yet to the box at `me`.
-    pub fn new(me: IpAddr) -> Members {
-        Members { me, known: BTreeMap::new(), asked: BTreeMap::new(), heard_at: Duration::ZERO }
+    /// Creates the empty member list of the box at `own_ip`.
+    pub fn new(own_ip: IpAddr) -> Members {
+        Members {
+            own_ip,
+            known: BTreeMap::new(),
+            probes: BTreeMap::new(),
+            received_at: Duration::ZERO,
+        }
     }
 
-    /// Adds a box that may be there.
+    /// Adds a configured address at which there may be a box.
     pub fn add_seed(&mut self, ip: IpAddr, now: Duration) {
-        if ip != self.me {
-            self.known.entry(ip).or_insert_with(|| Member::unheard(now)).is_seed = true;
+        if ip != self.own_ip {
+            self.known.entry(ip).or_insert_with(|| Member::new(now)).is_seed = true;
         }
     }
 
-    /// The others that are alive.
+    /// Returns the other boxes that are alive.
     pub fn live(&self, now: Duration) -> impl Iterator<Item = (IpAddr, &Member)> {
-        let by = self.judged_by(now);
-        self.known.iter().filter(move |(_, m)| m.is_live(by, now)).map(|(ip, m)| (*ip, m))
+        let rule = self.liveness_rule(now);
+        self.known.iter().filter(move |(_, m)| m.is_live(rule, now)).map(|(ip, m)| (*ip, m))
     }
 
-    /// How many others there are, or were lately.
+    /// Returns the number of other boxes, including those that died lately.
     pub fn known_count(&self) -> usize {
         self.known.len()
     }
 
-    /// Another box's last word.
+    /// Returns another box's last report.
     pub fn report(&self, ip: IpAddr) -> Option<&BoxReport> {
         self.known.get(&ip)?.report.as_ref()
     }
 
-    fn judged_by(&self, now: Duration) -> JudgedBy {
-        if self.known.len() <= DIRECT_MAX {
-            JudgedBy::Silence
-        } else if self.heard_at + ALONE_AFTER <= now {
-            JudgedBy::Solitude
+    fn liveness_rule(&self, now: Duration) -> LivenessRule {
+        if self.known.len() <= FULL_MESH_MAX {
+            LivenessRule::Timeout
+        } else if self.received_at + ISOLATED_AFTER <= now {
+            LivenessRule::Isolated
         } else {
-            JudgedBy::Doubts
+            LivenessRule::Suspicion
         }
     }
 
-    /// Takes in a sign of life.
-    pub fn receive(&mut self, beat: &HeartbeatMessage, now: Duration) -> HeartbeatOutcome {
-        let mut heard = HeartbeatOutcome::default();
-        let sender = beat.report.addr.ip();
-        if sender == self.me {
-            return heard;
+    /// Processes a received heartbeat.
+    pub fn receive(&mut self, heartbeat: &HeartbeatMessage, now: Duration) -> HeartbeatOutcome {
+        let mut outcome = HeartbeatOutcome::default();
+        let sender = heartbeat.report.addr.ip();
+        if sender == self.own_ip {
+            return outcome;
         }
-        self.heard_at = now;
-        self.asked.remove(&sender);
-        let by = self.judged_by(now);
-        for age in beat.updates.iter().filter(|a| a.ip != sender) {
-            if age.ip == self.me {
-                // Who doubts this box hears at once that it lives.
-                heard.reply_to.extend(age.is_suspicion.then_some(sender));
+        self.received_at = now;
+        self.probes.remove(&sender);
+        let rule = self.liveness_rule(now);
+        for update in heartbeat.updates.iter().filter(|a| a.ip != sender) {
+            if update.ip == self.own_ip {
+                // Refutes a suspicion of this box at once.
+                outcome.reply_to.extend(update.is_suspicion.then_some(sender));
                 continue;
             }
-            let member = self.known.entry(age.ip).or_insert_with(|| Member::unheard(now));
-            let Some(at) = now.checked_sub(AGE_UNIT * u32::from(age.age_tenths_s)) else {
+            let member = self.known.entry(update.ip).or_insert_with(|| Member::new(now));
+            let Some(at) = now.checked_sub(AGE_UNIT * u32::from(update.age_tenths_s)) else {
                 continue;
             };
-            if age.is_suspicion {
-                member.doubt(at);
+            if update.is_suspicion {
+                member.suspect(at);
                 continue;
             }
-            if member.is_unheard_of() {
-                heard.reply_to.insert(age.ip);
+            if member.was_never_alive() {
+                outcome.reply_to.insert(update.ip);
             }
-            // The age is rounded up when it is told, so what was heard later is never put back.
-            member.was_alive(at);
-            member.counts_as_live |= member.is_live(by, now);
+            // Ages are rounded up by the sender, so a box never seems alive later than it was.
+            member.mark_alive(at);
+            member.was_live |= member.is_live(rule, now);
         }
-        let member = self.known.entry(sender).or_insert_with(|| Member::unheard(now));
-        heard.is_new = !member.is_live(by, now) || member.report.is_none();
-        let known = member.report.as_ref();
-        heard.has_restarted = known.is_some_and(|r| r.incarnation != beat.report.incarnation);
-        member.said(&beat.report, now);
-        if heard.is_new || beat.requests_reply {
-            heard.reply_to.insert(sender);
+        let member = self.known.entry(sender).or_insert_with(|| Member::new(now));
+        outcome.is_new = !member.is_live(rule, now) || member.report.is_none();
+        let previous = member.report.as_ref();
+        outcome.has_restarted =
+            previous.is_some_and(|r| r.incarnation != heartbeat.report.incarnation);
+        member.set_report(&heartbeat.report, now);
+        if outcome.is_new || heartbeat.requests_reply {
+            outcome.reply_to.insert(sender);
         }
-        heard
+        outcome
     }
 
-    /// The boxes that have fallen silent since the last call.
+    /// Returns the boxes that have died since the last call.
     pub fn take_dead(&mut self, now: Duration) -> Vec<IpAddr> {
-        let mut silent = Vec::new();
-        let by = self.judged_by(now);
+        let mut dead = Vec::new();
+        let rule = self.liveness_rule(now);
         for (ip, member) in &mut self.known {
-            if member.counts_as_live && !member.is_live(by, now) {
-                member.counts_as_live = false;
-                silent.push(*ip);
+            if member.was_live && !member.is_live(rule, now) {
+                member.was_live = false;
+                dead.push(*ip);
             }
         }
-        silent
+        dead
     }
 
-    /// Whom to give the next sign of life, and how: all in a small fleet, else a few that are alive, those that have not
-    /// answered yet, one that isn't alive, those whose own word is missing, and all of `zone`.
+    /// Returns the receivers of the next heartbeat: all boxes in a small fleet, else a few live
+    /// ones, those with unanswered probes, one dead box, some without a report, and all of `zone`.
     pub fn heartbeat_targets(
         &mut self,
         zone: Option<&ZoneName>,
         now: Duration,
         rng: &mut impl Rng,
     ) -> BTreeMap<IpAddr, HeartbeatOptions> {
-        let by = self.judged_by(now);
-        self.known.retain(|_, m| m.is_live(by, now) || !m.is_forgotten(now));
-        if self.known.len() <= DIRECT_MAX {
-            self.asked.clear();
-            let call = |m: &Member| HeartbeatOptions {
+        let rule = self.liveness_rule(now);
+        self.known.retain(|_, m| m.is_live(rule, now) || !m.can_be_forgotten(now));
+        if self.known.len() <= FULL_MESH_MAX {
+            self.probes.clear();
+            let options = |m: &Member| HeartbeatOptions {
                 requests_reply: m.report.is_none(),
                 includes_updates: true,
             };
-            return self.known.iter().map(|(ip, m)| (*ip, call(m))).collect();
+            return self.known.iter().map(|(ip, m)| (*ip, options(m))).collect();
         }
-        self.doubt_unanswered(now);
-        let (live, away): (Vec<_>, Vec<_>) =
-            self.known.iter().partition(|(_, m)| m.is_live(by, now));
-        let (said, unsaid): (Vec<_>, Vec<_>) =
+        self.suspect_unanswered(now);
+        let (live, dead): (Vec<_>, Vec<_>) =
+            self.known.iter().partition(|(_, m)| m.is_live(rule, now));
+        let (reported, unreported): (Vec<_>, Vec<_>) =
             live.into_iter().partition(|(_, m)| m.report.is_some());
-        let is_here = |m: &Member| zone.is_some_and(|zone| m.is_of(zone));
-        let here = said.iter().filter(|(_, m)| is_here(m)).map(|(ip, _)| **ip);
-        let mut calls: BTreeMap<IpAddr, HeartbeatOptions> =
-            here.map(|ip| (ip, HeartbeatOptions::default())).collect();
-        let asked = unsaid.into_iter().choose_multiple(rng, ASKED_MAX).into_iter();
-        let asked = asked.map(|(ip, _)| *ip).chain(self.asked.keys().copied());
-        calls
+        let is_local = |m: &Member| zone.is_some_and(|zone| m.is_in(zone));
+        let local = reported.iter().filter(|(_, m)| is_local(m)).map(|(ip, _)| **ip);
+        let mut targets: BTreeMap<IpAddr, HeartbeatOptions> =
+            local.map(|ip| (ip, HeartbeatOptions::default())).collect();
+        let asked = unreported.into_iter().choose_multiple(rng, REPORT_REQUESTS_MAX).into_iter();
+        let asked = asked.map(|(ip, _)| *ip).chain(self.probes.keys().copied());
+        targets
             .extend(asked.map(|ip| {
                 (ip, HeartbeatOptions { requests_reply: true, includes_updates: false })
             }));
-        let sure: Vec<_> = said.into_iter().filter(|(_, m)| !m.is_doubted()).collect();
-        let probed = PROBED + self.asked.len().min(PROBED_MORE);
-        let few = sure.into_iter().choose_multiple(rng, FANOUT.max(probed));
-        let few_told = few.iter().take(FANOUT).map(|(ip, _)| {
+        let unsuspected: Vec<_> = reported.into_iter().filter(|(_, m)| !m.is_suspected()).collect();
+        let probe_count = PROBES_PER_HEARTBEAT + self.probes.len().min(EXTRA_PROBES_MAX);
+        let sample = unsuspected.into_iter().choose_multiple(rng, FANOUT.max(probe_count));
+        let receivers = sample.iter().take(FANOUT).map(|(ip, _)| {
             (
                 **ip,
                 HeartbeatOptions {
-                    requests_reply: self.asked.contains_key(*ip),
+                    requests_reply: self.probes.contains_key(*ip),
                     includes_updates: true,
                 },
             )
         });
-        calls.extend(few_told);
-        let back = away.into_iter().choose(rng);
-        calls.extend(back.map(|(ip, _)| {
+        targets.extend(receivers);
+        let dead_target = dead.into_iter().choose(rng);
+        targets.extend(dead_target.map(|(ip, _)| {
             (*ip, HeartbeatOptions { requests_reply: true, includes_updates: true })
         }));
-        let probed: Vec<IpAddr> = few.iter().take(probed).map(|(ip, _)| **ip).collect();
-        for ip in probed {
-            calls.entry(ip).or_default().requests_reply = true;
-            self.asked.entry(ip).or_insert(now);
+        let to_probe: Vec<IpAddr> = sample.iter().take(probe_count).map(|(ip, _)| **ip).collect();
+        for ip in to_probe {
+            targets.entry(ip).or_default().requests_reply = true;
+            self.probes.entry(ip).or_insert(now);
         }
-        calls
+        targets
     }
 
-    /// Doubts those that were asked long enough ago.
-    fn doubt_unanswered(&mut self, now: Duration) {
-        let due: Vec<IpAddr> = self
-            .asked
+    /// Suspects boxes that have not replied to a probe within [`PROBE_TIMEOUT`].
+    fn suspect_unanswered(&mut self, now: Duration) {
+        let overdue: Vec<IpAddr> = self
+            .probes
             .iter()
-            .filter(|(_, at)| **at + DOUBTED_AFTER <= now)
+            .filter(|(_, at)| **at + PROBE_TIMEOUT <= now)
             .map(|(ip, _)| *ip)
             .collect();
-        for ip in due {
-            self.asked.remove(&ip);
-            self.known.get_mut(&ip).into_iter().for_each(|member| member.doubt(now));
+        for ip in overdue {
+            self.probes.remove(&ip);
+            self.known.get_mut(&ip).into_iter().for_each(|member| member.suspect(now));
         }
     }
 
-    /// The boxes of a zone that are alive.
+    /// Returns the live boxes of a zone.
     pub fn live_in_zone(&self, zone: &ZoneName, now: Duration) -> Vec<IpAddr> {
-        self.live(now).filter(|(_, m)| m.is_of(zone)).map(|(ip, _)| ip).collect()
+        self.live(now).filter(|(_, m)| m.is_in(zone)).map(|(ip, _)| ip).collect()
     }
 
-    /// What is told to a box that has just been heard: all reply_to it, and a few tell of others.
+    /// Returns the updates to include in a reply to a new box: all boxes reply, and a few of the
+    /// replies include updates.
     pub fn reply_updates(&self, now: Duration, rng: &mut impl Rng) -> Vec<LivenessUpdate> {
-        let is_told = rng.random_range(0..self.known.len().max(1)) < GREETED_WITH_AGES;
-        if is_told { self.known_ages(AGES_MAX, now, rng) } else { Vec::new() }
+        let includes_updates = rng.random_range(0..self.known.len().max(1)) < REPLIES_WITH_UPDATES;
+        if includes_updates { self.random_updates(UPDATES_MAX, now, rng) } else { Vec::new() }
     }
 
-    /// What a sign of life includes_updates of others: what is news, and how long ago some others were alive.
+    /// Returns the updates to include in a heartbeat: pending gossip, then some randomly drawn
+    /// ones.
     pub fn heartbeat_updates(&mut self, now: Duration, rng: &mut impl Rng) -> Vec<LivenessUpdate> {
-        if self.known.len() <= DIRECT_MAX {
-            return self.known_ages(AGES_MAX, now, rng);
+        if self.known.len() <= FULL_MESH_MAX {
+            return self.random_updates(UPDATES_MAX, now, rng);
         }
-        let mut updates = self.take_news(now);
-        let left = (AGES_MAX - updates.len()).min(KNOWN_AGES);
-        updates.extend(self.known_ages(left, now, rng));
+        let mut updates = self.take_gossip(now);
+        let left = (UPDATES_MAX - updates.len()).min(RANDOM_UPDATES_MAX);
+        updates.extend(self.random_updates(left, now, rng));
         updates
     }
 
-    /// What is news, and whom to tell it; nothing in a small fleet, where all hear of all.
+    /// Returns pending gossip and its receivers; `None` in a small fleet, where heartbeats go to
+    /// all.
     pub fn gossip(
         &mut self,
         now: Duration,
         rng: &mut impl Rng,
     ) -> Option<(Vec<IpAddr>, Vec<LivenessUpdate>)> {
-        if self.known.len() <= DIRECT_MAX || self.known.values().all(|m| m.news == 0) {
+        if self.known.len() <= FULL_MESH_MAX || self.known.values().all(|m| m.sends_left == 0) {
             return None;
         }
-        let live = self.live(now).filter(|(_, m)| !m.is_doubted()).map(|(ip, _)| ip);
+        let live = self.live(now).filter(|(_, m)| !m.is_suspected()).map(|(ip, _)| ip);
         let to = live.choose_multiple(rng, FANOUT);
-        Some((to, self.take_news(now)))
+        Some((to, self.take_gossip(now)))
     }
 
-    fn take_news(&mut self, now: Duration) -> Vec<LivenessUpdate> {
-        let mut news: Vec<(&IpAddr, &mut Member)> =
-            self.known.iter_mut().filter(|(_, m)| m.news != 0).collect();
-        news.sort_by_key(|(_, m)| Reverse(m.news));
-        news.into_iter().take(AGES_MAX).filter_map(|(ip, m)| m.tell(*ip, now)).collect()
+    fn take_gossip(&mut self, now: Duration) -> Vec<LivenessUpdate> {
+        let mut pending: Vec<(&IpAddr, &mut Member)> =
+            self.known.iter_mut().filter(|(_, m)| m.sends_left != 0).collect();
+        pending.sort_by_key(|(_, m)| Reverse(m.sends_left));
+        pending
+            .into_iter()
+            .take(UPDATES_MAX)
+            .filter_map(|(ip, m)| m.take_update(*ip, now))
+            .collect()
     }
 
-    /// What is known of some of the others.
-    fn known_ages(&self, most: usize, now: Duration, rng: &mut impl Rng) -> Vec<LivenessUpdate> {
-        let known = self.known.iter().filter_map(|(ip, m)| m.known(*ip, now));
-        known.choose_multiple(rng, most)
+    /// Returns updates about at most `max` randomly drawn boxes.
+    fn random_updates(&self, max: usize, now: Duration, rng: &mut impl Rng) -> Vec<LivenessUpdate> {
+        let known = self.known.iter().filter_map(|(ip, m)| m.update(*ip, now));
+        known.choose_multiple(rng, max)
     }
 }
--- a/src/fleet/members/member.rs
+++ b/src/fleet/members/member.rs
@@ -1,161 +1,168 @@
-//! Another box, as one box sees it.
+//! What a box knows about another box.
 
 use std::net::IpAddr;
 use std::time::Duration;
 
 use crate::fleet::members::AGE_UNIT;
 use crate::fleet::members::BoxReport;
-use crate::fleet::members::FORGOTTEN_AFTER;
+use crate::fleet::members::FORGET_AFTER;
+use crate::fleet::members::HEARTBEAT_TIMEOUT;
 use crate::fleet::members::LivenessUpdate;
-use crate::fleet::members::SILENT_AFTER;
-use crate::fleet::members::STANDS_AFTER;
+use crate::fleet::members::SUSPICION_TIMEOUT;
 use crate::names::ZoneName;
 
-/// How often news of a box is told, each time to a few. Who misses it is told by chance.
-const NEWS_TOLD: u8 = 6;
+/// How often each update about a box is sent as gossip, each time to a few boxes. Boxes that miss
+/// it learn of it from the randomly drawn updates in heartbeats.
+const GOSSIP_SENDS: u8 = 6;
 
-/// A doubt is told for so long to who may have missed it: less than an age can say, so that none is ever renewed.
-const DOUBTS_TOLD_FOR: Duration = Duration::from_secs(10);
+/// A suspicion is included in randomly drawn updates for this long: less than the largest age that
+/// an update can carry, so that no suspicion is ever renewed.
+const SUSPICION_UPDATE_AGE_MAX: Duration = Duration::from_secs(10);
 
-/// By what it is judged whether another box is alive.
+/// How to decide whether another box is alive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum JudgedBy {
-    /// Signs of life go to all, so who isn't heard of is gone.
-    Silence,
-    /// Who is gone is asked in vain by somebody, and that is told.
-    Doubts,
-    /// This box hears of nobody.
-    Solitude,
+pub(super) enum LivenessRule {
+    /// Heartbeats go to all boxes, so a box that isn't heard from is dead.
+    Timeout,
+    /// A dead box fails to reply to some box's probe, and gossip spreads the suspicion.
+    Suspicion,
+    /// This box receives no heartbeats and considers all others dead.
+    Isolated,
 }
 
-/// Another box.
+/// Another box of the fleet.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// What it said of itself last; nothing while only others have told of it.
+    /// Its last report; `None` while it is only known from other boxes.
     pub report: Option<BoxReport>,
-    /// When it was alive last, as far as known.
+    /// When it was last known to be alive.
     alive_at: Option<Duration>,
-    /// When it was asked in vain, if it hasn't been alive since.
-    doubted_at: Option<Duration>,
-    /// When it was first known of.
-    known_at: Duration,
-    /// When its own word came last.
-    said_at: Duration,
-    /// How often what is known of it is still to be told.
-    pub(super) news: u8,
+    /// When it failed to reply to a probe, if it isn't known to have been alive since.
+    suspected_at: Option<Duration>,
+    /// When this box first heard of it.
+    discovered_at: Duration,
+    /// When its last report was received.
+    reported_at: Duration,
+    /// How often the latest update about it is still to be sent as gossip.
+    pub(super) sends_left: u8,
     pub(super) is_seed: bool,
-    /// Whether its silence has not been told yet.
-    pub(super) counts_as_live: bool,
+    /// Whether it has been alive since [`Members::take_dead`] last returned it.
+    ///
+    /// [`Members::take_dead`]: crate::fleet::members::Members::take_dead
+    pub(super) was_live: bool,
 }
 
 impl Member {
-    pub(super) fn unheard(now: Duration) -> Member {
+    pub(super) fn new(now: Duration) -> Member {
         Member {
             report: None,
             alive_at: None,
-            doubted_at: None,
-            known_at: now,
-            said_at: Duration::ZERO,
-            news: 0,
+            suspected_at: None,
+            discovered_at: now,
+            reported_at: Duration::ZERO,
+            sends_left: 0,
             is_seed: false,
-            counts_as_live: false,
+            was_live: false,
         }
     }
 
-    /// Whether neither it nor anybody else has told of it.
-    pub(super) fn is_unheard_of(&self) -> bool {
+    /// Whether nothing received so far says that it has ever been alive.
+    pub(super) fn was_never_alive(&self) -> bool {
         self.report.is_none() && self.alive_at.is_none()
     }
 
-    pub(super) fn is_live(&self, by: JudgedBy, now: Duration) -> bool {
+    pub(super) fn is_live(&self, rule: LivenessRule, now: Duration) -> bool {
         let Some(alive_at) = self.alive_at else { return false };
-        match by {
-            JudgedBy::Silence => now < alive_at + SILENT_AFTER,
-            JudgedBy::Doubts => self.doubted_at.is_none_or(|at| now < at + STANDS_AFTER),
-            JudgedBy::Solitude => false,
+        match rule {
+            LivenessRule::Timeout => now < alive_at + HEARTBEAT_TIMEOUT,
+            LivenessRule::Suspicion => {
+                self.suspected_at.is_none_or(|at| now < at + SUSPICION_TIMEOUT)
+            }
+            LivenessRule::Isolated => false,
         }
     }
 
-    /// Whether it was asked in vain and hasn't been alive since, as far as known.
-    pub(super) fn is_doubted(&self) -> bool {
-        self.doubted_at.is_some()
+    /// Whether it failed to reply to a probe and isn't known to have been alive since.
+    pub(super) fn is_suspected(&self) -> bool {
+        self.suspected_at.is_some()
     }
 
-    pub(super) fn is_forgotten(&self, now: Duration) -> bool {
-        let last = self.alive_at.max(self.doubted_at).unwrap_or(self.known_at);
-        !self.is_seed && last + FORGOTTEN_AFTER < now
+    pub(super) fn can_be_forgotten(&self, now: Duration) -> bool {
+        let last = self.alive_at.max(self.suspected_at).unwrap_or(self.discovered_at);
+        !self.is_seed && last + FORGET_AFTER < now
     }
 
-    pub(super) fn is_of(&self, zone: &ZoneName) -> bool {
+    pub(super) fn is_in(&self, zone: &ZoneName) -> bool {
         self.report.as_ref().is_some_and(|r| r.zone == *zone)
     }
 
-    /// Its last word, and how old that is.
+    /// Returns its last report and the time since it was received.
     pub fn report_with_age(&self, now: Duration) -> Option<(&BoxReport, Duration)> {
-        Some((self.report.as_ref()?, now.saturating_sub(self.said_at)))
+        Some((self.report.as_ref()?, now.saturating_sub(self.reported_at)))
     }
 
-    /// Takes in its own word.
-    pub(super) fn said(&mut self, report: &BoxReport, now: Duration) {
+    /// Stores a report received from the box itself.
+    pub(super) fn set_report(&mut self, report: &BoxReport, now: Duration) {
         self.report = Some(report.clone());
-        self.said_at = now;
-        self.was_alive(now);
-        self.counts_as_live = true;
+        self.reported_at = now;
+        self.mark_alive(now);
+        self.was_live = true;
     }
 
-    /// Notes that it was alive at a time.
-    pub(super) fn was_alive(&mut self, at: Duration) {
-        let is_refuted = self.doubted_at.is_some_and(|doubted| doubted < at);
+    /// Records that it was alive at a time.
+    pub(super) fn mark_alive(&mut self, at: Duration) {
+        let is_refuted = self.suspected_at.is_some_and(|suspected| suspected < at);
         if is_refuted {
-            self.doubted_at = None;
+            self.suspected_at = None;
         }
         if is_refuted || self.alive_at.is_none() {
-            self.news = NEWS_TOLD;
+            self.sends_left = GOSSIP_SENDS;
         }
         self.alive_at = self.alive_at.max(Some(at));
     }
 
-    /// Notes that it was asked in vain at a time.
-    pub(super) fn doubt(&mut self, at: Duration) {
-        if self.is_doubted() {
+    /// Records that it failed to reply to a probe at a time.
+    pub(super) fn suspect(&mut self, at: Duration) {
+        if self.is_suspected() {
             return;
         }
-        // Whoever told that hasn't heard that it lives, or nobody has heard of the doubt.
-        self.news = NEWS_TOLD;
+        // Either the sender has missed that the box is alive, or the suspicion is new. Both need
+        // gossip.
+        self.sends_left = GOSSIP_SENDS;
         if self.alive_at.is_none_or(|alive| alive <= at) {
-            self.doubted_at = Some(at);
+            self.suspected_at = Some(at);
         }
     }
 
-    /// What is told of it as news, once.
-    pub(super) fn tell(&mut self, ip: IpAddr, now: Duration) -> Option<LivenessUpdate> {
-        self.news -= 1;
-        match self.doubted_at {
+    /// Returns the update about it to send as gossip, and counts the sending.
+    pub(super) fn take_update(&mut self, ip: IpAddr, now: Duration) -> Option<LivenessUpdate> {
+        self.sends_left -= 1;
+        match self.suspected_at {
             Some(at) => {
                 Some(LivenessUpdate { ip, age_tenths_s: tenths(at, now), is_suspicion: true })
             }
-            None => self.age(ip, now),
+            None => self.alive_update(ip, now),
         }
     }
 
-    /// What is known of it, for who has missed the news.
-    pub(super) fn known(&self, ip: IpAddr, now: Duration) -> Option<LivenessUpdate> {
-        match self.doubted_at {
-            Some(at) if now < at + DOUBTS_TOLD_FOR => {
+    /// Returns the update about it for boxes that may have missed the gossip.
+    pub(super) fn update(&self, ip: IpAddr, now: Duration) -> Option<LivenessUpdate> {
+        match self.suspected_at {
+            Some(at) if now < at + SUSPICION_UPDATE_AGE_MAX => {
                 Some(LivenessUpdate { ip, age_tenths_s: tenths(at, now), is_suspicion: true })
             }
             Some(_) => None,
-            None => self.age(ip, now),
+            None => self.alive_update(ip, now),
         }
     }
 
-    /// How long ago it was alive.
-    fn age(&self, ip: IpAddr, now: Duration) -> Option<LivenessUpdate> {
+    /// Returns the update that says how long ago it was alive.
+    fn alive_update(&self, ip: IpAddr, now: Duration) -> Option<LivenessUpdate> {
         Some(LivenessUpdate { ip, age_tenths_s: tenths(self.alive_at?, now), is_suspicion: false })
     }
 }
 
-/// Time since a moment, rounded up as it is told.
+/// Time since `at` in units of [`AGE_UNIT`], rounded up and capped.
 fn tenths(at: Duration, now: Duration) -> u8 {
     let tenths = now.saturating_sub(at).as_millis().div_ceil(AGE_UNIT.as_millis());
     u8::try_from(tenths).unwrap_or(u8::MAX)
--- a/src/fleet/owners.rs
+++ b/src/fleet/owners.rs
@@ -1,9 +1,10 @@
-//! Who owns the model of which engines.
+//! Which boxes own which engines.
 //!
-//! Engines fall into groups by the first bits of a hash of their names. Each group has one box, its
-//! owner, that keeps the models of all its engines and decides what goes there; a standby hears of all
-//! that the owner decides. Both are found by rendezvous hashing among the boxes that are alive, so all
-//! boxes that believe the same fleet alive agree without asking anybody.
+//! Engines are grouped by the first bits of a hash of their names. Each group has one box as its
+//! owner, which tracks the state of all engines of the group and decides which requests they get. A
+//! standby receives all decisions of the owner. Both are selected by rendezvous hashing among the
+//! live boxes, so boxes that agree on which boxes are alive agree on the owners without
+//! communicating.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -20,22 +21,22 @@
 use crate::placement::cold::Role;
 use crate::util::mix;
 
-/// Engines of a group: enough that one is free when others aren't, few enough that what its owner
-/// hears is a small part of what all are sent.
+/// Target size of a group: enough engines that one is free when others aren't, few enough that the
+/// owner receives a small part of all requests' messages.
 const ENGINES_PER_GROUP: f64 = 10.0;
 
-/// Most groups, as a power of two: what a list of 160,000 engines falls into.
-const BITS_MAX: u32 = 14;
+/// The largest number of groups, as a power of two: that of a list of 160,000 engines.
+const GROUP_BITS_MAX: u32 = 14;
 
-/// Only boxes that may use at least this part of what the largest may own groups, since a box that
-/// has used up its part of a core stands still for up to a tenth of a second.
-const CORES_SHARE_MIN: f64 = 0.5;
+/// Only boxes whose CPU limit is at least this share of the largest one's can own groups: a box
+/// that has used up its CPU quota is throttled for up to a tenth of a second.
+const CORES_RATIO_MIN: f64 = 0.5;
 
-/// Fleets of up to so many boxes tell all of them everything: each decides by itself then, and
-/// nobody waits for an answer.
+/// In fleets of up to this many boxes, each box broadcasts all its updates. Every box then decides
+/// on its own, without waiting for an owner's response.
 pub const BROADCAST_BOXES_MAX: usize = 16;
 
-/// Engines whose hashes begin with the same bits.
+/// The engines whose name hashes begin with the same bits.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -45,17 +46,16 @@
 }
 
 impl EngineGroup {
-    /// The group of a hash among `1 << bits` groups.
+    /// Returns the group of a hash among `1 << bits` groups.
     pub fn from_hash(hash: u64, bits: u32) -> EngineGroup {
         EngineGroup { bits, prefix: hash.checked_shr(u64::BITS - bits).unwrap_or(0) }
     }
 
-    /// Whether a hash belongs to it.
     pub fn contains(self, hash: u64) -> bool {
         EngineGroup::from_hash(hash, self.bits) == self
     }
 
-    /// The hashes that belong to it.
+    /// Returns the hashes that belong to the group.
     pub fn hash_range(self) -> RangeInclusive<u64> {
         if self.bits == 0 {
             return 0..=u64::MAX;
@@ -64,7 +64,7 @@
         first..=(first | (u64::MAX >> self.bits))
     }
 
-    /// The rank of a box for the group, by the hash of its address.
+    /// Returns the rendezvous rank of a box for the group, by the hash of its address.
     fn rank(self, hash: u64) -> u64 {
         mix(hash ^ mix((u64::from(self.bits) << (u64::BITS / 2)) ^ self.prefix))
     }
@@ -85,28 +85,26 @@
     }
 }
 
-/// A box that may own groups.
+/// A live box that may own groups.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
-    /// The box.
     pub ip: IpAddr,
-    /// Its availability zone.
     pub zone: ZoneName,
-    /// What it may use of a core.
+    /// CPU limit, in cores.
     pub cores: f64,
 }
 
-/// The boxes that keep a group's models.
+/// The boxes that track a group's engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GroupOwners {
-    /// Who decides.
+    /// The box that places requests on the engines.
     pub owner: IpAddr,
-    /// Who takes over.
+    /// The box that takes over if the owner dies.
     pub standby: Option<IpAddr>,
 }
 
 impl GroupOwners {
-    /// By what right a box decides what goes to the group's engines.
+    /// Returns the role in which a box places requests on the group's engines.
     pub fn role(self, ip: IpAddr) -> Role {
         if self.owner == ip {
             return Role::Owner;
@@ -114,87 +112,88 @@
         if self.standby == Some(ip) { Role::Standby } else { Role::Stranger }
     }
 
-    /// The owner, then the standby.
+    /// Returns the owner, then the standby.
     pub fn boxes(self) -> impl Iterator<Item = IpAddr> {
         std::iter::once(self.owner).chain(self.standby)
     }
 }
 
-/// Who owns which group, as one box sees it.
+/// The owners of all groups, as one box sees them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OwnerTable {
     bits: u32,
-    /// By the groups' prefixes; empty where all boxes are told everything.
+    /// Indexed by the groups' prefixes; empty if all updates are broadcast.
     groups: Vec<GroupOwners>,
 }
 
 impl OwnerTable {
-    /// Owners among `boxes`, this one included, of so many engines.
+    /// Selects owners for this many engines among `boxes`, which include this one.
     pub fn new(boxes: &[Candidate], engines: usize) -> OwnerTable {
         if boxes.len() <= BROADCAST_BOXES_MAX {
             return OwnerTable::default();
         }
-        let most = boxes.iter().map(|b| b.cores).fold(0.0, f64::max);
-        let able = boxes.iter().filter(|b| is_large(b.cores, most));
-        let able: Vec<(u64, &Candidate)> =
-            able.map(|b| (xxh3_64(b.ip.to_string().as_bytes()), b)).collect();
-        let bits = bits(engines);
-        let group = |prefix| owned(EngineGroup { bits, prefix }, &able);
+        let cores_max = boxes.iter().map(|b| b.cores).fold(0.0, f64::max);
+        let candidates = boxes.iter().filter(|b| is_large(b.cores, cores_max));
+        let candidates: Vec<(u64, &Candidate)> =
+            candidates.map(|b| (xxh3_64(b.ip.to_string().as_bytes()), b)).collect();
+        let bits = group_bits(engines);
+        let group = |prefix| select_owners(EngineGroup { bits, prefix }, &candidates);
         OwnerTable { bits, groups: (0..1 << bits).filter_map(group).collect() }
     }
 
-    /// Whether all boxes are told everything, and nothing is owned.
+    /// Whether the fleet is so small that updates are broadcast and no group has an owner.
     pub fn is_empty(&self) -> bool {
         self.groups.is_empty()
     }
 
-    /// The group of an upstream by the hash of its name.
+    /// Returns the group of an upstream by the hash of its name.
     pub fn group(&self, hash: u64) -> EngineGroup {
         EngineGroup::from_hash(hash, self.bits)
     }
 
-    /// Who keeps the models of a group.
     pub fn owners_of(&self, group: EngineGroup) -> Option<GroupOwners> {
         self.groups.get(usize::try_from(group.prefix).ok()?).copied()
     }
 
-    /// The groups whose models `me` keeps, and with whom.
-    pub fn groups_of(&self, me: IpAddr) -> impl Iterator<Item = (EngineGroup, GroupOwners)> {
+    /// Returns the groups that the box at `ip` owns or is the standby of, with their owners.
+    pub fn groups_of(&self, ip: IpAddr) -> impl Iterator<Item = (EngineGroup, GroupOwners)> {
         let bits = self.bits;
         let groups = self.groups.iter().enumerate();
-        let groups = groups.map(move |(n, owned)| (EngineGroup { bits, prefix: n as u64 }, *owned));
-        groups.filter(move |(_, owned)| owned.boxes().any(|ip| ip == me))
+        let groups =
+            groups.map(move |(n, owners)| (EngineGroup { bits, prefix: n as u64 }, *owners));
+        groups.filter(move |(_, owners)| owners.boxes().any(|b| b == ip))
     }
 
-    /// Who keeps the model of an upstream, by the hash of its name.
+    /// Returns the owners of an upstream's group by the hash of the upstream's name.
     pub fn owners_of_hash(&self, hash: u64) -> Option<GroupOwners> {
         self.owners_of(self.group(hash))
     }
 
-    /// All boxes that keep models.
+    /// Returns all boxes that own a group or are the standby of one.
     pub fn all_boxes(&self) -> BTreeSet<IpAddr> {
-        self.groups.iter().flat_map(|owned| owned.boxes()).collect()
+        self.groups.iter().flat_map(|owners| owners.boxes()).collect()
     }
 }
 
-/// Whether a box of these cores does for what others rely on, where the largest may use `most`.
-pub fn is_large(cores: f64, most: f64) -> bool {
-    most * CORES_SHARE_MIN <= cores
+/// Whether a box with a CPU limit of `cores` is large enough to serve others, if the largest box of
+/// the fleet has `cores_max`.
+pub fn is_large(cores: f64, cores_max: f64) -> bool {
+    cores_max * CORES_RATIO_MIN <= cores
 }
 
-/// The power of two of groups that comes nearest to [`ENGINES_PER_GROUP`].
-fn bits(engines: usize) -> u32 {
+/// Returns the number of groups, as a power of two, that comes nearest to [`ENGINES_PER_GROUP`].
+fn group_bits(engines: usize) -> u32 {
     let groups = (engines as f64 / ENGINES_PER_GROUP).max(1.0);
-    (groups.log2().round() as u32).min(BITS_MAX)
+    (groups.log2().round() as u32).min(GROUP_BITS_MAX)
 }
 
-/// The owner comes first by rendezvous hashing. The standby is the next one of another zone, which a
-/// cut doesn't take away with it.
-fn owned(group: EngineGroup, able: &[(u64, &Candidate)]) -> Option<GroupOwners> {
+/// Selects the box with the highest rendezvous rank as owner. The standby is the next one of
+/// another zone, if there is one, so that it survives a failure of the owner's zone.
+fn select_owners(group: EngineGroup, candidates: &[(u64, &Candidate)]) -> Option<GroupOwners> {
     let rank = |(hash, b): &&(u64, &Candidate)| (group.rank(*hash), b.ip);
-    let (_, owner) = able.iter().max_by_key(rank)?;
-    let others = || able.iter().filter(|(_, b)| b.ip != owner.ip);
-    let abroad = others().filter(|(_, b)| b.zone != owner.zone).max_by_key(rank);
-    let standby = abroad.or_else(|| others().max_by_key(rank)).map(|(_, b)| b.ip);
+    let (_, owner) = candidates.iter().max_by_key(rank)?;
+    let others = || candidates.iter().filter(|(_, b)| b.ip != owner.ip);
+    let other_zones = others().filter(|(_, b)| b.zone != owner.zone).max_by_key(rank);
+    let standby = other_zones.or_else(|| others().max_by_key(rank)).map(|(_, b)| b.ip);
     Some(GroupOwners { owner: owner.ip, standby })
 }
--- a/src/fleet/quarantine.rs
+++ b/src/fleet/quarantine.rs
@@ -1,8 +1,9 @@
-//! Which requests end the upstreams that run them, as one box believes it.
+//! Quarantine of requests that crash the upstreams that run them.
 //!
-//! A request comes again, with another id and at another box, so what is known of it is a matter of its fingerprint and of
-//! the whole fleet. Who was at an upstream when that ended is a suspect, one of many; who ends well somewhere is none.
-//! One that was there each of [`CRASHES_MAX`] times is held back.
+//! A request is retried with another id and at another box, so it is identified by its fingerprint,
+//! and boxes share what they know of it. Every request that was running at an upstream when that
+//! crashed is a suspect; one that succeeds somewhere is cleared. A request that was running at
+//! [`CRASHES_MAX`] upstreams when they crashed is held back.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,160 +14,161 @@
 
 use crate::fleet::fingerprint::Fingerprint;
 
-/// Upstreams that may end under a request before it is held back.
+/// Number of crashes under a request at which it is held back.
 pub const CRASHES_MAX: usize = 3;
 
-/// How long the end of an upstream is held against a request, which ends no more than [`CRASHES_MAX`] of them in that
-/// time: long enough for people to find out what is wrong.
-const KEPT_FOR: Duration = Duration::from_secs(3600);
+/// How long a crash counts against a request. A request crashes at most [`CRASHES_MAX`] upstreams
+/// within this time, which is long enough for people to find out what is wrong.
+const RETENTION: Duration = Duration::from_secs(3600);
 
-/// Ends of upstreams within this time may be one loss that has nothing to do with the request, which many callers sent at
-/// once; a caller that comes again and again needs longer for three.
-const AT_ONCE: Duration = Duration::from_millis(250);
+/// Crashes within this time may be a single failure that is unrelated to the request, if many
+/// callers sent the same request at once. Retries of one caller take longer to crash three
+/// upstreams.
+const SIMULTANEOUS_WITHIN: Duration = Duration::from_millis(250);
 
-/// A request that was at such ends is tried again after this, by one box.
-const TRIED_AFTER: Duration = Duration::from_secs(3);
+/// After simultaneous crashes, one box may retry the request after this time.
+const TRIAL_AFTER: Duration = Duration::from_secs(3);
 
-/// Most requests that are remembered, some 150 bytes each.
+/// Limit on the number of suspects, of some 150 bytes each.
 const SUSPECTS_MAX: usize = 8192;
 
-/// Where there are too many, one in so many is forgotten at a time, since to find out which takes a look at all.
-const FORGOTTEN_PART: usize = 4;
+/// At the limit, one in this many suspects is evicted at a time, since the selection has to look at
+/// all.
+const EVICTION_DIVISOR: usize = 4;
 
-/// What is forgotten within this time isn't told any more: boxes that forget it at different moments would tell it each
-/// other again and again.
-const TOLD_UNTIL: Duration = Duration::from_secs(30);
+/// A hold that expires within this time is no longer sent to other boxes. Otherwise boxes that
+/// remove it at different times would keep sending it to each other.
+const REPORT_MARGIN: Duration = Duration::from_secs(30);
 
-/// An end of an upstream, as boxes tell it.
+/// A crash of an upstream, as boxes report it to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// Which instance of which upstream. It can end only once, so boxes that tell of the same end, however late, are not
-    /// believed twice.
+    /// Identifies the instance of the upstream. An instance crashes only once, so several reports
+    /// of the same crash, however late, count once.
     pub instance: u64,
-    /// How long ago, in milliseconds.
+    /// Time since the crash, in milliseconds.
     pub ago_ms: u32,
 }
 
-/// A request that was at upstreams when they ended, as boxes tell it.
+/// A request that was running at upstreams when they crashed, as boxes report it to each other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectReport {
-    /// The request.
     pub fingerprint: Fingerprint,
-    /// All ends that the teller knows of.
+    /// All crashes that the sender knows of.
     pub crashes: Vec<CrashReport>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Crash {
     instance: u64,
-    at: Moment,
+    at: Millis,
 }
 
 impl Crash {
-    /// How long ago it was.
     fn ago(&self, now: Duration) -> Duration {
-        between(self.at, moment(now))
+        elapsed(self.at, millis(now))
     }
 }
 
-/// Milliseconds by this box's clock, which begins with its process: what was before is less than zero.
-type Moment = i64;
+/// Milliseconds by this box's clock. The clock starts with its process, so earlier times are
+/// negative.
+type Millis = i64;
 
-fn moment(time: Duration) -> Moment {
-    Moment::try_from(time.as_millis()).unwrap_or(Moment::MAX)
+fn millis(time: Duration) -> Millis {
+    Millis::try_from(time.as_millis()).unwrap_or(Millis::MAX)
 }
 
-/// Time from one moment to a later one.
-fn between(from: Moment, to: Moment) -> Duration {
+fn elapsed(from: Millis, to: Millis) -> Duration {
     Duration::from_millis(u64::try_from(to - from).unwrap_or_default())
 }
 
 /// How a request is held back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Hold {
-    /// Until it has been tried once more: its upstreams ended at one moment.
+    /// Until it has been retried once: its upstreams crashed at the same time.
     Provisional,
-    /// For as long as its ends are remembered.
+    /// Until the crashes expire.
     Confirmed,
 }
 
-/// What is to be done with a request.
+/// Whether a request may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It may be sent.
     Allowed,
-    /// It must not be sent for this long.
+    /// The request must not be sent for this long.
     Held(Duration),
-    /// One box may send it, one at a time.
+    /// One box may send the request, one attempt at a time.
     OnTrial,
 }
 
-/// The ends of upstreams under one request, oldest first.
+/// The crashes under one request, oldest first.
 type Crashes = Vec<Crash>;
 
-/// The requests that were at upstreams when they ended.
+/// The requests that were running at upstreams when they crashed.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     suspects: BTreeMap<Fingerprint, Crashes>,
 }
 
 impl Quarantine {
-    /// Whether no request is known.
+    /// Whether there are no suspects.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// How many requests are known.
+    /// Returns the number of suspects.
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Whether a request of this quick_hash may be known.
+    /// Whether a request with this quick hash may be a suspect.
     pub fn may_contain(&self, quick_hash: u32) -> bool {
-        let all = Fingerprint::min_of(quick_hash)..=Fingerprint::max_of(quick_hash);
-        self.suspects.range(all).next().is_some()
+        let range = Fingerprint::min_of(quick_hash)..=Fingerprint::max_of(quick_hash);
+        self.suspects.range(range).next().is_some()
     }
 
-    /// How many upstreams have ended under a request.
+    /// Returns the number of upstreams that have crashed under a request.
     pub fn crash_count(&self, fingerprint: &Fingerprint) -> usize {
         self.suspects.get(fingerprint).map_or(0, Vec::len)
     }
 
-    /// What is to be done with a request.
+    /// Returns whether a request may be sent.
     pub fn verdict(&self, fingerprint: &Fingerprint, now: Duration) -> Verdict {
         let Some(crashes) = self.suspects.get(fingerprint) else { return Verdict::Allowed };
         let (Some(first), Some(last)) = (crashes.first(), crashes.last()) else {
             return Verdict::Allowed;
         };
-        match hold(crashes) {
+        match hold_for(crashes) {
             None => Verdict::Allowed,
-            // It may go when so many are left that the next one holds it back again.
-            Some(Hold::Confirmed) => Verdict::Held(KEPT_FOR.saturating_sub(first.ago(now))),
-            Some(Hold::Provisional) if TRIED_AFTER <= last.ago(now) => Verdict::OnTrial,
-            Some(Hold::Provisional) => Verdict::Held(TRIED_AFTER.saturating_sub(last.ago(now))),
+            // The hold ends when the first crash expires. The next crash then holds the request
+            // back again.
+            Some(Hold::Confirmed) => Verdict::Held(RETENTION.saturating_sub(first.ago(now))),
+            Some(Hold::Provisional) if TRIAL_AFTER <= last.ago(now) => Verdict::OnTrial,
+            Some(Hold::Provisional) => Verdict::Held(TRIAL_AFTER.saturating_sub(last.ago(now))),
         }
     }
 
-    /// Notes that a instance of an upstream has ended under a request. Tells how the request is held back from now on, if
-    /// it wasn't so before.
+    /// Records that an instance of an upstream has crashed under a request. Returns how the request
+    /// is held back from now on, if that hold is new or firmer than before.
     pub fn record_crash(
         &mut self,
         fingerprint: Fingerprint,
         instance: u64,
         now: Duration,
     ) -> Option<Hold> {
-        self.add(fingerprint, &[Crash { instance, at: moment(now) }])
+        self.add(fingerprint, &[Crash { instance, at: millis(now) }])
     }
 
-    /// Takes in what another box tells. Tells how the request is held back from now on, if it wasn't so before.
-    pub fn merge(&mut self, suspect: &SuspectReport, now: Duration) -> Option<Hold> {
-        let crash = |told: &CrashReport| {
-            let ago = Duration::from_millis(told.ago_ms.into());
-            let at = moment(now) - i64::from(told.ago_ms);
-            (ago < KEPT_FOR).then_some(Crash { instance: told.instance, at })
+    /// Adds another box's report. Returns how the request is held back from now on, if that hold is
+    /// new or firmer than before.
+    pub fn merge(&mut self, report: &SuspectReport, now: Duration) -> Option<Hold> {
+        let crash = |report: &CrashReport| {
+            let ago = Duration::from_millis(report.ago_ms.into());
+            let at = millis(now) - i64::from(report.ago_ms);
+            (ago < RETENTION).then_some(Crash { instance: report.instance, at })
         };
-        let crashes: Vec<Crash> = suspect.crashes.iter().filter_map(crash).collect();
-        self.add(suspect.fingerprint, &crashes)
+        let crashes: Vec<Crash> = report.crashes.iter().filter_map(crash).collect();
+        self.add(report.fingerprint, &crashes)
     }
 
     fn add(&mut self, fingerprint: Fingerprint, crashes: &[Crash]) -> Option<Hold> {
@@ -174,85 +176,87 @@
             return None;
         }
         if SUSPECTS_MAX <= self.suspects.len() && !self.suspects.contains_key(&fingerprint) {
-            self.make_room();
+            self.evict();
         }
         let known = self.suspects.entry(fingerprint).or_default();
-        let before = hold(known);
+        let previous = hold_for(known);
         for crash in crashes {
             match known.iter_mut().find(|k| k.instance == crash.instance) {
-                // A box that stood still hears of all at once; who tells more of it tells it better.
+                // A box that was suspended receives all reports late and dates the crashes too
+                // late, so the earliest time is the most accurate.
                 Some(known) => known.at = known.at.min(crash.at),
                 None => known.push(*crash),
             }
         }
         known.sort_by_key(|crash| crash.at);
-        // The newest say until when it is held back.
+        // The newest crashes decide how long the request is held back.
         known.drain(..known.len().saturating_sub(CRASHES_MAX));
-        hold(known).filter(|hold| before < Some(*hold))
+        hold_for(known).filter(|hold| previous < Some(*hold))
     }
 
-    /// Forgets a part of those who are the least suspect, and of these the ones that were so longest ago.
-    fn make_room(&mut self) {
+    /// Evicts the suspects with the fewest crashes, and among these the ones with the oldest last
+    /// crash.
+    fn evict(&mut self) {
         let rank = |(fingerprint, crashes): (&Fingerprint, &Crashes)| {
             (crashes.len(), crashes.last().map(|crash| crash.at), *fingerprint)
         };
         let mut ranks: Vec<_> = self.suspects.iter().map(rank).collect();
-        let count = (ranks.len() / FORGOTTEN_PART).max(1);
+        let count = (ranks.len() / EVICTION_DIVISOR).max(1);
         ranks.select_nth_unstable(count - 1);
         ranks[..count].iter().for_each(|(_, _, fingerprint)| _ = self.suspects.remove(fingerprint));
     }
 
-    /// A request has ended well, so no upstream ends by it. One that is held back firmly stays so: others believe it.
-    /// True if it was a suspect.
+    /// Clears a request that has succeeded. A confirmed hold stays, since other boxes have adopted
+    /// it. Returns whether a suspect was removed.
     pub fn clear(&mut self, fingerprint: &Fingerprint) -> bool {
         let known = self.suspects.get(fingerprint);
-        let is_suspect = known.is_some_and(|crashes| hold(crashes) != Some(Hold::Confirmed));
+        let is_suspect = known.is_some_and(|crashes| hold_for(crashes) != Some(Hold::Confirmed));
         if is_suspect {
             self.suspects.remove(fingerprint);
         }
         is_suspect
     }
 
-    /// Forgets what was long ago.
+    /// Removes crashes older than [`RETENTION`].
     pub fn expire(&mut self, now: Duration) {
         self.suspects.retain(|_, crashes| {
-            crashes.retain(|crash| crash.ago(now) < KEPT_FOR);
+            crashes.retain(|crash| crash.ago(now) < RETENTION);
             !crashes.is_empty()
         });
     }
 
-    /// All that is known of a request, to tell it.
+    /// Returns the report about a request for other boxes.
     pub fn report(&self, fingerprint: &Fingerprint, now: Duration) -> Option<SuspectReport> {
-        self.suspects.get(fingerprint).map(|crashes| told(fingerprint, crashes, now))
+        self.suspects.get(fingerprint).map(|crashes| build_report(fingerprint, crashes, now))
     }
 
-    /// The requests that are held back firmly.
+    /// Returns reports of all requests with a confirmed hold that doesn't expire soon.
     pub fn held_reports(&self, now: Duration) -> impl Iterator<Item = SuspectReport> {
-        let held = self.suspects.iter().filter(move |(_, crashes)| is_told(crashes, now));
-        held.map(move |(fingerprint, crashes)| told(fingerprint, crashes, now))
+        let held = self.suspects.iter().filter(move |(_, crashes)| is_reported(crashes, now));
+        held.map(move |(fingerprint, crashes)| build_report(fingerprint, crashes, now))
     }
 
-    /// A digest of the requests that are held back firmly; zero for none.
+    /// Returns a digest of the requests that [`Quarantine::held_reports`] returns; zero for none.
     pub fn held_digest(&self, now: Duration) -> u64 {
-        let held = self.suspects.iter().filter(|(_, crashes)| is_told(crashes, now));
+        let held = self.suspects.iter().filter(|(_, crashes)| is_reported(crashes, now));
         held.fold(0, |digest, (fingerprint, _)| digest ^ xxh3_64(fingerprint.as_bytes()))
     }
 }
 
-fn hold(crashes: &[Crash]) -> Option<Hold> {
+fn hold_for(crashes: &[Crash]) -> Option<Hold> {
     let (first, last) = (crashes.first()?, crashes.last()?);
-    let is_at_once = between(first.at, last.at) < AT_ONCE;
-    let hold = if is_at_once { Hold::Provisional } else { Hold::Confirmed };
+    let is_simultaneous = elapsed(first.at, last.at) < SIMULTANEOUS_WITHIN;
+    let hold = if is_simultaneous { Hold::Provisional } else { Hold::Confirmed };
     (CRASHES_MAX <= crashes.len()).then_some(hold)
 }
 
-/// Whether a request is held back for so long that others should know.
-fn is_told(crashes: &[Crash], now: Duration) -> bool {
-    hold(crashes) == Some(Hold::Confirmed)
-        && crashes.iter().all(|crash| crash.ago(now) + TOLD_UNTIL < KEPT_FOR)
+/// Whether a request has a confirmed hold that does not expire too soon to be sent to other boxes.
+fn is_reported(crashes: &[Crash], now: Duration) -> bool {
+    hold_for(crashes) == Some(Hold::Confirmed)
+        && crashes.iter().all(|crash| crash.ago(now) + REPORT_MARGIN < RETENTION)
 }
 
-fn told(fingerprint: &Fingerprint, crashes: &[Crash], now: Duration) -> SuspectReport {
+fn build_report(fingerprint: &Fingerprint, crashes: &[Crash], now: Duration) -> SuspectReport {
     let crash = |crash: &Crash| {
         let ago = crash.ago(now).as_millis();
         CrashReport { instance: crash.instance, ago_ms: u32::try_from(ago).unwrap_or(u32::MAX) }
--- a/src/fleet/revision.rs
+++ b/src/fleet/revision.rs
@@ -1,8 +1,8 @@
 //! Revisions of the platform's store.
 //!
-//! A store that is restored from an older copy assigns revision numbers again, for other content. Each
-//! restore starts a new era, and revisions are ordered by era first. Boxes compare their state by this
-//! order alone, so a box that has not heard of an era is behind all boxes that have.
+//! A store that is restored from an older copy assigns revision numbers again, for other content.
+//! Each restore starts a new era, and revisions are ordered by era first. Boxes compare their state
+//! by this order alone, so a box that has not heard of an era is behind all boxes that have.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -16,8 +16,8 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Revision {
-    /// How often the store has been restored from a copy, by its own count; zero if it doesn't report
-    /// that.
+    /// How often the store has been restored from a copy, by its own count; zero if it doesn't
+    /// report that.
     pub era: u64,
     /// The store's change counter.
     pub number: u64,
--- a/src/fleet/rollout/regression.rs
+++ b/src/fleet/rollout/regression.rs
@@ -1,95 +1,99 @@
-//! Whether a new version is worse than the old one, by the answers that both gave at the same time.
+//! Detects whether a new version is worse than the old one, by responses of both from the same
+//! time.
 //!
-//! An answer of the new version is bad if it failed, or took several times as long as three in four of the old version's
-//! on the same route. Bad ones are tested against the old version's own part of them by cumulative sums (Page, 1954), for each
-//! route and for all together, so that a version that turns bad late, or on one route only, is found as soon. Memory is
-//! constant for a version and route.
+//! A response of the new version is bad if it failed, or took several times as long as three in
+//! four of the old version's responses on the same route. The rate of bad responses is compared
+//! with the old version's own rate by a CUSUM test (Page, 1954), for each route and for all routes
+//! together. A version that turns bad late, or on one route only, is thus detected as quickly.
+//! Memory per version and route is constant.
 
 use std::collections::BTreeMap;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Times are counted in steps of half an octave, from a millisecond to some 65 seconds.
-const STEPS: usize = 32;
+/// Buckets of the time histograms: each spans half an octave, from a millisecond to some 65
+/// seconds.
+const BUCKETS: usize = 32;
 
-/// An answer that is this many steps beyond three in four of the others took several times as long.
-const SLOW_STEPS: usize = 3;
+/// A response is slow if its time is this many buckets above the third quartile of the old
+/// version's.
+const SLOW_BUCKETS: usize = 3;
 
-/// Answers of the old version by which its times are known.
-const TIMES_MIN: f64 = 20.0;
+/// Responses of the old version that are needed before a response counts as slow.
+const SAMPLES_MIN: f64 = 20.0;
 
-/// How much more of the new version's answers may be bad before it counts as worse, and what is looked for.
-const MARGIN: f64 = 0.05;
-const EXCESS: f64 = 0.25;
+/// Tolerated increase of the rate of bad responses, and the further increase that the test detects.
+const BAD_RATE_MARGIN: f64 = 0.05;
+const BAD_RATE_EXCESS: f64 = 0.25;
 
-/// Part of the old version's answers that is bad at the least, for what it hasn't shown yet.
-const BAD_MIN: f64 = 0.02;
+/// Lower bound of the old version's rate of bad responses, since few responses may contain no bad
+/// one.
+const BAD_RATE_MIN: f64 = 0.02;
 
-/// The sum of log likelihood ratios at which a version is bad. A good one comes there less than once in `e` to the power
-/// of this many answers.
-const ALARM: f64 = 6.0;
+/// Sum of log likelihood ratios at which a version counts as worse. A good version reaches it less
+/// than once in `e` to the power of this many responses.
+const CUSUM_THRESHOLD: f64 = 6.0;
 
-/// Routes with less than this part of the old version's answers need not be shown before the new one gets more.
-const BUSY_PART: f64 = 0.05;
+/// Routes with less than this share of the old version's responses don't delay a roll-out.
+const BUSY_SHARE_MIN: f64 = 0.05;
 
-/// What the old version has shown is forgotten by half in so many answers: the two are compared at the same time.
-const HALF_LIFE: f64 = 400.0;
+/// Number of responses after which the old version's earlier ones count half, so that both versions
+/// are compared over the same time.
+const HALF_LIFE_RESPONSES: f64 = 400.0;
 
-/// What became of an answer.
+/// Outcome of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ResponseOutcome {
-    /// It failed.
     Failed,
-    /// Its first piece came; the step of the time that it took.
+    /// The first chunk arrived; the [`time_bucket`] of the time it took.
     FirstChunk(u8),
-    /// It came whole; the step of the time between its events.
+    /// The response is complete; the [`time_bucket`] of the time between its events.
     ChunkInterval(u8),
 }
 
-/// What became of an answer, and whose it was.
+/// A response's outcome and the version that gave it, as boxes report it to the judges.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResponseReport {
-    /// Whether the new version gave it.
+    /// Whether the new version gave the response.
     pub is_target: bool,
-    /// Names the route.
+    /// Hash of the route's name.
     pub route: u32,
-    /// What became of it.
     pub outcome: ResponseOutcome,
 }
 
-/// The step of a time in milliseconds.
+/// Returns the histogram bucket of a time in milliseconds.
 pub fn time_bucket(ms: f64) -> u8 {
-    let step = (ms.max(1.0).log2() * 2.0).round();
-    step.min((STEPS - 1) as f64) as u8
+    let bucket = (ms.max(1.0).log2() * 2.0).round();
+    bucket.min((BUCKETS - 1) as f64) as u8
 }
 
-/// What the old version has shown on a route: times by step, and failures.
+/// Times and failures of the old version on a route.
 #[derive(Clone, Debug, Default)]
-struct Usual {
-    first: Times,
-    pace: Times,
-    answers: f64,
+struct Baseline {
+    first_chunk: TimeHistogram,
+    chunk_interval: TimeHistogram,
+    responses: f64,
     failed: f64,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Times {
-    counts: [f64; STEPS],
+struct TimeHistogram {
+    counts: [f64; BUCKETS],
     sum: f64,
 }
 
-impl Times {
-    fn add(&mut self, step: u8) {
-        let keep = 0.5f64.powf(1.0 / HALF_LIFE);
-        self.counts.iter_mut().for_each(|count| *count *= keep);
-        self.sum = self.sum * keep + 1.0;
-        self.counts[usize::from(step).min(STEPS - 1)] += 1.0;
+impl TimeHistogram {
+    fn add(&mut self, bucket: u8) {
+        let decay = 0.5f64.powf(1.0 / HALF_LIFE_RESPONSES);
+        self.counts.iter_mut().for_each(|count| *count *= decay);
+        self.sum = self.sum * decay + 1.0;
+        self.counts[usize::from(bucket).min(BUCKETS - 1)] += 1.0;
     }
 
-    /// The step from which on an answer is slow; nothing while too little is known.
+    /// Returns the bucket from which on a response is slow; `None` before [`SAMPLES_MIN`] samples.
     fn slow_from(&self) -> Option<usize> {
-        if self.sum < TIMES_MIN {
+        if self.sum < SAMPLES_MIN {
             return None;
         }
         let mut below = 0.0;
@@ -97,102 +101,108 @@
             below += count;
             self.sum * 0.75 <= below
         });
-        quartile.map(|step| step + SLOW_STEPS)
+        quartile.map(|bucket| bucket + SLOW_BUCKETS)
     }
 
-    fn is_slow(&self, step: u8) -> bool {
-        self.slow_from().is_some_and(|from| from <= usize::from(step))
+    fn is_slow(&self, bucket: u8) -> bool {
+        self.slow_from().is_some_and(|from| from <= usize::from(bucket))
     }
 
-    /// The part of them that is slow.
-    fn slow_part(&self) -> f64 {
+    /// Returns the fraction of slow responses.
+    fn slow_rate(&self) -> f64 {
         let Some(from) = self.slow_from() else { return 0.0 };
         let slow: f64 = self.counts.iter().skip(from).sum();
         slow / self.sum
     }
 }
 
-impl Usual {
+impl Baseline {
     fn add(&mut self, outcome: ResponseOutcome) {
-        let keep = 0.5f64.powf(1.0 / HALF_LIFE);
+        let decay = 0.5f64.powf(1.0 / HALF_LIFE_RESPONSES);
         match outcome {
             ResponseOutcome::Failed => {
-                self.answers = self.answers * keep + 1.0;
-                self.failed = self.failed * keep + 1.0;
+                self.responses = self.responses * decay + 1.0;
+                self.failed = self.failed * decay + 1.0;
             }
-            ResponseOutcome::FirstChunk(step) => {
-                self.answers = self.answers * keep + 1.0;
-                self.failed *= keep;
-                self.first.add(step);
+            ResponseOutcome::FirstChunk(bucket) => {
+                self.responses = self.responses * decay + 1.0;
+                self.failed *= decay;
+                self.first_chunk.add(bucket);
             }
-            ResponseOutcome::ChunkInterval(step) => self.pace.add(step),
+            ResponseOutcome::ChunkInterval(bucket) => self.chunk_interval.add(bucket),
         }
     }
 
     fn is_bad(&self, outcome: ResponseOutcome) -> bool {
         match outcome {
             ResponseOutcome::Failed => true,
-            ResponseOutcome::FirstChunk(step) => self.first.is_slow(step),
-            ResponseOutcome::ChunkInterval(step) => self.pace.is_slow(step),
+            ResponseOutcome::FirstChunk(bucket) => self.first_chunk.is_slow(bucket),
+            ResponseOutcome::ChunkInterval(bucket) => self.chunk_interval.is_slow(bucket),
         }
     }
 
-    /// The part of its answers that is bad.
-    fn bad_part(&self) -> f64 {
-        let failed = if self.answers == 0.0 { 0.0 } else { self.failed / self.answers };
-        (failed + self.first.slow_part().max(self.pace.slow_part())).max(BAD_MIN)
+    /// Returns the fraction of bad responses.
+    fn bad_rate(&self) -> f64 {
+        let failed = if self.responses == 0.0 { 0.0 } else { self.failed / self.responses };
+        (failed + self.first_chunk.slow_rate().max(self.chunk_interval.slow_rate()))
+            .max(BAD_RATE_MIN)
     }
 }
 
-/// What the new version has shown on a route.
+/// The CUSUM test of the new version on a route.
 #[derive(Clone, Copy, Debug, Default)]
-struct Shown {
-    answers: u64,
+struct RouteTest {
+    responses: u64,
     sum: f64,
 }
 
-/// The evidence on one new version.
+/// Compares one new version with the old one.
 #[derive(Clone, Debug, Default)]
 pub struct RegressionDetector {
-    usual: BTreeMap<u32, Usual>,
-    shown: BTreeMap<u32, Shown>,
-    /// The sum over all routes.
+    baselines: BTreeMap<u32, Baseline>,
+    tests: BTreeMap<u32, RouteTest>,
+    /// CUSUM over all routes.
     sum: f64,
-    is_bad: bool,
+    has_regressed: bool,
 }
 
 impl RegressionDetector {
-    /// Takes in what became of an answer.
-    pub fn add(&mut self, observed: ResponseReport) {
-        let ResponseReport { is_target, route, outcome } = observed;
-        let usual = self.usual.entry(route).or_default();
+    pub fn add(&mut self, report: ResponseReport) {
+        let ResponseReport { is_target, route, outcome } = report;
+        let baseline = self.baselines.entry(route).or_default();
         if !is_target {
-            usual.add(outcome);
+            baseline.add(outcome);
             return;
         }
-        let before = (usual.bad_part() + MARGIN).min(1.0 - EXCESS - MARGIN);
-        let after = before + EXCESS;
-        let ratio = match usual.is_bad(outcome) {
-            true => (after / before).ln(),
-            false => ((1.0 - after) / (1.0 - before)).ln(),
+        let tolerated =
+            (baseline.bad_rate() + BAD_RATE_MARGIN).min(1.0 - BAD_RATE_EXCESS - BAD_RATE_MARGIN);
+        let detected = tolerated + BAD_RATE_EXCESS;
+        let ratio = match baseline.is_bad(outcome) {
+            true => (detected / tolerated).ln(),
+            false => ((1.0 - detected) / (1.0 - tolerated)).ln(),
         };
-        let shown = self.shown.entry(route).or_default();
-        shown.answers += u64::from(!matches!(outcome, ResponseOutcome::ChunkInterval(_)));
-        shown.sum = (shown.sum + ratio).max(0.0);
+        let test = self.tests.entry(route).or_default();
+        test.responses += u64::from(!matches!(outcome, ResponseOutcome::ChunkInterval(_)));
+        test.sum = (test.sum + ratio).max(0.0);
         self.sum = (self.sum + ratio).max(0.0);
-        self.is_bad |= ALARM <= shown.sum.max(self.sum);
+        self.has_regressed |= CUSUM_THRESHOLD <= test.sum.max(self.sum);
     }
 
-    /// Answers of the new version so far on the route where it has given fewest, of those with a part of the requests.
+    /// Returns the number of responses of the new version on the busy route where it has given
+    /// fewest.
     pub fn min_responses(&self) -> u64 {
-        let all: f64 = self.usual.values().map(|usual| usual.answers).sum();
-        let busy = self.usual.iter().filter(|(_, usual)| all * BUSY_PART <= usual.answers);
-        let answers = busy.map(|(route, _)| self.shown.get(route).map_or(0, |s| s.answers));
-        answers.min().unwrap_or(0)
+        let all: f64 = self.baselines.values().map(|baseline| baseline.responses).sum();
+        let busy = self
+            .baselines
+            .iter()
+            .filter(|(_, baseline)| all * BUSY_SHARE_MIN <= baseline.responses);
+        let responses =
+            busy.map(|(route, _)| self.tests.get(route).map_or(0, |test| test.responses));
+        responses.min().unwrap_or(0)
     }
 
     /// Whether the new version is worse than the old one.
     pub fn has_regressed(&self) -> bool {
-        self.is_bad
+        self.has_regressed
     }
 }
--- a/src/fleet/store_watch.rs
+++ b/src/fleet/store_watch.rs
@@ -1,5 +1,6 @@
-//! Which boxes watch the platform's store. To limit the number of calls to the store, only a few boxes
-//! of each availability zone watch it in a larger fleet, and forward changes to the rest of their zone.
+//! Which boxes watch the platform's store. To limit the number of calls to the store, only a few
+//! boxes of each availability zone watch it in a larger fleet, and forward changes to the rest of
+//! their zone.
 
 use std::net::IpAddr;
 use std::time::Duration;
@@ -9,20 +10,21 @@
 use crate::fleet::owners;
 use crate::fleet::owners::BROADCAST_BOXES_MAX;
 
-/// Boxes of a zone that watch. The store may reject single boxes: where it rejects one in three, one
-/// zone in 27 has no watcher that is served until other boxes take over.
+/// Boxes of a zone that watch. The store may reject single boxes: where it rejects one in three,
+/// one zone in 27 has no watcher that is served until other boxes take over.
 const WATCHERS_PER_ZONE: usize = 3;
 
-/// Another box starts to watch when no box of the zone has reported for this long that it reaches the
-/// store: two heartbeats, and half a heartbeat for late ones.
+/// Another box starts to watch when no box of the zone has reported for this long that it reaches
+/// the store: two heartbeats, and half a heartbeat for late ones.
 const TAKEOVER_AFTER: Duration = Duration::from_millis(1000);
 
 /// One more box starts to watch after each further interval of this length, so that an unavailable
 /// store isn't called by the whole fleet.
 const TAKEOVER_STEP: Duration = Duration::from_millis(300);
 
-/// On the first start of the whole fleet, a box discovers the others for this long before it watches.
-/// Otherwise each box would list all upstreams, and the responses would fill the store's link.
+/// On the first start of the whole fleet, a box discovers the others for this long before it
+/// watches. Otherwise each box would list all upstreams, and the responses would fill the store's
+/// link.
 const DISCOVERY_TIME: Duration = Duration::from_millis(1000);
 
 /// Another live box of the same availability zone.
--- a/src/fleet/sync_state.rs
+++ b/src/fleet/sync_state.rs
@@ -1,5 +1,5 @@
-//! Whether the upstream list of a box that doesn't watch the platform's store is up to date, compared
-//! with the boxes that do.
+//! Whether the upstream list of a box that doesn't watch the platform's store is up to date,
+//! compared with the boxes that do.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -31,12 +31,13 @@
     InSync,
     /// The boxes at these addresses have received changes that this one may have missed.
     Behind(Vec<SocketAddr>),
-    /// At the same revision, all boxes list other upstreams than this one. The box at this address has
-    /// reported last.
+    /// At the same revision, all boxes list other upstreams than this one. The box at this address
+    /// has reported last.
     Diverged(SocketAddr),
 }
 
-/// Compares a list that has this digest and is complete up to `revision` with what other boxes report.
+/// Compares a list that has this digest and is complete up to `revision` with what other boxes
+/// report.
 pub fn evaluate(
     revision: Revision,
     upstreams_digest: u64,
