--- a/src/fleet/draining.rs
+++ b/src/fleet/draining.rs
@@ -27,7 +27,8 @@
     pub upstream: UpstreamName,
     /// When the instance that the request was sent to started, in milliseconds since 1970 by its
     /// own clock; `None` if unknown.
-    pub born: Option<u64>,
+    #[serde(rename = "born")]
+    pub started_at_ms: Option<u64>,
     /// When it responded, in milliseconds since 1970 by the clock of the box that sent the request.
     pub answered_at_ms: u64,
 }
@@ -49,7 +50,7 @@
     /// Adds a notice. Returns false if there already is one for this instance or a newer one.
     pub fn add(&mut self, notice: &DrainNotice, now: Duration) -> bool {
         let existing = self.by_name.get(&notice.upstream);
-        if existing.is_some_and(|entry| notice.born <= entry.notice.born) {
+        if existing.is_some_and(|entry| notice.started_at_ms <= entry.notice.started_at_ms) {
             return false;
         }
         let entry = Entry { notice: notice.clone(), noted_at: now, listed_at: now };
@@ -69,9 +70,14 @@
 
     /// Whether the listed instance of an upstream is draining. Removes a notice that is about an
     /// earlier instance.
-    pub fn is_draining(&mut self, name: &UpstreamName, born: Option<u64>, now: Duration) -> bool {
+    pub fn is_draining(
+        &mut self,
+        name: &UpstreamName,
+        started_at_ms: Option<u64>,
+        now: Duration,
+    ) -> bool {
         let Some(entry) = self.by_name.get_mut(name) else { return false };
-        if entry.is_about_earlier_instance(born, now) {
+        if entry.is_about_earlier_instance(started_at_ms, now) {
             self.by_name.remove(name);
             return false;
         }
@@ -81,9 +87,13 @@
 
     /// Returns until when an instance that is newer than the one the request was sent to is assumed
     /// to be the one that responded; `None` if it isn't newer.
-    pub fn uncertain_until(&self, name: &UpstreamName, born: Option<u64>) -> Option<Duration> {
+    pub fn uncertain_until(
+        &self,
+        name: &UpstreamName,
+        started_at_ms: Option<u64>,
+    ) -> Option<Duration> {
         let entry = self.by_name.get(name)?;
-        entry.is_newer_instance(born).then_some(entry.noted_at + DRAIN_TIME_MAX)
+        entry.is_newer_instance(started_at_ms).then_some(entry.noted_at + DRAIN_TIME_MAX)
     }
 
     pub fn iter(&self) -> impl Iterator<Item = &DrainNotice> {
@@ -102,13 +112,17 @@
 }
 
 impl Entry {
-    fn is_about_earlier_instance(&self, born: Option<u64>, now: Duration) -> bool {
-        let has_started_after_response = born.is_some_and(|born| self.notice.answered_at_ms < born);
+    fn is_about_earlier_instance(&self, started_at_ms: Option<u64>, now: Duration) -> bool {
+        let has_started_after_response =
+            started_at_ms.is_some_and(|started_at_ms| self.notice.answered_at_ms < started_at_ms);
         has_started_after_response
-            || (self.is_newer_instance(born) && self.noted_at + DRAIN_TIME_MAX <= now)
+            || (self.is_newer_instance(started_at_ms) && self.noted_at + DRAIN_TIME_MAX <= now)
     }
 
-    fn is_newer_instance(&self, born: Option<u64>) -> bool {
-        self.notice.born.zip(born).is_some_and(|(asked, born)| asked < born)
+    fn is_newer_instance(&self, started_at_ms: Option<u64>) -> bool {
+        self.notice
+            .started_at_ms
+            .zip(started_at_ms)
+            .is_some_and(|(asked, started_at_ms)| asked < started_at_ms)
     }
 }
--- a/src/fleet/owners.rs
+++ b/src/fleet/owners.rs
@@ -109,7 +109,7 @@
         if self.owner == ip {
             return Role::Owner;
         }
-        if self.standby == Some(ip) { Role::Standby } else { Role::Stranger }
+        if self.standby == Some(ip) { Role::Standby } else { Role::Unassigned }
     }
 
     /// Returns the owner, then the standby.
--- a/src/proxy/gossip.rs
+++ b/src/proxy/gossip.rs
@@ -15,16 +15,16 @@
 use crate::fleet::members::HeartbeatMessage;
 use crate::fleet::members::HeartbeatOutcome;
 use crate::fleet::sync_state::SyncState;
-use crate::proxy::asking;
+use crate::proxy::aligned_timer;
+use crate::proxy::box_api;
+use crate::proxy::engine_placement;
 use crate::proxy::hub::Hub;
-use crate::proxy::intake;
 use crate::proxy::message::Message;
-use crate::proxy::pace;
-use crate::proxy::peers::DATAGRAM_MAX;
-use crate::proxy::peers::State;
-use crate::proxy::plain;
+use crate::proxy::peers::DATAGRAM_MAX_BYTES;
+use crate::proxy::peers::OwnState;
+use crate::proxy::plain_placement;
 use crate::proxy::rollouts;
-use crate::proxy::side;
+use crate::proxy::state_updates;
 use crate::proxy::view::View;
 
 /// Datagrams taken in before others get their turn.
@@ -59,7 +59,7 @@
 
 async fn listen(hub: Arc<Hub>) {
     let socket = hub.peers().socket.clone();
-    let mut buf = [0; DATAGRAM_MAX];
+    let mut buf = [0; DATAGRAM_MAX_BYTES];
     loop {
         let (len, from) = match socket.recv_from(&mut buf).await {
             Ok(received) => received,
@@ -89,9 +89,13 @@
         buf = rest;
         match message {
             Message::Heartbeat(beat) => hear(hub, &beat),
-            Message::Ask(ask) => asking::answer(hub, &ask, from.ip()),
-            Message::AskPlain(ask) => plain::answer(hub, &ask, from.ip()),
-            message => intake::message(hub, message, from.ip()),
+            Message::PlacementRequest(ask) => {
+                engine_placement::handle_request(hub, &ask, from.ip())
+            }
+            Message::PlainPlacementRequest(ask) => {
+                plain_placement::handle_request(hub, &ask, from.ip())
+            }
+            message => state_updates::apply_message(hub, message, from.ip()),
         }
     }
 }
@@ -106,7 +110,7 @@
     let report = &beat.report;
     if has_restarted {
         info!(hub.log(), "box restarted"; "name" => report.name.as_str());
-        hub.fleet(|fleet| fleet.forget_sender(report.addr.ip()));
+        hub.fleet(|fleet| fleet.remove_sender(report.addr.ip()));
     }
     if is_new {
         info!(hub.log(), "box heard"; "name" => report.name.as_str(),
@@ -115,26 +119,26 @@
     if hub.read(|view| view.evacuated().revision) < report.evacuated.revision {
         hub.change(|view, now| view.evacuate(&report.evacuated, now));
     }
-    rollouts::hear(hub, &report.rollouts);
+    rollouts::merge_reports(hub, &report.rollouts);
     if hub.version() < report.version {
-        peers.behind.notify_one();
+        peers.newer_configuration.notify_one();
     }
     if !reply_to.is_empty() {
-        peers.greet(state(hub), &reply_to);
+        peers.send_heartbeat_to(state(hub), &reply_to);
     }
 }
 
 /// Tells what is news of other boxes, if anything is; to be called every [`GOSSIP_INTERVAL`].
 ///
 /// [`GOSSIP_INTERVAL`]: crate::fleet::members::GOSSIP_INTERVAL
-pub fn tell_news(hub: &Hub) {
-    hub.peers().tell_news(|| state(hub));
+pub fn send_gossip(hub: &Hub) {
+    hub.peers().send_gossip(|| state(hub));
 }
 
-fn state(hub: &Hub) -> State {
+fn state(hub: &Hub) -> OwnState {
     let held = hub.suspects().read(|quarantine| quarantine.held_digest(hub.now()));
-    let rollouts = rollouts::told(hub);
-    hub.read(|view| State {
+    let rollouts = rollouts::own_reports(hub);
+    hub.read(|view| OwnState {
         version: view.version(),
         sees_store: view.reaches_store(),
         is_warm: hub.is_warm(),
@@ -152,12 +156,15 @@
         let now = peers.now();
         for ip in peers.members(|members| members.take_dead(now)) {
             info!(hub.log(), "box silent"; "ip" => %ip);
-            hub.fleet(|fleet| fleet.forget_sender(ip));
+            hub.fleet(|fleet| fleet.remove_sender(ip));
         }
-        peers.beat(state(&hub));
+        peers.send_heartbeats(state(&hub));
         // Whichever comes first.
-        let _ = tokio::time::timeout_at(pace::next(HEARTBEAT_INTERVAL), peers.announced.notified())
-            .await;
+        let _ = tokio::time::timeout_at(
+            aligned_timer::next_tick(HEARTBEAT_INTERVAL),
+            peers.heartbeat_requested.notified(),
+        )
+        .await;
     }
 }
 
@@ -168,8 +175,8 @@
     let mut asked_at = None;
     loop {
         // Whichever comes first. Many boxes hear of a configuration at once; they don't ask at once.
-        let due = pace::next(ASK_AFTER);
-        if tokio::time::timeout_at(due, hub.peers().behind.notified()).await.is_ok() {
+        let due = aligned_timer::next_tick(ASK_AFTER);
+        if tokio::time::timeout_at(due, hub.peers().newer_configuration.notified()).await.is_ok() {
             let part = rand::rng().random_range(0.0..1.0);
             tokio::time::sleep(ASK_SPREAD.mul_f64(part)).await;
         }
@@ -186,7 +193,7 @@
             (None, SyncState::Behind(all)) if !was_asked || !is_known => {
                 let Some(addr) = all.into_iter().choose(&mut rand::rng()) else { continue };
                 asked_at = Some(Instant::now());
-                ask_changes(&hub, addr).await;
+                fetch_changes(&hub, addr).await;
             }
             (None, _) => {}
         }
@@ -195,30 +202,30 @@
 
 /// A box with a newer configuration, and how this one stands to those that see the store.
 fn missing(hub: &Hub, is_small: bool) -> (Option<SocketAddr>, SyncState) {
-    let State { version, sees_store, upstreams, revision, .. } = state(hub);
+    let OwnState { version, sees_store, upstreams, revision, .. } = state(hub);
     let peers = hub.peers();
     let standing = if sees_store {
         SyncState::InSync
     } else if is_small {
-        peers.with_store().map_or(SyncState::InSync, SyncState::Diverged)
+        peers.box_with_store().map_or(SyncState::InSync, SyncState::Diverged)
     } else {
         peers.standing(revision, upstreams)
     };
-    (peers.ahead_of(version), standing)
+    (peers.box_with_newer_configuration(version), standing)
 }
 
 /// Asks another box for all that differs.
 async fn ask(hub: &Hub, addr: SocketAddr) {
-    match side::ask(addr, hub).await {
-        Ok(snapshot) => hub.take_over(snapshot),
+    match box_api::fetch_difference(addr, hub).await {
+        Ok(snapshot) => hub.apply_snapshot(snapshot),
         Err(e) => debug!(hub.log(), "box not asked"; "addr" => %addr, "error" => %e),
     }
 }
 
 /// Asks another box for what has changed, or for all that differs if it doesn't know that any more.
-async fn ask_changes(hub: &Hub, addr: SocketAddr) {
-    match side::ask_changes(addr, hub).await {
-        Ok(Some(changes)) => hub.take_over(changes),
+async fn fetch_changes(hub: &Hub, addr: SocketAddr) {
+    match box_api::fetch_changes(addr, hub).await {
+        Ok(Some(changes)) => hub.apply_snapshot(changes),
         Ok(None) => ask(hub, addr).await,
         Err(e) => debug!(hub.log(), "box not asked"; "addr" => %addr, "error" => %e),
     }
--- a/src/proxy/hub.rs
+++ b/src/proxy/hub.rs
@@ -18,31 +18,31 @@
 use crate::names::UpstreamName;
 use crate::placement::admit;
 use crate::placement::admit::Denial;
-use crate::placement::admit::Wish;
+use crate::placement::admit::PlacementQuery;
 use crate::placement::choice::Choice;
-use crate::placement::choice::NoChoice;
-use crate::placement::choice::Wanted;
-use crate::placement::fleet::Fleet;
-use crate::placement::fleet::learned::Learned;
+use crate::placement::choice::ChoiceError;
+use crate::placement::choice::SelectionCriteria;
 use crate::placement::plain;
+use crate::placement::registry::UpstreamRegistry;
+use crate::placement::registry::learned::LearnedReport;
 use crate::placement::share::Shares;
-use crate::proxy::asking::Asking;
-use crate::proxy::budget::Budget;
+use crate::proxy::adapter::EngineClient;
+use crate::proxy::adapter::HeaderAdapter;
 use crate::proxy::capacity;
-use crate::proxy::dialect::Dialect;
-use crate::proxy::dialect::Engines;
-use crate::proxy::figures::Figures;
-use crate::proxy::link::Allowed;
-use crate::proxy::link::Links;
-use crate::proxy::link::Sharing;
+use crate::proxy::engine_placement::OwnerRequests;
 use crate::proxy::message::Message;
 use crate::proxy::peers::Peers;
-use crate::proxy::placed::InFlight;
+use crate::proxy::placed_request::CountGuard;
+use crate::proxy::proxy_metrics::ProxyMetrics;
+use crate::proxy::retry_budget::RetryBudget;
 use crate::proxy::rollouts::RolloutState;
+use crate::proxy::routing_table::RoutingTable;
 use crate::proxy::settings::Settings;
 use crate::proxy::suspects;
 use crate::proxy::suspects::Suspects;
-use crate::proxy::table::Table;
+use crate::proxy::upstream_connections::ConnectionQuota;
+use crate::proxy::upstream_connections::QuotaInputs;
+use crate::proxy::upstream_connections::UpstreamConnections;
 use crate::proxy::view::Change;
 use crate::proxy::view::Snapshot;
 use crate::proxy::view::View;
@@ -51,14 +51,14 @@
 pub struct Hub {
     inner: Mutex<Inner>,
     clock: Arc<Clock>,
-    dialect: Arc<dyn Dialect>,
-    engines: Arc<dyn Engines>,
-    links: Arc<Links>,
+    dialect: Arc<dyn HeaderAdapter>,
+    engines: Arc<dyn EngineClient>,
+    upstream_connections: Arc<UpstreamConnections>,
     peers: Peers,
-    figures: Figures,
+    metrics: ProxyMetrics,
     log: Logger,
     in_flight: Arc<AtomicUsize>,
-    asking: Asking,
+    owner_requests: OwnerRequests,
     suspects: Suspects,
     rollouts: RolloutState,
     look: Notify,
@@ -75,7 +75,7 @@
 
 struct Inner {
     view: View,
-    budget: Budget,
+    budget: RetryBudget,
     shares: Shares,
     /// Of plain services, in requests.
     plain_shares: Shares,
@@ -86,16 +86,16 @@
     pub fn new(
         cfg: &Settings,
         clock: Arc<Clock>,
-        dialect: Arc<dyn Dialect>,
-        engines: Arc<dyn Engines>,
+        dialect: Arc<dyn HeaderAdapter>,
+        engines: Arc<dyn EngineClient>,
         peers: Peers,
-        figures: Figures,
+        metrics: ProxyMetrics,
         log: Logger,
     ) -> Arc<Hub> {
-        let fleet = Fleet::new(cfg.identity.zone.clone(), cfg.tuning);
+        let fleet = UpstreamRegistry::new(cfg.identity.zone.clone(), cfg.tuning);
         let inner = Inner {
             view: View::new(fleet),
-            budget: Budget::new(cfg.repeats),
+            budget: RetryBudget::new(cfg.repeats),
             shares: Shares::new(cfg.share_window),
             plain_shares: Shares::new(cfg.share_window),
         };
@@ -103,43 +103,43 @@
             inner: Mutex::new(inner),
             dialect,
             engines,
-            links: Links::new(clock.clone()),
+            upstream_connections: UpstreamConnections::new(clock.clone()),
             clock,
             peers,
-            figures,
+            metrics,
             log,
             in_flight: Arc::default(),
-            asking: Asking::default(),
+            owner_requests: OwnerRequests::default(),
             suspects: Suspects::default(),
             rollouts: RolloutState::new(cfg.exposure),
             look: Notify::new(),
             warm: AtomicBool::new(false),
             streams: Arc::default(),
-            streams_max: AtomicUsize::new(capacity::streams(cfg.cores)),
+            streams_max: AtomicUsize::new(capacity::initial_stream_limit(cfg.cores)),
             full: AtomicBool::new(false),
             starts: Arc::default(),
             turned_away: AtomicUsize::new(0),
             connections: Arc::default(),
-            connections_max: capacity::connections(cfg.descriptors, cfg.memory),
+            connections_max: capacity::caller_connections_max(cfg.descriptors, cfg.memory_bytes),
             late_max: cfg.late_max,
         });
-        hub.figures.show(&hub);
+        hub.metrics.register_gauges(&hub);
         hub
     }
 
     /// How callers and upstreams speak.
-    pub fn dialect(&self) -> &dyn Dialect {
+    pub fn dialect(&self) -> &dyn HeaderAdapter {
         &*self.dialect
     }
 
     /// Calls to engines beside requests.
-    pub fn engines(&self) -> &dyn Engines {
+    pub fn engines(&self) -> &dyn EngineClient {
         &*self.engines
     }
 
     /// Counts a request until the guard is dropped.
-    pub fn enter(&self) -> InFlight {
-        InFlight::new(self.in_flight.clone())
+    pub fn track_request(&self) -> CountGuard {
+        CountGuard::new(self.in_flight.clone())
     }
 
     /// Requests that are served now.
@@ -148,8 +148,8 @@
     }
 
     /// Connections to upstreams.
-    pub fn links(&self) -> &Arc<Links> {
-        &self.links
+    pub fn upstream_connections(&self) -> &Arc<UpstreamConnections> {
+        &self.upstream_connections
     }
 
     /// The other boxes.
@@ -158,8 +158,8 @@
     }
 
     /// The figures of this process.
-    pub fn metrics(&self) -> &Figures {
-        &self.figures
+    pub fn metrics(&self) -> &ProxyMetrics {
+        &self.metrics
     }
 
     /// The log.
@@ -168,7 +168,7 @@
     }
 
     /// The configuration in force.
-    pub fn table(&self) -> Option<Arc<Table>> {
+    pub fn table(&self) -> Option<Arc<RoutingTable>> {
         self.read(|view| view.table().cloned())
     }
 
@@ -189,8 +189,8 @@
 
     /// Counts a stream until the guard is dropped, unless there are as many as this box can pass
     /// on.
-    pub fn enter_stream(&self) -> Option<InFlight> {
-        (self.streams() < self.streams_max()).then(|| InFlight::new(self.streams.clone()))
+    pub fn try_track_stream(&self) -> Option<CountGuard> {
+        (self.streams() < self.streams_max()).then(|| CountGuard::new(self.streams.clone()))
     }
 
     /// Whether this box has as many streams as it can pass on, or has turned callers away lately; new
@@ -205,17 +205,17 @@
     }
 
     /// Counts a request until the guard is dropped, when it has been sent.
-    pub fn start(&self) -> InFlight {
-        InFlight::new(self.starts.clone())
+    pub fn track_unsent(&self) -> CountGuard {
+        CountGuard::new(self.starts.clone())
     }
 
     /// Requests that have come and not been sent yet.
-    pub fn starts(&self) -> usize {
+    pub fn unsent(&self) -> usize {
         self.starts.load(Ordering::Relaxed)
     }
 
     /// Notes that a caller is turned away.
-    pub fn turn_away(&self) {
+    pub fn count_turned_away(&self) {
         self.turned_away.fetch_add(1, Ordering::Relaxed);
     }
 
@@ -225,8 +225,8 @@
     }
 
     /// Counts a caller's connection until the guard is dropped.
-    pub fn connected(&self) -> InFlight {
-        InFlight::new(self.connections.clone())
+    pub fn track_connection(&self) -> CountGuard {
+        CountGuard::new(self.connections.clone())
     }
 
     /// Callers' connections that are open.
@@ -242,14 +242,15 @@
     /// Whether callers should come back on new connections, which the balancer may lead elsewhere: more
     /// of their connections are open than this box needs. Those of a full box are kept: callers use them
     /// again, and only what is beyond them goes to other boxes.
-    pub fn sends_away(&self) -> bool {
+    pub fn should_close_connections(&self) -> bool {
         self.connections_max / 2 < self.connections()
     }
 
     /// Until when a stream's pieces that follow are held; nothing for those that are passed on at once.
-    pub fn hold_until(&self) -> Option<Instant> {
+    pub fn coalesce_until(&self) -> Option<Instant> {
         let now = self.now();
-        let until = capacity::hold_until(self.streams(), self.streams_max(), self.late_max, now);
+        let until =
+            capacity::coalesce_until(self.streams(), self.streams_max(), self.late_max, now);
         until.map(|until| Instant::now() + until.saturating_sub(now))
     }
 
@@ -274,15 +275,15 @@
     }
 
     /// Takes over what is said of the engines; the box is warm from then on.
-    pub fn warm_up(&self, learned: &Learned) {
-        self.fleet(|fleet| fleet.take_over(learned));
+    pub fn warm_up(&self, learned: &LearnedReport) {
+        self.fleet(|fleet| fleet.apply_learned(learned));
         self.change(|view, now| {
-            learned.draining.iter().for_each(|draining| _ = view.drain(draining, now));
+            learned.draining.iter().for_each(|draining| _ = view.apply_draining(draining, now));
         });
         self.warm.store(true, Ordering::Relaxed);
-        let parts: usize = learned.kept.iter().map(|k| k.parts.len()).sum();
+        let parts: usize = learned.cached.iter().map(|k| k.parts.len()).sum();
         let samples: u64 = learned.speeds.iter().map(|(_, speed)| speed.samples()).sum();
-        info!(self.log, "warm"; "engines" => learned.kept.len(), "parts" => parts,
+        info!(self.log, "warm"; "engines" => learned.cached.len(), "parts" => parts,
             "first_tokens" => samples, "draining" => learned.draining.len());
     }
 
@@ -299,28 +300,28 @@
         let sees_store = inner.view.reaches_store();
         drop(inner);
         for change in changes {
-            self.announce(&change, sees_store);
+            self.report_change(&change, sees_store);
         }
         result
     }
 
     /// Takes over what another box knows.
-    pub fn take_over(&self, snapshot: Snapshot) {
-        self.change(|view, now| view.take_over(snapshot, now));
+    pub fn apply_snapshot(&self, snapshot: Snapshot) {
+        self.change(|view, now| view.apply_snapshot(snapshot, now));
     }
 
     /// Chooses an upstream of a plain service.
-    pub fn choose(&self, wanted: Wanted<'_>) -> Result<Choice, NoChoice> {
+    pub fn choose(&self, criteria: SelectionCriteria<'_>) -> Result<Choice, ChoiceError> {
         let now = self.now();
-        self.read(|view| view.fleet().choose(wanted, now))
+        self.read(|view| view.fleet().choose(criteria, now))
     }
 
     /// Places a request by what this box believes.
-    pub fn admit(&self, wish: Wish<'_>) -> Result<Choice, Denial> {
+    pub fn admit(&self, query: PlacementQuery<'_>) -> Result<Choice, Denial> {
         let now = self.now();
         let mut inner = self.inner.lock().expect("no panic under lock");
         let Inner { view, shares, .. } = &mut *inner;
-        admit::admit(view.fleet_mut(), shares, wish, now)
+        admit::admit(view.fleet_mut(), shares, query, now)
     }
 
     /// Forgets a request that isn't sent, and takes back what was counted for it.
@@ -328,16 +329,16 @@
         let now = self.now();
         let mut inner = self.inner.lock().expect("no panic under lock");
         inner.view.fleet_mut().withdraw(request, now);
-        inner.shares.take_back(request, now);
-        inner.plain_shares.take_back(request, now);
+        inner.shares.revert(request, now);
+        inner.plain_shares.revert(request, now);
     }
 
     /// Places a request for a plain service by what this box counts.
-    pub fn admit_plain(&self, wish: plain::Wish<'_>) -> Result<Choice, Denial> {
+    pub fn admit_plain(&self, query: plain::PlainQuery<'_>) -> Result<Choice, Denial> {
         let now = self.now();
         let mut inner = self.inner.lock().expect("no panic under lock");
         let Inner { view, plain_shares, .. } = &mut *inner;
-        plain::admit(view.fleet_mut(), plain_shares, wish, now)
+        plain::admit(view.fleet_mut(), plain_shares, query, now)
     }
 
     /// Changes what is known of the shares of workspaces at plain services.
@@ -346,8 +347,8 @@
     }
 
     /// What has been asked of other boxes.
-    pub fn asking(&self) -> &Asking {
-        &self.asking
+    pub fn owner_requests(&self) -> &OwnerRequests {
+        &self.owner_requests
     }
 
     /// Requests that may end upstreams.
@@ -368,26 +369,31 @@
     /// Counts a caller's request for the budget of repeats.
     pub fn count_request(&self, service: &ServiceName) {
         let now = self.now();
-        self.inner.lock().expect("no panic under lock").budget.request(service, now);
+        self.inner.lock().expect("no panic under lock").budget.record_request(service, now);
     }
 
     /// Takes a repeat out of the budget; false when it is used up.
-    pub fn may_repeat(&self, service: &ServiceName) -> bool {
-        let (now, boxes) = (self.now(), self.peers.live() + 1);
+    pub fn try_take_retry(&self, service: &ServiceName) -> bool {
+        let (now, boxes) = (self.now(), self.peers.live_count() + 1);
         let mut inner = self.inner.lock().expect("no panic under lock");
-        let allowed = inner.budget.repeat(service, boxes, now);
+        let allowed = inner.budget.try_take(service, boxes, now);
         drop(inner);
-        self.figures.repeat(allowed);
+        self.metrics.repeat(allowed);
         allowed
     }
 
     /// How many connections to an upstream this box may have, where it takes so many from all;
     /// `is_placed` for a request that the upstream's owner has placed.
-    pub fn allowed(&self, upstream: &UpstreamName, connections: u32, is_placed: bool) -> Allowed {
-        let placed_max = self.read(|view| view.fleet().placed_max(upstream));
+    pub fn connection_quota(
+        &self,
+        upstream: &UpstreamName,
+        connections: u32,
+        is_placed: bool,
+    ) -> ConnectionQuota {
+        let admission_limit = self.read(|view| view.fleet().admission_limit(upstream));
         let draw = self.peers.own_draw(upstream);
-        let boxes = self.peers.known();
-        Allowed::new(Sharing { connections, placed_max, boxes, draw }, is_placed)
+        let boxes = self.peers.known_count();
+        ConnectionQuota::new(QuotaInputs { connections, admission_limit, boxes, draw }, is_placed)
     }
 
     /// Whether this box backs off from an upstream, or waits for answers of its slow start.
@@ -397,21 +403,21 @@
     }
 
     /// Notes that it is time to connect to an upstream.
-    pub fn look(&self) {
+    pub fn request_probe(&self) {
         self.look.notify_one();
     }
 
     /// Waits until it is time to connect to an upstream.
-    pub async fn looking(&self) {
+    pub async fn probe_requested(&self) {
         self.look.notified().await;
     }
 
     /// Changes what is known of the upstreams.
-    pub fn fleet<T>(&self, f: impl FnOnce(&mut Fleet) -> T) -> T {
+    pub fn fleet<T>(&self, f: impl FnOnce(&mut UpstreamRegistry) -> T) -> T {
         f(self.inner.lock().expect("no panic under lock").view.fleet_mut())
     }
 
-    fn announce(&self, change: &Change, sees_store: bool) {
+    fn report_change(&self, change: &Change, sees_store: bool) {
         match change {
             Change::Configured(version) => info!(self.log, "configured"; "version" => version),
             Change::Listed(count) => info!(self.log, "upstreams listed"; "count" => count),
@@ -422,30 +428,30 @@
             Change::Leaving(name) => {
                 info!(self.log, "upstream leaving"; "name" => name.as_str());
             }
-            Change::Told(name) => {
+            Change::ReportedLeaving(name) => {
                 info!(self.log, "upstream said to be leaving"; "name" => name.as_str());
             }
             Change::Gone(name) => {
                 info!(self.log, "upstream gone"; "name" => name.as_str());
-                suspects::gone(self, name);
+                suspects::entry_removed(self, name);
             }
             Change::Evacuated(evacuated) => {
                 let zones: Vec<&str> = evacuated.zones.iter().map(|zone| zone.as_str()).collect();
                 info!(self.log, "zones evacuated"; "zones" => zones.join(","),
                     "revision" => %evacuated.revision);
                 // A sign of life tells it on, whether or not this box sees the store.
-                self.peers.announce();
+                self.peers.request_heartbeat();
             }
-            Change::Restored(era) => {
+            Change::StoreRestored(era) => {
                 warn!(self.log, "store came back from an older copy"; "era" => era);
-                self.figures.store_restored();
-                self.suspects.keep_again();
+                self.metrics.store_restored();
+                self.suspects.persist_again();
             }
-            Change::Restarted(name, addr, born) => {
-                let cut = self.links.cut(*addr, *born);
+            Change::Restarted(name, addr, started_at_ms) => {
+                let cut = self.upstream_connections.close_before_restart(*addr, *started_at_ms);
                 info!(self.log, "upstream restarted"; "name" => name.as_str(), "addr" => %addr,
-                    "born" => born, "connections_cut" => cut);
-                self.figures.upstream_restarted();
+                    "born" => started_at_ms, "connections_cut" => cut);
+                self.metrics.upstream_restarted();
                 suspects::restarted(self, name);
             }
             Change::Missing(name) => {
@@ -457,20 +463,20 @@
         }
         match change {
             Change::Leaving(name) => {
-                self.peers.tell_followers(&Message::Leaving { upstream: name.clone() });
+                self.peers.send_to_followers(&Message::Leaving { upstream: name.clone() });
             }
             Change::Gone(name) => {
-                self.peers.tell_followers(&Message::Gone { upstream: name.clone() });
+                self.peers.send_to_followers(&Message::Gone { upstream: name.clone() });
             }
             Change::Upstream(listed) => {
-                self.peers.tell_followers(&Message::Listed(listed.clone()));
+                self.peers.send_to_followers(&Message::Listed(listed.clone()));
             }
-            Change::Configured(_) => self.peers.announce(),
+            Change::Configured(_) => self.peers.request_heartbeat(),
             Change::Listed(_)
-            | Change::Told(_)
+            | Change::ReportedLeaving(_)
             | Change::Missing(_)
             | Change::Evacuated(_)
-            | Change::Restored(_)
+            | Change::StoreRestored(_)
             | Change::Restarted(..) => {}
         }
     }
--- a/src/proxy/message.rs
+++ b/src/proxy/message.rs
@@ -20,12 +20,12 @@
 use crate::placement::admit::Denial;
 use crate::placement::admit::Purpose;
 use crate::placement::choice::Choice;
-use crate::placement::choice::Source;
-use crate::placement::share::Tokens;
-use crate::proxy::dialect::Listed;
-use crate::proxy::dialect::Part;
-use crate::proxy::dialect::Prompt;
-use crate::proxy::plain::AskPlain;
+use crate::placement::choice::CopySource;
+use crate::placement::share::TokenCounts;
+use crate::proxy::adapter::Prompt;
+use crate::proxy::adapter::PromptPart;
+use crate::proxy::adapter::UpstreamListing;
+use crate::proxy::plain_placement::PlainPlacementRequest;
 
 /// What boxes tell each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -39,11 +39,11 @@
         /// Names the send.
         request: u64,
         /// What is to be read.
-        prompt: ToldPrompt,
+        prompt: PromptMessage,
         /// Tokens of it that the sender believes must be read.
-        unread: u32,
+        prefill_tokens: u32,
         /// Tokens of it that are copied from another engine.
-        copied: u32,
+        copied_tokens: u32,
         /// Whom it is charged to.
         workspace: Option<WorkspaceName>,
         /// The box that sends it, if that isn't who tells.
@@ -57,7 +57,7 @@
         tokens: u64,
     },
     /// A request has given its first token.
-    First {
+    FirstToken {
         /// The engine.
         upstream: UpstreamName,
         /// Names the send.
@@ -84,15 +84,15 @@
         upstream: UpstreamName,
     },
     /// A request to be placed.
-    Ask(Ask),
+    PlacementRequest(PlacementRequest),
     /// A request for a plain service to be placed.
-    AskPlain(AskPlain),
+    PlainPlacementRequest(PlainPlacementRequest),
     /// What came of it.
-    Answer(Answer),
+    PlacementResponse(PlacementResponse),
     /// What workspaces used at the sender.
-    Used(Vec<Used>),
+    ShareUsage(Vec<ShareUsage>),
     /// The store says that an upstream is new or has changed.
-    Listed(Listed),
+    Listed(UpstreamListing),
     /// The store says that an upstream leaves.
     Leaving {
         /// The upstream.
@@ -115,9 +115,9 @@
     /// Requests were at upstreams when these ended.
     Suspects(Vec<SuspectReport>),
     /// A suspect has ended well.
-    Cleared {
+    SuspectCleared {
         /// The request.
-        content: Fingerprint,
+        fingerprint: Fingerprint,
     },
     /// An upstream has said in an answer that it is draining.
     DrainNotice(DrainNotice),
@@ -128,18 +128,18 @@
     pub fn can_wait(&self) -> bool {
         matches!(
             self,
-            Message::First { .. }
+            Message::FirstToken { .. }
                 | Message::Ended { .. }
                 | Message::Withdrawn { .. }
                 | Message::Refused { .. }
-                | Message::Cleared { .. }
+                | Message::SuspectCleared { .. }
         )
     }
 }
 
 /// A request that the owner of a group of engines is to place.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct PlacementRequest {
     /// Names the send.
     pub request: u64,
     /// The engines that are asked for.
@@ -147,13 +147,13 @@
     /// Their service.
     pub service: ServiceName,
     /// What is to be read.
-    pub prompt: ToldPrompt,
+    pub prompt: PromptMessage,
     /// Whom it is charged to.
     pub workspace: Option<WorkspaceName>,
     /// The availability zone of the box that asks.
     pub zone: ZoneName,
     /// Engines that are out of the question.
-    pub except: Vec<UpstreamName>,
+    pub excluded: Vec<UpstreamName>,
     /// The versions that it may go to.
     pub side: VersionFilter,
     /// The route's aim, in milliseconds.
@@ -161,16 +161,16 @@
     /// Time that the request has waited already, in milliseconds.
     pub waited_ms: u32,
     /// An engine of another group that keeps some of the prompt.
-    pub source: Option<Source>,
+    pub source: Option<CopySource>,
     /// What is wanted.
     pub purpose: Purpose,
     /// Whether no other group will be asked.
-    pub is_last: bool,
+    pub is_last_group: bool,
 }
 
 /// What the owner of a group of engines says.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct PlacementResponse {
     /// The send that it is about.
     pub request: u64,
     /// Where the request is placed, or why it isn't.
@@ -179,31 +179,31 @@
 
 /// What a workspace asked for and got at one box since it told last, in tokens.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Used {
+pub struct ShareUsage {
     /// The workspace.
     pub workspace: WorkspaceName,
     /// What it asked for and got.
-    pub tokens: Tokens,
+    pub tokens: TokenCounts,
 }
 
 /// A prompt, as boxes tell it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldPrompt {
+pub struct PromptMessage {
     tokens: u32,
-    written_max: u32,
-    parts: Vec<Part>,
+    output_tokens_max: u32,
+    parts: Vec<PromptPart>,
 }
 
-impl From<&Prompt> for ToldPrompt {
-    fn from(prompt: &Prompt) -> ToldPrompt {
-        let Prompt { tokens, written_max, ref parts } = *prompt;
-        ToldPrompt { tokens, written_max, parts: parts.clone() }
+impl From<&Prompt> for PromptMessage {
+    fn from(prompt: &Prompt) -> PromptMessage {
+        let Prompt { tokens, output_tokens_max, ref parts } = *prompt;
+        PromptMessage { tokens, output_tokens_max, parts: parts.clone() }
     }
 }
 
-impl From<&ToldPrompt> for Prompt {
-    fn from(told: &ToldPrompt) -> Prompt {
-        let ToldPrompt { tokens, written_max, ref parts } = *told;
-        Prompt { tokens, written_max, parts: parts.clone() }
+impl From<&PromptMessage> for Prompt {
+    fn from(told: &PromptMessage) -> Prompt {
+        let PromptMessage { tokens, output_tokens_max, ref parts } = *told;
+        Prompt { tokens, output_tokens_max, parts: parts.clone() }
     }
 }
--- a/src/proxy/notices.rs
+++ b/src/proxy/notices.rs
@@ -13,22 +13,22 @@
 use crate::fleet::owners::GroupOwners;
 use crate::names::UpstreamName;
 use crate::placement::upstream;
-use crate::proxy::dialect::NotAsked;
-use crate::proxy::dialect::Notice;
-use crate::proxy::dialect::Reported;
+use crate::proxy::adapter::EngineQueryError;
+use crate::proxy::adapter::EngineReply;
+use crate::proxy::adapter::Notice;
 use crate::proxy::hub::Hub;
 use crate::proxy::message::Message;
-use crate::proxy::placed::Placed;
-use crate::proxy::plain;
+use crate::proxy::placed_request::PlacedRequest;
+use crate::proxy::plain_placement;
 use crate::util;
 
 /// An answer in which an upstream says something of itself.
 #[derive(Clone, Copy, Debug)]
-pub struct Said<'a> {
+pub struct ReceivedNotice<'a> {
     /// The upstream.
     pub upstream: &'a UpstreamName,
     /// The incarnation that was asked, as far as it was known.
-    pub born: Option<u64>,
+    pub started_at_ms: Option<u64>,
     /// The request that it answers; empty for a question of this box's own.
     pub request: &'a str,
     /// When that was sent.
@@ -39,37 +39,37 @@
 
 /// Why a request isn't sent to an upstream that was chosen for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Withheld {
+pub enum WithholdReason {
     /// It drains, is gone, or its zone is evacuated.
     Closed,
     /// This box backs off from it, or starts slowly after that.
     Backoff,
 }
 
-impl Withheld {
+impl WithholdReason {
     /// The reason as a word for logs and metrics.
     pub fn code(self) -> &'static str {
         match self {
-            Withheld::Closed => "closed",
-            Withheld::Backoff => "backoff",
+            WithholdReason::Closed => "closed",
+            WithholdReason::Backoff => "backoff",
         }
     }
 }
 
 /// Why an upstream doesn't get a request that is placed there; nothing if it does.
-pub fn withheld(hub: &Hub, placed: &Placed) -> Option<Withheld> {
+pub fn reason_to_withhold(hub: &Hub, placed: &PlacedRequest) -> Option<WithholdReason> {
     let (upstream, now) = (placed.upstream(), hub.now());
     hub.read(|view| {
         if view.is_barred(upstream) {
-            return Some(Withheld::Closed);
+            return Some(WithholdReason::Closed);
         }
-        let may_send = view.fleet().may_send(upstream, placed.trial(), now);
-        (!may_send).then_some(Withheld::Backoff)
+        let may_send = view.fleet().may_send(upstream, placed.slow_start_slot(), now);
+        (!may_send).then_some(WithholdReason::Backoff)
     })
 }
 
 /// Applies what an upstream says of itself.
-pub fn apply(hub: &Hub, said: Said<'_>) {
+pub fn apply(hub: &Hub, said: ReceivedNotice<'_>) {
     if said.notice == Notice::default() {
         return;
     }
@@ -82,10 +82,10 @@
     }
 }
 
-fn back_off(hub: &Hub, said: Said<'_>, length: Duration) {
+fn back_off(hub: &Hub, said: ReceivedNotice<'_>, length: Duration) {
     let now = hub.now();
     let (is_new, was_on) = hub.fleet(|fleet| {
-        let was_on = fleet.was_backing_off(said.upstream, said.sent);
+        let was_on = fleet.was_sent_during_backoff(said.upstream, said.sent);
         (fleet.back_off(said.upstream, length, now), was_on)
     });
     if was_on {
@@ -93,35 +93,39 @@
     }
     if is_new {
         info!(hub.log(), "upstream backing off"; "name" => said.upstream.as_str(),
-            "born" => said.born, "id" => said.request, "ms" => length.as_millis() as u64);
+            "born" => said.started_at_ms, "id" => said.request, "ms" => length.as_millis() as u64);
     }
 }
 
-fn drain(hub: &Hub, said: Said<'_>) {
+fn drain(hub: &Hub, said: ReceivedNotice<'_>) {
     let upstream = said.upstream.clone();
     let noted = hub.read(|view| view.draining().noted_at(&upstream));
     if noted.is_some_and(|noted| noted < said.sent) {
         hub.metrics().reached_anyway("draining");
     }
-    let draining = DrainNotice { upstream, born: said.born, answered_at_ms: util::unix_millis() };
-    if !hub.change(|view, now| view.drain(&draining, now)) {
+    let draining = DrainNotice {
+        upstream,
+        started_at_ms: said.started_at_ms,
+        answered_at_ms: util::unix_millis(),
+    };
+    if !hub.change(|view, now| view.apply_draining(&draining, now)) {
         return;
     }
-    info!(hub.log(), "upstream draining"; "name" => said.upstream.as_str(), "born" => said.born,
+    info!(hub.log(), "upstream draining"; "name" => said.upstream.as_str(), "born" => said.started_at_ms,
         "id" => said.request);
     announce(hub, draining);
 }
 
 /// Applies what another box has read in an answer.
 pub fn receive(hub: &Hub, draining: &DrainNotice, from: IpAddr) {
-    if !hub.change(|view, now| view.drain(draining, now)) {
+    if !hub.change(|view, now| view.apply_draining(draining, now)) {
         return;
     }
     info!(hub.log(), "upstream draining"; "name" => draining.upstream.as_str(),
-        "born" => draining.born, "by" => %from);
+        "born" => draining.started_at_ms, "by" => %from);
     let owned = owned(hub, &draining.upstream);
-    if owned.is_some_and(|owned| owned.owner == hub.peers().me()) {
-        hub.peers().tell(&Message::DrainNotice(draining.clone()));
+    if owned.is_some_and(|owned| owned.owner == hub.peers().own_ip()) {
+        hub.peers().broadcast(&Message::DrainNotice(draining.clone()));
     }
 }
 
@@ -129,9 +133,9 @@
     let owned = owned(hub, &draining.upstream);
     let message = Message::DrainNotice(draining);
     match owned {
-        None => hub.peers().tell_at_once(&message),
-        Some(owned) if owned.owner == hub.peers().me() => hub.peers().tell(&message),
-        Some(owned) => owned.boxes().for_each(|ip| hub.peers().tell_now(ip, &message)),
+        None => hub.peers().broadcast_now(&message),
+        Some(owned) if owned.owner == hub.peers().own_ip() => hub.peers().broadcast(&message),
+        Some(owned) => owned.boxes().for_each(|ip| hub.peers().send_now(ip, &message)),
     }
 }
 
@@ -139,26 +143,27 @@
 pub async fn query<T>(
     hub: &Hub,
     upstream: &UpstreamName,
-    answer: impl Future<Output = Reported<T>>,
-) -> Result<T, NotAsked> {
+    answer: impl Future<Output = EngineReply<T>>,
+) -> Result<T, EngineQueryError> {
     if hub.is_backing_off(upstream) {
-        hub.metrics().withheld(Withheld::Backoff.code());
-        return Err(NotAsked("this box backs off from it".to_owned()));
+        hub.metrics().withheld(WithholdReason::Backoff.code());
+        return Err(EngineQueryError("this box backs off from it".to_owned()));
     }
-    let (sent, born) = (hub.now(), hub.read(|view| view.fleet().get(upstream)?.born));
-    let Reported { name, notice, content } = answer.await;
+    let (sent, started_at_ms) =
+        (hub.now(), hub.read(|view| view.fleet().get(upstream)?.started_at_ms));
+    let EngineReply { name, notice, result } = answer.await;
     if let Some(other) = name.filter(|name| name != upstream) {
-        return Err(NotAsked(format!("{} answers in its place", other.as_str())));
+        return Err(EngineQueryError(format!("{} answers in its place", other.as_str())));
     }
-    apply(hub, Said { upstream, born, request: "", sent, notice });
-    content
+    apply(hub, ReceivedNotice { upstream, started_at_ms, request: "", sent, notice });
+    result
 }
 
 /// Sends the draining notice of an upstream to a box that has chosen it all the same.
 pub fn resend(hub: &Hub, upstream: &UpstreamName, ip: IpAddr) {
     let said = hub.read(|view| view.draining().get(upstream).cloned());
     if let Some(draining) = said {
-        hub.peers().tell_now(ip, &Message::DrainNotice(draining));
+        hub.peers().send_now(ip, &Message::DrainNotice(draining));
     }
 }
 
@@ -170,7 +175,7 @@
         service.filter(|_| !fleet.is_engine(name))
     });
     match service {
-        Some(service) => plain::owned(hub, &service),
-        None => hub.peers().owners().owners_of_hash(upstream::hash(name)),
+        Some(service) => plain_placement::owners(hub, &service),
+        None => hub.peers().owners().owners_of_hash(upstream::name_hash(name)),
     }
 }
--- /dev/null
+++ b/src/proxy/placed_request.rs
@@ -0,0 +1,238 @@
+//! Requests in progress, as this box's trackers of upstreams and its counters record them.
+
+use std::sync::Arc;
+use std::sync::Mutex;
+use std::sync::atomic::AtomicBool;
+use std::sync::atomic::AtomicUsize;
+use std::sync::atomic::Ordering;
+use std::time::Duration;
+
+use slog::info;
+
+use crate::fleet::rollout::regression::ResponseOutcome;
+use crate::names::ServiceName;
+use crate::names::UpstreamName;
+use crate::names::VersionName;
+use crate::names::WorkspaceName;
+use crate::placement::backoff::SlowStartSlot;
+use crate::placement::choice::Choice;
+use crate::placement::upstream::Health;
+use crate::proxy::adapter::Prompt;
+use crate::proxy::engine_placement;
+use crate::proxy::hub::Hub;
+use crate::proxy::message::Message;
+use crate::proxy::plain_placement;
+use crate::proxy::request::RequestContext;
+use crate::proxy::rollouts::JudgedResponse;
+
+/// Adds one to a counter until it is dropped.
+#[derive(Debug)]
+pub struct CountGuard(Arc<AtomicUsize>);
+
+impl CountGuard {
+    /// Increments `count`.
+    pub fn new(count: Arc<AtomicUsize>) -> CountGuard {
+        count.fetch_add(1, Ordering::Relaxed);
+        CountGuard(count)
+    }
+}
+
+impl Drop for CountGuard {
+    fn drop(&mut self) {
+        self.0.fetch_sub(1, Ordering::Relaxed);
+    }
+}
+
+/// Time from sending a request to its first token.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct FirstTokenTiming {
+    /// As predicted when the request was placed.
+    pub expected: Duration,
+    /// As measured.
+    pub took: Duration,
+}
+
+/// A request that is recorded as running at an upstream, from before it is sent until it has ended.
+pub struct PlacedRequest {
+    hub: Arc<Hub>,
+    upstream: UpstreamName,
+    request: u64,
+    sent_at: Duration,
+    expected_first_token: Duration,
+    service: ServiceName,
+    is_engine: bool,
+    /// When the upstream was started, if that was known when the request was placed.
+    started_at_ms: Option<u64>,
+    version: Option<VersionName>,
+    /// How the response is judged, if a version is being rolled out.
+    judged_response: Option<JudgedResponse>,
+    /// When the first chunk of the response arrived.
+    first_chunk_at: Mutex<Option<Duration>>,
+    /// The workspace that is charged, and the tokens.
+    charge: Option<(WorkspaceName, u64)>,
+    has_first_token: AtomicBool,
+    health: Option<Health>,
+    /// Set if the request belongs to the upstream's slow start.
+    slow_start_slot: Option<SlowStartSlot>,
+    /// Whether the upstream may run it or have run it.
+    may_run: bool,
+}
+
+impl PlacedRequest {
+    /// Records the attempt with id `request` at the upstream of `choice`.
+    pub fn new(ctx: &RequestContext, choice: &Choice, request: u64) -> PlacedRequest {
+        let RequestContext { hub, service, workspace, .. } = ctx;
+        let now = hub.now();
+        let (slow_start_slot, started_at_ms, version) = hub.fleet(|fleet| {
+            fleet.request_sent(&choice.upstream);
+            let listed = fleet.get(&choice.upstream).map(|l| (l.started_at_ms, l.version.clone()));
+            let (started_at_ms, version) = listed.unzip();
+            (fleet.acquire_slow_start_slot(&choice.upstream, now), started_at_ms, version)
+        });
+        let judged_response = version
+            .as_ref()
+            .and_then(|version| hub.rollouts().judged_response(service, version, &ctx.route.name));
+        let charge = ctx.head.prompt.as_ref().map(Prompt::charge);
+        PlacedRequest {
+            hub: hub.clone(),
+            upstream: choice.upstream.clone(),
+            request,
+            sent_at: now,
+            expected_first_token: choice.first_token,
+            service: service.clone(),
+            is_engine: ctx.head.prompt.is_some(),
+            started_at_ms: started_at_ms.flatten(),
+            version,
+            judged_response,
+            first_chunk_at: Mutex::default(),
+            charge: workspace.clone().zip(charge),
+            has_first_token: AtomicBool::new(false),
+            health: None,
+            slow_start_slot,
+            may_run: true,
+        }
+    }
+
+    pub fn upstream(&self) -> &UpstreamName {
+        &self.upstream
+    }
+
+    /// Set if the request belongs to the upstream's slow start.
+    pub fn slow_start_slot(&self) -> Option<SlowStartSlot> {
+        self.slow_start_slot
+    }
+
+    pub fn sent_at(&self) -> Duration {
+        self.sent_at
+    }
+
+    /// When the upstream was started, if that was known when the request was placed.
+    pub fn started_at_ms(&self) -> Option<u64> {
+        self.started_at_ms
+    }
+
+    /// The upstream's version, if that was known when the request was placed.
+    pub fn version(&self) -> Option<&VersionName> {
+        self.version.as_ref()
+    }
+
+    /// Records that the response is a failure of the upstream.
+    pub fn record_failure(&self) {
+        self.record_outcome(Some(ResponseOutcome::Failed));
+    }
+
+    /// Records that the response is complete, and the number of its chunks.
+    pub fn record_pace(&self, chunks: u32) {
+        let first_chunk_at = *self.first_chunk_at.lock().expect("no panic under lock");
+        let took = first_chunk_at.map(|at| self.hub.now().saturating_sub(at));
+        self.record_outcome(
+            took.filter(|_| 1 < chunks).map(|took| JudgedResponse::pace(took, chunks - 1)),
+        );
+    }
+
+    fn record_outcome(&self, finding: Option<ResponseOutcome>) {
+        if let (Some(judged_response), Some(finding)) = (&self.judged_response, finding) {
+            self.hub.rollouts().record_outcome(judged_response, finding);
+        }
+    }
+
+    /// Records the first token, here and at the boxes that track the upstream; `None` if this isn't
+    /// the first one, or the service is a plain one.
+    pub fn record_first_token(&self) -> Option<FirstTokenTiming> {
+        if self.has_first_token.swap(true, Ordering::Relaxed) {
+            return None;
+        }
+        let now = self.hub.now();
+        let took = now.saturating_sub(self.sent_at);
+        *self.first_chunk_at.lock().expect("no panic under lock") = Some(now);
+        self.record_outcome(Some(JudgedResponse::first(took)));
+        self.hub
+            .fleet(|fleet| fleet.record_first_token(&self.upstream, self.request, Some(took), now));
+        let (upstream, request) = (self.upstream.clone(), self.request);
+        let took_ms = u32::try_from(took.as_millis()).unwrap_or(u32::MAX);
+        let message = Message::FirstToken { upstream, request, took_ms };
+        self.notify_owners(&message);
+        if !self.is_engine {
+            return None;
+        }
+        if let Some((workspace, tokens)) = &self.charge {
+            self.hub.metrics().workspace_begun(workspace, *tokens);
+        }
+        let first = FirstTokenTiming { expected: self.expected_first_token, took };
+        self.hub.metrics().first_token(first);
+        Some(first)
+    }
+
+    /// Sends a message to the boxes that track the upstream.
+    fn notify_owners(&self, message: &Message) {
+        match self.is_engine {
+            true => engine_placement::notify_owners(&self.hub, &self.upstream, message),
+            false => plain_placement::notify_owners(&self.hub, &self.service, message),
+        }
+    }
+
+    /// Records how the upstream handles the request, before the request has ended.
+    pub fn record_health(&self, health: Health) {
+        let now = self.hub.now();
+        let is_complete = self.hub.fleet(|fleet| {
+            fleet.record_health(&self.upstream, health, now);
+            matches!(health, Health::Good(_))
+                && fleet.slow_start_accepted(&self.upstream, self.slow_start_slot)
+        });
+        if is_complete {
+            info!(self.hub.log(), "slow start complete"; "name" => self.upstream.as_str());
+        }
+    }
+
+    /// Ends a request that the upstream has not run and never will.
+    pub fn withdraw(mut self, health: Option<Health>) {
+        self.health = health;
+        self.may_run = false;
+    }
+
+    /// Ends a request that the upstream may have run.
+    pub fn close(mut self, health: Option<Health>) {
+        self.health = health;
+    }
+}
+
+impl Drop for PlacedRequest {
+    fn drop(&mut self) {
+        let now = self.hub.now();
+        self.hub.fleet(|fleet| {
+            fleet.request_ended(&self.upstream, self.health, now);
+            fleet.release_slow_start_slot(&self.upstream, self.slow_start_slot);
+        });
+        if !self.may_run {
+            self.hub.withdraw(self.request);
+            self.notify_owners(&Message::Withdrawn { request: self.request });
+            return;
+        }
+        if self.health.is_none() && !self.has_first_token.load(Ordering::Relaxed) {
+            self.record_outcome(JudgedResponse::awaited(now.saturating_sub(self.sent_at)));
+        }
+        self.hub.fleet(|fleet| fleet.remove_request(&self.upstream, self.request));
+        let (upstream, request) = (self.upstream.clone(), self.request);
+        self.notify_owners(&Message::Ended { upstream, request });
+    }
+}
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -26,30 +26,30 @@
 use crate::names::WorkspaceName;
 use crate::placement::choice::Choice;
 use crate::placement::upstream::Health;
+use crate::proxy::adapter::RequestHead;
+use crate::proxy::adapter::UpstreamRequestInfo;
+use crate::proxy::adapter::Verdict;
 use crate::proxy::admission;
-use crate::proxy::answer;
-use crate::proxy::answer::Refusal;
-use crate::proxy::dialect::Head;
-use crate::proxy::dialect::Outgoing;
-use crate::proxy::dialect::Verdict;
 use crate::proxy::hub::Hub;
-use crate::proxy::link;
-use crate::proxy::link::AnswerBody;
-use crate::proxy::look;
 use crate::proxy::notices;
-use crate::proxy::notices::Said;
-use crate::proxy::placed::FirstToken;
-use crate::proxy::placed::InFlight;
-use crate::proxy::placed::Placed;
-use crate::proxy::placing::NO_UPSTREAM_RETRY;
-use crate::proxy::placing::OVERLOAD_RETRY_MIN;
-use crate::proxy::pump;
-use crate::proxy::stream;
-use crate::proxy::stream::Body;
+use crate::proxy::notices::ReceivedNotice;
+use crate::proxy::placed_request::CountGuard;
+use crate::proxy::placed_request::FirstTokenTiming;
+use crate::proxy::placed_request::PlacedRequest;
+use crate::proxy::reachability;
+use crate::proxy::refusal;
+use crate::proxy::refusal::Refusal;
+use crate::proxy::response_body;
+use crate::proxy::response_body::Body;
+use crate::proxy::routing_table::Repeat;
+use crate::proxy::routing_table::Route;
+use crate::proxy::stream_relay;
 use crate::proxy::suspects;
-use crate::proxy::suspects::Break;
-use crate::proxy::table::Repeat;
-use crate::proxy::table::Route;
+use crate::proxy::suspects::BrokenRequest;
+use crate::proxy::upstream_connections;
+use crate::proxy::upstream_connections::UpstreamBody;
+use crate::proxy::upstream_selection::NO_UPSTREAM_RETRY;
+use crate::proxy::upstream_selection::OVERLOAD_RETRY_MIN;
 use crate::util;
 use crate::web;
 use crate::web::BodyFault;
@@ -68,11 +68,11 @@
 const WHOLE_MAX: usize = 4 << 20;
 
 /// A request with all that is known of it.
-pub struct Run {
+pub struct RequestContext {
     /// The process.
     pub hub: Arc<Hub>,
     /// What the caller's head says.
-    pub head: Head,
+    pub head: RequestHead,
     /// The caller's head itself.
     pub parts: request::Parts,
     /// The route.
@@ -96,29 +96,29 @@
     /// Sends so far.
     pub sends: u32,
     /// The version of the upstream that began the answer, once one has.
-    pub begun_at: Option<VersionName>,
+    pub response_version: Option<VersionName>,
     /// Sends that broke off.
-    pub breaks: u32,
+    pub broken_sends: u32,
     /// When the first token came, once it has.
-    pub first_token: Option<FirstToken>,
+    pub first_token: Option<FirstTokenTiming>,
     /// Counts it until all of its answer has been passed on.
-    pub in_flight: InFlight,
+    pub in_flight_guard: CountGuard,
     /// The same until it has been sent for the first time.
-    pub start: Option<InFlight>,
+    pub unsent_guard: Option<CountGuard>,
     /// The same among the streams, if it is one.
-    pub stream: Option<InFlight>,
+    pub stream_guard: Option<CountGuard>,
 }
 
 /// What became of one send.
 enum Sent {
     /// The answer to pass on.
-    Answer(Box<Reply>),
+    Answer(Box<UpstreamResponse>),
     /// It did not reach the upstream.
-    Unsent(link::Error),
+    Unsent(upstream_connections::Error),
     /// The upstream says that it did not run it.
     NotRun,
     /// It may have run. The answer to pass on if it isn't sent again, if there is one.
-    Unsure(Option<Box<Reply>>),
+    Unsure(Option<Box<UpstreamResponse>>),
 }
 
 /// What came of earlier sends of a request.
@@ -126,13 +126,13 @@
 struct Earlier {
     may_have_run: bool,
     /// The last answer, which is passed on if no better one comes.
-    reply: Option<Box<Reply>>,
+    reply: Option<Box<UpstreamResponse>>,
 }
 
 impl Earlier {
     /// How the request ends that is not sent any more, for `cause`: whoever may have run it, it is
     /// not called "not run".
-    fn give_up(self, cause: Refusal) -> Result<Box<Reply>, Refusal> {
+    fn give_up(self, cause: Refusal) -> Result<Box<UpstreamResponse>, Refusal> {
         match self.reply {
             Some(reply) => Ok(reply),
             None if self.may_have_run => Err(Refusal::Broken),
@@ -142,11 +142,11 @@
 }
 
 /// An upstream's answer whose body is still to come.
-pub struct Reply {
+pub struct UpstreamResponse {
     /// The answer; its body closes the connection when it is dropped.
-    pub resp: Response<AnswerBody>,
+    pub resp: Response<UpstreamBody>,
     /// The request's entry in the models.
-    pub placed: Placed,
+    pub placed: PlacedRequest,
 }
 
 /// Serves one request.
@@ -162,8 +162,8 @@
         Err(cause) => return run.refuse(cause),
     }
     if run.route.streaming {
-        run.stream = hub.enter_stream();
-        if run.stream.is_none() {
+        run.stream_guard = hub.try_track_stream();
+        if run.stream_guard.is_none() {
             return run.refuse(Refusal::BoxBusy);
         }
     }
@@ -174,10 +174,10 @@
 fn refuse(hub: &Hub, id: &str, cause: Refusal) -> Response<Body> {
     info!(hub.log(), "refused"; "id" => id, "cause" => cause.code(), "version" => hub.version());
     hub.metrics().refused(cause.code());
-    answer::refusal(cause)
+    refusal::response(cause)
 }
 
-impl Run {
+impl RequestContext {
     async fn go(mut self) -> Response<Body> {
         let timed_out = self.hub.clock().clone().sleep_until(self.deadline);
         let attempted = tokio::select! {
@@ -207,11 +207,11 @@
         if let (Some(workspace), Some(prompt)) = (&self.workspace, &self.head.prompt) {
             hub.metrics().workspace_refused(workspace, prompt.charge(), cause.code());
         }
-        answer::refusal(cause)
+        refusal::response(cause)
     }
 
     /// Sends the request until there is an answer to pass on.
-    async fn attempt(&mut self) -> Result<Box<Reply>, Refusal> {
+    async fn attempt(&mut self) -> Result<Box<UpstreamResponse>, Refusal> {
         let mut unsent = 0;
         let mut earlier = Earlier::default();
         loop {
@@ -228,7 +228,7 @@
             };
             match self.send(&choice, placed, None).await {
                 Sent::Answer(reply) => {
-                    self.begun_at = reply.placed.version().cloned();
+                    self.response_version = reply.placed.version().cloned();
                     return Ok(reply);
                 }
                 Sent::Unsent(e) => {
@@ -236,13 +236,14 @@
                         "upstream" => choice.upstream.as_str(), "error" => util::with_causes(&e));
                     unsent += 1;
                     if UNSENT_MAX <= unsent {
-                        let retry_after = self.resumes_in().unwrap_or(NO_UPSTREAM_RETRY);
+                        let retry_after = self.min_backoff_remaining().unwrap_or(NO_UPSTREAM_RETRY);
                         return earlier.give_up(Refusal::NoUpstream { retry_after });
                     }
                 }
                 Sent::NotRun => {
-                    if !self.may_repeat() {
-                        let retry_after = self.resumes_in().unwrap_or(OVERLOAD_RETRY_MIN);
+                    if !self.try_take_retry() {
+                        let retry_after =
+                            self.min_backoff_remaining().unwrap_or(OVERLOAD_RETRY_MIN);
                         return earlier.give_up(Refusal::Overloaded { retry_after });
                     }
                 }
@@ -251,7 +252,7 @@
                         self.route.repeat != Repeat::Never && self.sends < self.route.max_upstreams;
                     earlier.may_have_run = true;
                     earlier.reply = reply.or(earlier.reply);
-                    if !repeatable || !self.may_repeat() {
+                    if !repeatable || !self.try_take_retry() {
                         return earlier.give_up(Refusal::Broken);
                     }
                 }
@@ -281,16 +282,17 @@
     /// off waits until other boxes have told of the same request, since it may have run at several upstreams at once.
     async fn holds_back(&self) -> Option<Refusal> {
         let suspects = self.hub.suspects();
-        if self.breaks != 0 {
+        if self.broken_sends != 0 {
             tokio::time::sleep(TOLD_WITHIN).await;
         } else if !self.may_be_known() {
             return None;
         }
-        let content = self.fingerprint();
-        let retry_after = suspects::held_for(&self.hub, &content);
-        let is_doubtful = self.breaks != 0 && suspects.would_be_too_many(&content, self.hub.now());
+        let fingerprint = self.fingerprint();
+        let retry_after = suspects::hold_time(&self.hub, &fingerprint);
+        let is_doubtful = self.broken_sends != 0
+            && suspects.would_reach_crash_limit(&fingerprint, self.hub.now());
         let retry_after = retry_after.or(is_doubtful.then_some(NO_UPSTREAM_RETRY));
-        retry_after.map(|retry_after| Refusal::EndsUpstreams { retry_after })
+        retry_after.map(|retry_after| Refusal::CrashesUpstreams { retry_after })
     }
 
     /// Whether this may be a request that upstreams have ended under; if not, nothing needs to be worked out.
@@ -300,54 +302,67 @@
     }
 
     /// Notes that the answer broke off, and ends the request's entry in the models. `is_sure` if the upstream has ended.
-    pub fn broke_off(&mut self, placed: Placed, is_sure: bool) {
+    pub fn record_break(&mut self, placed: PlacedRequest, is_sure: bool) {
         let upstream = placed.upstream().clone();
         // One that has ended, or leaves, says nothing of its version's answers.
         if !is_sure && self.hub.read(|view| view.fleet().is_open(&upstream)) {
-            placed.failed();
+            placed.record_failure();
         }
-        let start = suspects::start_of(&upstream, placed.born());
-        self.breaks += 1;
-        look::unreachable(&self.hub, &upstream);
+        let instance = suspects::instance_id(&upstream, placed.started_at_ms());
+        self.broken_sends += 1;
+        reachability::mark_unreachable(&self.hub, &upstream);
         placed.close(Some(Health::Broken));
         // One that leaves ends by itself.
         if is_sure || self.hub.read(|view| view.fleet().is_open(&upstream)) {
-            let content = self.fingerprint();
-            suspects::broke_off(&self.hub, Break { upstream, start, content }, is_sure);
+            let fingerprint = self.fingerprint();
+            suspects::connection_broken(
+                &self.hub,
+                BrokenRequest { upstream, instance, fingerprint },
+                is_sure,
+            );
         }
     }
 
     /// Notes that the request has ended well.
-    pub fn ended_well(&self) {
+    pub fn record_success(&self) {
         if self.may_be_known() {
-            suspects::ended_well(&self.hub, &self.fingerprint());
+            suspects::request_succeeded(&self.hub, &self.fingerprint());
         }
     }
 
     /// Whether the request may be sent once more, by number and by the budget.
-    pub fn may_repeat(&self) -> bool {
-        self.sends < SENDS_MAX && self.hub.may_repeat(&self.service)
+    pub fn try_take_retry(&self) -> bool {
+        self.sends < SENDS_MAX && self.hub.try_take_retry(&self.service)
     }
 
     /// Sends the request to an upstream, from the event after `resume_after` on if that is given.
-    async fn send(&mut self, choice: &Choice, placed: Placed, resume_after: Option<u64>) -> Sent {
-        self.start = None;
+    async fn send(
+        &mut self,
+        choice: &Choice,
+        placed: PlacedRequest,
+        resume_after: Option<u64>,
+    ) -> Sent {
+        self.unsent_guard = None;
         self.tried.push(choice.upstream.clone());
         let req = self.request_for(choice, resume_after);
         let began = Instant::now();
         let once = self.route.repeat == Repeat::Never;
-        let links = self.hub.links().clone();
-        let allowed = self.hub.allowed(&choice.upstream, self.connections_max, choice.is_counted);
-        let withheld = || notices::withheld(&self.hub, &placed);
-        let answer = links.send(choice.addr, allowed, once, req, withheld).await;
+        let upstream_connections = self.hub.upstream_connections().clone();
+        let connection_quota =
+            self.hub.connection_quota(&choice.upstream, self.connections_max, choice.is_counted);
+        let withheld = || notices::reason_to_withhold(&self.hub, &placed);
+        let answer =
+            upstream_connections.send(choice.addr, connection_quota, once, req, withheld).await;
         let mut resp = match answer {
             Ok(resp) => resp,
             Err(e) if e.is_unsent() => {
                 match e {
-                    link::Error::Withheld(reason) => self.hub.metrics().withheld(reason.code()),
+                    upstream_connections::Error::Withheld(reason) => {
+                        self.hub.metrics().withheld(reason.code())
+                    }
                     // Our own limit says nothing about the upstream.
-                    link::Error::NoneFree => {}
-                    _ => look::unreachable(&self.hub, &choice.upstream),
+                    upstream_connections::Error::LimitReached => {}
+                    _ => reachability::mark_unreachable(&self.hub, &choice.upstream),
                 }
                 placed.withdraw(None);
                 return Sent::Unsent(e);
@@ -357,25 +372,29 @@
                 info!(self.hub.log(), "no answer"; "id" => &self.head.id,
                     "content" => %self.fingerprint(), "upstream" => choice.upstream.as_str(),
                     "error" => util::with_causes(&e));
-                self.broke_off(placed, matches!(e, link::Error::Restarted));
+                self.record_break(placed, matches!(e, upstream_connections::Error::Restarted));
                 return Sent::Unsure(None);
             }
         };
         self.sends += 1;
         let status = resp.status();
-        let verdict = self.hub.dialect().judge(&self.head.id, status, resp.headers());
-        if resp.body_mut().prove(verdict.proves(status)) && !verdict.misdirected {
-            let (upstream, born, sent) = (placed.upstream(), placed.born(), placed.sent());
+        let verdict = self.hub.dialect().check_response(&self.head.id, status, resp.headers());
+        if resp.body_mut().prove(verdict.is_authentic(status)) && !verdict.misdirected {
+            let (upstream, started_at_ms, sent) =
+                (placed.upstream(), placed.started_at_ms(), placed.sent_at());
             let (request, notice) = (&self.head.id, verdict.notice);
-            notices::apply(&self.hub, Said { upstream, born, request, sent, notice });
+            notices::apply(
+                &self.hub,
+                ReceivedNotice { upstream, started_at_ms, request, sent, notice },
+            );
         }
         self.judge(resp, placed, verdict, began)
     }
 
     fn judge(
         &self,
-        resp: Response<AnswerBody>,
-        placed: Placed,
+        resp: Response<UpstreamBody>,
+        placed: PlacedRequest,
         verdict: Verdict,
         began: Instant,
     ) -> Sent {
@@ -386,12 +405,12 @@
             placed.withdraw(Some(gone.unwrap_or(Health::Failed)));
             return Sent::NotRun;
         }
-        let is_odd = !verdict.own
+        let is_odd = !verdict.matches_request
             || (status.is_success() && !verdict.signed)
             || resp.headers().contains_key(CONTENT_ENCODING);
         if is_odd {
             self.log_answer(&resp, &placed, verdict, "odd");
-            placed.failed();
+            placed.record_failure();
             placed.close(Some(Health::Failed));
             return Sent::Unsure(None);
         }
@@ -401,16 +420,16 @@
             placed.close(Some(Health::Failed));
             return Sent::Unsure(None);
         }
-        let reply = Box::new(Reply { resp, placed });
+        let reply = Box::new(UpstreamResponse { resp, placed });
         if status.is_server_error() {
             self.log_answer(&reply.resp, &reply.placed, verdict, "failed");
-            reply.placed.note(Health::Failed);
-            reply.placed.failed();
+            reply.placed.record_health(Health::Failed);
+            reply.placed.record_failure();
             return Sent::Unsure(Some(reply));
         }
-        reply.placed.note(Health::Good(began.elapsed()));
+        reply.placed.record_health(Health::Good(began.elapsed()));
         if self.head.prompt.is_none() {
-            reply.placed.first();
+            reply.placed.record_first_token();
         }
         Sent::Answer(reply)
     }
@@ -418,25 +437,25 @@
     /// Logs an answer that isn't simply passed on.
     fn log_answer(
         &self,
-        resp: &Response<AnswerBody>,
-        placed: &Placed,
+        resp: &Response<UpstreamBody>,
+        placed: &PlacedRequest,
         verdict: Verdict,
         taken_for: &'static str,
     ) {
         info!(self.hub.log(), "answered"; "id" => &self.head.id,
             "upstream" => placed.upstream().as_str(), "status" => resp.status().as_u16(),
-            "taken_for" => taken_for, "own" => verdict.own, "signed" => verdict.signed,
+            "taken_for" => taken_for, "own" => verdict.matches_request, "signed" => verdict.signed,
             "try" => self.tried.len());
     }
 
     /// Sends the rest of a broken stream's request to another upstream.
-    pub async fn resume(&mut self, after: Option<u64>) -> Option<Box<Reply>> {
+    pub async fn resume(&mut self, after: Option<u64>) -> Option<Box<UpstreamResponse>> {
         let repeatable =
             self.route.repeat == Repeat::AfterEvent && self.sends < self.route.max_upstreams;
         while repeatable
             && !self.left().is_zero()
             && self.holds_back().await.is_none()
-            && self.may_repeat()
+            && self.try_take_retry()
         {
             let (choice, placed) = self.place().await.ok()?;
             match self.send(&choice, placed, after.or(self.head.resume_after)).await {
@@ -449,9 +468,9 @@
     }
 
     fn request_for(&self, choice: &Choice, resume_after: Option<u64>) -> Request<Full<Bytes>> {
-        let out = Outgoing {
+        let out = UpstreamRequestInfo {
             upstream: &choice.upstream,
-            left: self.left(),
+            remaining: self.left(),
             workspace: self.workspace.as_ref().map(WorkspaceName::as_str),
             resume_after,
             copy_from: choice.copy_from,
@@ -459,7 +478,7 @@
         let mut req = Request::new(Full::new(self.body.clone()));
         *req.method_mut() = self.parts.method.clone();
         *req.uri_mut() = self.parts.uri.clone();
-        *req.headers_mut() = self.hub.dialect().outgoing(&self.parts.headers, &out);
+        *req.headers_mut() = self.hub.dialect().upstream_headers(&self.parts.headers, &out);
         if !self.body.is_empty() {
             req.headers_mut().insert(CONTENT_LENGTH, HeaderValue::from(self.body.len()));
         }
@@ -467,26 +486,26 @@
     }
 
     /// Passes an answer on.
-    async fn answer(self, reply: Box<Reply>) -> Response<Body> {
+    async fn answer(self, reply: Box<UpstreamResponse>) -> Response<Body> {
         if self.route.streaming && reply.resp.status().is_success() {
-            return pump::start(self, *reply);
+            return stream_relay::start(self, *reply);
         }
         self.answer_whole(*reply).await
     }
 
     /// Passes an answer on once it has come whole, so that one that breaks off is never begun.
-    async fn answer_whole(mut self, reply: Reply) -> Response<Body> {
-        let Reply { resp, placed } = reply;
+    async fn answer_whole(mut self, reply: UpstreamResponse) -> Response<Body> {
+        let UpstreamResponse { resp, placed } = reply;
         let (head, mut body) = resp.into_parts();
         let left = self.left();
         match web::read_body(&mut body, WHOLE_MAX, left).await {
             Ok(bytes) => {
                 body.keep(&head.headers);
                 placed.close(None);
-                self.ended_well();
+                self.record_success();
                 self.log_end(head.status, "whole");
-                let headers = self.hub.dialect().incoming(&head.headers);
-                respond(head.status, headers, stream::whole(bytes))
+                let headers = self.hub.dialect().caller_headers(&head.headers);
+                respond(head.status, headers, response_body::full(bytes))
             }
             Err(fault) => {
                 info!(self.hub.log(), "broke off"; "id" => &self.head.id,
@@ -494,7 +513,7 @@
                     "error" => %fault);
                 match fault {
                     BodyFault::Cut if !self.left().is_zero() => {
-                        self.broke_off(placed, false);
+                        self.record_break(placed, false);
                     }
                     BodyFault::Cut | BodyFault::TooLong => placed.close(Some(Health::Broken)),
                 }
--- a/src/proxy/rollouts.rs
+++ b/src/proxy/rollouts.rs
@@ -27,11 +27,11 @@
 use crate::fleet::rollout::regression::time_bucket;
 use crate::names::ServiceName;
 use crate::names::VersionName;
-use crate::proxy::dialect;
+use crate::proxy::adapter;
+use crate::proxy::aligned_timer;
 use crate::proxy::hub::Hub;
 use crate::proxy::message::Message;
-use crate::proxy::pace;
-use crate::proxy::plain;
+use crate::proxy::plain_placement;
 
 /// Time between looks at roll-outs, and between what is told of answers: a twenty-fifth of the time in which a bad version
 /// must get nothing any more.
@@ -77,7 +77,7 @@
 
 /// An answer that is to be judged.
 #[derive(Clone, Debug)]
-pub struct Mark {
+pub struct JudgedResponse {
     service: ServiceName,
     target: VersionName,
     is_target: bool,
@@ -101,7 +101,7 @@
     }
 
     /// Which engines of a service the request of this id goes to.
-    pub fn side(&self, service: &str, id: &str, now: Duration) -> VersionFilter {
+    pub fn version_filter(&self, service: &str, id: &str, now: Duration) -> VersionFilter {
         if !self.is_any() {
             return VersionFilter::Any;
         }
@@ -110,7 +110,12 @@
     }
 
     /// The engines that may go on with an answer that one of this version has begun.
-    pub fn side_of(&self, service: &str, begun: &VersionName, now: Duration) -> VersionFilter {
+    pub fn version_filter_for(
+        &self,
+        service: &str,
+        begun: &VersionName,
+        now: Duration,
+    ) -> VersionFilter {
         if !self.is_any() {
             return VersionFilter::Any;
         }
@@ -129,13 +134,18 @@
     }
 
     /// By what an answer is judged that an upstream of this version gives; nothing where none is.
-    pub fn mark(&self, service: &ServiceName, version: &VersionName, route: &str) -> Option<Mark> {
+    pub fn judged_response(
+        &self,
+        service: &ServiceName,
+        version: &VersionName,
+        route: &str,
+    ) -> Option<JudgedResponse> {
         if !self.is_any() {
             return None;
         }
         let order =
             self.with(|inner| inner.rollouts.in_progress(service).map(|(order, _)| order.clone()))?;
-        Some(Mark {
+        Some(JudgedResponse {
             service: service.clone(),
             is_target: order.target == *version,
             target: order.target,
@@ -144,8 +154,8 @@
     }
 
     /// Notes what became of an answer.
-    pub fn note(&self, mark: &Mark, finding: ResponseOutcome) {
-        let Mark { ref service, ref target, is_target, route } = *mark;
+    pub fn record_outcome(&self, judged_response: &JudgedResponse, finding: ResponseOutcome) {
+        let JudgedResponse { ref service, ref target, is_target, route } = *judged_response;
         self.with(|inner| {
             let evidence = inner.evidence(service, target);
             if evidence.untold.len() < UNTOLD_MAX {
@@ -155,7 +165,7 @@
     }
 
     /// Takes in what became of answers at another box.
-    pub fn observe(&self, service: &ServiceName, target: &VersionName, all: &[ResponseReport]) {
+    pub fn add_reports(&self, service: &ServiceName, target: &VersionName, all: &[ResponseReport]) {
         self.with(|inner| {
             let is_current = |t: &&VersionName| *t == target;
             let order = inner.rollouts.in_progress(service).map(|(order, _)| &order.target);
@@ -179,7 +189,7 @@
 }
 
 /// Takes in what another box says with a sign of life.
-pub fn hear(hub: &Hub, all: &[RolloutReport]) {
+pub fn merge_reports(hub: &Hub, all: &[RolloutReport]) {
     if all.is_empty() {
         return;
     }
@@ -188,27 +198,28 @@
 }
 
 /// Takes in what the store says of one order.
-pub fn hear_store(hub: &Hub, entry: &RolloutEntry) {
+pub fn apply_entry(hub: &Hub, entry: &RolloutEntry) {
     let now = hub.now();
     change(hub, |rollouts| rollouts.apply_entry(entry, now));
 }
 
 /// Takes in all orders that the store holds.
-pub fn hear_all(hub: &Hub, all: &[RolloutEntry], revision: Revision) {
+pub fn apply_list(hub: &Hub, all: &[RolloutEntry], revision: Revision) {
     let now = hub.now();
     change(hub, |rollouts| rollouts.apply_list(all, revision, now));
 }
 
 /// What this box says with its signs of life.
-pub fn told(hub: &Hub) -> Vec<RolloutReport> {
+pub fn own_reports(hub: &Hub) -> Vec<RolloutReport> {
     let state = hub.rollouts();
     if !state.is_any() {
         return Vec::new();
     }
     let now = hub.now();
     hub.read(|view| {
-        let running =
-            |service: &str, version: &str| view.fleet().outstanding_beside(service, version);
+        let running = |service: &str, version: &str| {
+            view.fleet().outstanding_on_other_versions(service, version)
+        };
         state.with(|inner| inner.rollouts.reports(now, running))
     })
 }
@@ -222,14 +233,14 @@
         state.is_any.store(!inner.rollouts.is_empty(), Ordering::Relaxed);
         (has_changed, inner.rollouts.targets(now))
     });
-    hub.fleet(|fleet| fleet.roll_out(targets));
+    hub.fleet(|fleet| fleet.set_rollout_targets(targets));
     if !has_changed {
         return;
     }
     for (service, stage) in stages(hub) {
         info!(hub.log(), "roll-out"; "service" => service.as_str(), "stage" => ?stage);
     }
-    hub.peers().announce();
+    hub.peers().request_heartbeat();
 }
 
 fn stages(hub: &Hub) -> Vec<(ServiceName, Stage)> {
@@ -240,9 +251,9 @@
 }
 
 /// Tells what became of answers, and judges, until the process ends.
-pub async fn run(hub: Arc<Hub>, adapter: Arc<dyn dialect::Rollouts>) {
+pub async fn run(hub: Arc<Hub>, adapter: Arc<dyn adapter::RolloutReporter>) {
     loop {
-        pace::wait(TICK).await;
+        aligned_timer::wait_for_tick(TICK).await;
         if !hub.rollouts().is_any() {
             continue;
         }
@@ -269,13 +280,13 @@
         (evidence.target.clone(), std::mem::take(&mut evidence.untold))
     });
     let Some(target) = target else { return };
-    let keepers = plain::owned(hub, service);
-    if keepers.is_none_or(|owned| owned.boxes().any(|ip| ip == hub.peers().me())) {
-        hub.rollouts().observe(service, &target, &untold);
+    let keepers = plain_placement::owners(hub, service);
+    if keepers.is_none_or(|owned| owned.boxes().any(|ip| ip == hub.peers().own_ip())) {
+        hub.rollouts().add_reports(service, &target, &untold);
     }
     for all in untold.chunks(TOLD_MAX) {
         let (service, target) = (service.clone(), target.clone());
-        plain::tell(
+        plain_placement::notify_owners(
             hub,
             &service.clone(),
             &Message::ResponseReports { service, target, all: all.to_vec() },
@@ -286,8 +297,8 @@
 /// Whether this box raises the stage: the owner of the service and its standby, or the first two boxes of a small fleet.
 /// Both hear the same, and the stage is the greater of what they find, so neither waits for the other.
 fn is_judge(hub: &Hub, service: &ServiceName) -> bool {
-    match plain::owned(hub, service) {
-        Some(owned) => owned.boxes().any(|ip| ip == hub.peers().me()),
+    match plain_placement::owners(hub, service) {
+        Some(owned) => owned.boxes().any(|ip| ip == hub.peers().own_ip()),
         None => hub.peers().rank_for(service.as_bytes()) < JUDGES,
     }
 }
@@ -305,7 +316,7 @@
     if !is_bad && !is_judge(hub, service) {
         return;
     }
-    let slots = hub.read(|view| view.fleet().slots_by(service, &target));
+    let slots = hub.read(|view| view.fleet().slots_by_version(service, &target));
     let (situation, now) =
         (StageInputs { min_responses: answers, has_regressed: is_bad, slots }, hub.now());
     change(hub, |rollouts| match rollouts.advance(service, situation, now) {
@@ -321,7 +332,7 @@
 
 /// Writes to the store how the roll-out goes, where that is news. Its end frees the old engines, so it isn't written while
 /// any box that lives has a request there or hasn't said that it sends none.
-async fn report(hub: &Hub, service: &ServiceName, adapter: &dyn dialect::Rollouts) {
+async fn report(hub: &Hub, service: &ServiceName, adapter: &dyn adapter::RolloutReporter) {
     let Some((target, stage, reported)) = hub.rollouts().with(|inner| {
         let (order, stage) = inner.rollouts.in_progress(service)?;
         let target = order.target.clone();
@@ -363,12 +374,12 @@
 
 /// Whether no box that lives has a request at the old engines, or sends any there.
 fn has_moved(hub: &Hub, service: &ServiceName, target: &VersionName) -> bool {
-    let own = told(hub).into_iter().find(|told| told.service == *service);
-    let others = hub.peers().rollouts_told(service);
+    let own = own_reports(hub).into_iter().find(|told| told.service == *service);
+    let others = hub.peers().reported_rollouts(service);
     others.iter().chain([&own]).all(|told| told.as_ref().is_some_and(|t| t.has_moved(target)))
 }
 
-impl Mark {
+impl JudgedResponse {
     /// What became of an answer whose first piece came, or had not come, after this time.
     pub fn first(took: Duration) -> ResponseOutcome {
         ResponseOutcome::FirstChunk(time_bucket(took.as_secs_f64() * 1e3))
@@ -383,6 +394,6 @@
 
     /// What became of an answer that never began, if its request has waited long enough to say anything.
     pub fn awaited(took: Duration) -> Option<ResponseOutcome> {
-        (AWAITED_MIN <= took).then(|| Mark::first(took))
+        (AWAITED_MIN <= took).then(|| JudgedResponse::first(took))
     }
 }
--- a/src/proxy/settings.rs
+++ b/src/proxy/settings.rs
@@ -9,7 +9,7 @@
 use crate::config::settings::Reader;
 use crate::placement::cold::ColdBound;
 use crate::placement::tuning::Tuning;
-use crate::proxy::budget::Bounds;
+use crate::proxy::retry_budget::RetryBounds;
 
 /// Seconds that a watch of the store waits. Each costs a call, so longer is cheaper; probes notice
 /// what it can't: a store that has fallen silent. A silence between two probes that loses a watch is
@@ -39,7 +39,7 @@
     /// `[box] descriptors`: sockets and files that the process may have open.
     pub descriptors: usize,
     /// `[box] memory-mb`: memory that the process may use, in bytes; zero for no bound.
-    pub memory: usize,
+    pub memory_bytes: usize,
     /// `[store] address`: where the platform's store is.
     pub store: SocketAddr,
     /// `[store] watch-s`: how long a watch waits for a change.
@@ -55,7 +55,7 @@
     /// `[stop] within-s`: time from the signal to stop until the process must have ended.
     pub stop_within: Duration,
     /// `[repeats]`: what the fleet may send again.
-    pub repeats: Bounds,
+    pub repeats: RetryBounds,
     /// `[streams] late-max-ms`: by how much a piece of a stream may be late; zero where it is passed on at once.
     pub late_max: Duration,
     /// `[shares] window-s`: over how long fair shares are counted.
@@ -78,7 +78,7 @@
         cores: rdr.optional("box", "cores", 1.0),
         is_first_start: rdr.optional("box", "first-start", false),
         descriptors: rdr.optional("box", "descriptors", 4096),
-        memory: rdr.optional::<usize>("box", "memory-mb", 0) << 20,
+        memory_bytes: rdr.optional::<usize>("box", "memory-mb", 0) << 20,
         store: rdr.address("store", "address"),
         store_watch: Duration::from_secs_f64(rdr.optional("store", "watch-s", WATCH_S)),
         has_evacuations: rdr.optional("store", "evacuations", false),
@@ -86,7 +86,7 @@
         exposure: rdr.optional("rollouts", "exposure", EXPOSURE),
         seeds: seeds(&mut rdr),
         stop_within: Duration::from_secs_f64(rdr.optional("stop", "within-s", 8.0)),
-        repeats: Bounds {
+        repeats: RetryBounds {
             ratio: rdr.optional("repeats", "ratio", 0.1),
             slack: rdr.optional("repeats", "slack", 0.0),
             window: Duration::from_secs_f64(rdr.optional("repeats", "window-s", 10.0)),
@@ -106,11 +106,11 @@
     let time = |ms: f64| Duration::from_secs_f64(ms.max(0.0) / 1e3);
     Tuning {
         tokens_per_ms: number("tokens-per-ms", usual.tokens_per_ms),
-        pairs: time(number("pairs-ms", millis(usual.pairs))),
-        step: time(number("step-ms", millis(usual.step))),
-        first_step: time(number("first-step-ms", millis(usual.first_step))),
-        reading_share: number("reading-share", usual.reading_share),
-        read_weight: number("read-weight", usual.read_weight),
+        per_million_pairs: time(number("pairs-ms", millis(usual.per_million_pairs))),
+        per_prompt: time(number("step-ms", millis(usual.per_prompt))),
+        first_token_overhead: time(number("first-step-ms", millis(usual.first_token_overhead))),
+        prefill_share: number("reading-share", usual.prefill_share),
+        prefill_weight: number("read-weight", usual.prefill_weight),
         copy_weight: number("copy-weight", usual.copy_weight),
         wait_share: number("wait-share", usual.wait_share),
         wait_share_over: number("wait-share-over", usual.wait_share_over),
--- a/tests/fleet_evacuated.rs
+++ b/tests/fleet_evacuated.rs
@@ -11,19 +11,19 @@
 use frostdyke::names::UpstreamName;
 use frostdyke::names::VersionName;
 use frostdyke::names::ZoneName;
-use frostdyke::placement::choice::NoChoice;
-use frostdyke::placement::choice::Wanted;
+use frostdyke::placement::choice::SelectionCriteria;
+use frostdyke::placement::choice::ChoiceError;
 use frostdyke::placement::cold::ColdLimits;
 use frostdyke::placement::cold::Role;
-use frostdyke::placement::fleet::Fleet;
+use frostdyke::placement::registry::UpstreamRegistry;
 use frostdyke::placement::tuning::Tuning;
-use frostdyke::proxy::dialect::Listed;
-use frostdyke::proxy::dialect::Part;
-use frostdyke::proxy::dialect::Prompt;
-use frostdyke::proxy::table::EngineLimits;
-use frostdyke::proxy::table::Limits;
-use frostdyke::proxy::table::Service;
-use frostdyke::proxy::table::Table;
+use frostdyke::proxy::routing_table::Service;
+use frostdyke::proxy::routing_table::RoutingTable;
+use frostdyke::proxy::adapter::Prompt;
+use frostdyke::proxy::routing_table::EngineLimits;
+use frostdyke::proxy::routing_table::Limits;
+use frostdyke::proxy::adapter::UpstreamListing;
+use frostdyke::proxy::adapter::PromptPart;
 use frostdyke::proxy::view::Change;
 use frostdyke::proxy::view::View;
 use rand::Rng;
@@ -119,32 +119,40 @@
 
 /// Creates a view of two engines in two zones, whose load is limited after a start.
 fn view() -> View {
-    let mut view = View::new(Fleet::new(zone("a"), Tuning::default()));
-    let cold = ColdLimits { lasts: Duration::from_secs(3), pace: Duration::from_millis(160) };
+    let mut view = View::new(UpstreamRegistry::new(zone("a"), Tuning::default()));
+    let cold =
+        ColdLimits { duration: Duration::from_secs(3), min_interval: Duration::from_millis(160) };
     let limits =
         EngineLimits { slots: 8, memory_tokens: 100_000, copied_per_s: 400_000, cold: Some(cold) };
     let service = Service { max_connections: 100, probe_path: String::new(), engine: Some(limits) };
     let services = [(ServiceName::from("llm"), service)].into();
-    let table = Table::new(1, Vec::new(), services, None, Limits::default());
+    let table = RoutingTable::new(1, Vec::new(), services, None, Limits::default());
     view.configure(table.into(), Duration::ZERO);
-    let listed = |n: u8, name: &str| Listed {
+    let listed = |n: u8, name: &str| UpstreamListing {
         name: UpstreamName::from(&*format!("e{n}")),
         service: ServiceName::from("llm"),
         addr: ([127, 0, 0, n], 80).into(),
         zone: zone(name),
         version: VersionName::from("v1"),
         slots: 8,
-        born: None,
+        started_at_ms: None,
         leaving: false,
         cold_for: Some(Duration::ZERO),
     };
-    view.list(vec![listed(1, "a"), listed(2, "b")], Duration::ZERO);
+    view.set_upstreams(vec![listed(1, "a"), listed(2, "b")], Duration::ZERO);
     view
 }
 
-fn choose(view: &View, role: Role, now: Duration) -> Result<String, NoChoice> {
-    let prompt = Prompt { tokens: 100, written_max: 10, parts: vec![Part { id: 1, tokens: 100 }] };
-    let wanted = Wanted { role, ..Wanted::any("llm", Some(&prompt), &[], Duration::MAX) };
+fn choose(view: &View, role: Role, now: Duration) -> Result<String, ChoiceError> {
+    let prompt = Prompt {
+        tokens: 100,
+        output_tokens_max: 10,
+        parts: vec![PromptPart { id: 1, tokens: 100 }],
+    };
+    let wanted = SelectionCriteria {
+        role,
+        ..SelectionCriteria::any("llm", Some(&prompt), &[], Duration::MAX)
+    };
     view.fleet().choose(wanted, now).map(|choice| choice.upstream.as_str().to_owned())
 }
 
@@ -160,7 +168,7 @@
     );
     assert!(!view.is_barred(&UpstreamName::from("e2")));
     view.evacuate(&evacuated(6, &["a", "b"]), now);
-    assert_eq!(choose(&view, Role::Owner, now), Err(NoChoice::NoUpstream), "refused at once");
+    assert_eq!(choose(&view, Role::Owner, now), Err(ChoiceError::NoUpstream), "refused at once");
 }
 
 #[test]
@@ -168,9 +176,9 @@
     let (mut view, now) = (view(), Duration::from_secs(1));
     view.evacuate(&evacuated(5, &["a", "b"]), now);
     view.evacuate(&evacuated(6, &["b"]), now);
-    assert_eq!(choose(&view, Role::Stranger, now), Err(NoChoice::Full));
+    assert_eq!(choose(&view, Role::Unassigned, now), Err(ChoiceError::Full));
     assert_eq!(choose(&view, Role::Owner, now), Ok("e1".to_owned()));
     let later = now + Duration::from_millis(3_100);
-    assert_eq!(choose(&view, Role::Stranger, later), Ok("e1".to_owned()));
+    assert_eq!(choose(&view, Role::Unassigned, later), Ok("e1".to_owned()));
     assert_eq!(view.evacuated().zones, BTreeSet::from([zone("b")]));
 }
