--- a/src/proxy/history.rs
+++ b/src/proxy/history.rs
@@ -65,7 +65,7 @@
             .then(|| self.changed.iter().filter(move |(_, s)| is_newer(s)).map(|(name, _)| name))
     }
 
-    /// Removes changes older than [`RETENTION`].
+    /// Removes changes older than `RETENTION`.
     pub fn tick(&mut self, now: Duration) {
         let floor = &mut self.floor;
         self.changed.retain(|_, stamp| {
--- a/src/proxy/hub.rs
+++ b/src/proxy/hub.rs
@@ -181,7 +181,7 @@
         &self.clock
     }
 
-    /// Time on the clock of the process, including time for which the machine was suspended.
+    /// Time since the start, including time for which the machine was suspended.
     pub fn now(&self) -> Duration {
         self.clock.now()
     }
@@ -382,7 +382,7 @@
 
     /// Returns how many connections to an upstream this box may open, of the `connections` that the
     /// upstream accepts from all boxes. `is_placed` if the upstream's owner placed the request.
-    pub fn connections_allowed(
+    pub fn connection_quota(
         &self,
         upstream: &UpstreamName,
         connections: u32,
--- a/src/proxy/notices.rs
+++ b/src/proxy/notices.rs
@@ -112,8 +112,8 @@
     if !hub.change(|view, now| view.apply_draining(&draining, now)) {
         return;
     }
-    info!(hub.log(), "upstream draining"; "name" => received.upstream.as_str(), "born" => received.born,
-        "id" => received.request);
+    info!(hub.log(), "upstream draining"; "name" => received.upstream.as_str(),
+        "born" => received.born, "id" => received.request);
     publish(hub, draining);
 }
 
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -343,7 +343,7 @@
         let once = self.route.repeat == Repeat::Never;
         let links = self.hub.links().clone();
         let allowed =
-            self.hub.connections_allowed(&choice.upstream, self.connections_max, choice.is_counted);
+            self.hub.connection_quota(&choice.upstream, self.connections_max, choice.is_counted);
         let withheld = || notices::reason_to_withhold(&self.hub, &placed);
         let answer = links.send(choice.addr, allowed, once, req, withheld).await;
         let mut resp = match answer {
--- a/src/proxy/rollouts.rs
+++ b/src/proxy/rollouts.rs
@@ -306,7 +306,7 @@
 }
 
 /// Raises the stage if this box evaluates the roll-out. Any box that has received the outcomes may
-/// end it, so that requests to a bad version stop even if the boxes that evaluate it are gone.
+/// revert it, so that requests to a bad version stop even if the boxes that evaluate it are gone.
 fn evaluate(hub: &Hub, service: &ServiceName) {
     let Some((target, is_bad, answers)) = hub.rollouts().with(|inner| {
         let target = inner.rollouts.under_way(service)?.0.target.clone();
--- a/src/proxy/suspects.rs
+++ b/src/proxy/suspects.rs
@@ -426,7 +426,8 @@
         }
         // Its crashes are too long ago. Another box may delete it at the same time.
         if let Err(e) = records.forget(fingerprint).await {
-            debug!(hub.log(), "crash suspect not deleted"; "content" => %fingerprint, "error" => %e);
+            debug!(hub.log(), "crash suspect not deleted"; "content" => %fingerprint,
+                "error" => %e);
         }
     }
 }
--- a/src/proxy/view.rs
+++ b/src/proxy/view.rs
@@ -221,7 +221,7 @@
         self.changes.push(Change::StoreRestored(era));
     }
 
-    /// Removes an upstream whose entry can't be decoded. True if this error wasn't known.
+    /// Removes an upstream whose entry can't be decoded. True if the error is new.
     pub fn mark_unreadable(&mut self, name: &UpstreamName, fault: &str, now: Duration) -> bool {
         if self.unreadable.get(name).is_some_and(|known| known == fault) {
             return false;
@@ -292,7 +292,7 @@
         revision: Revision,
         now: Duration,
     ) -> Option<Snapshot> {
-        // Whether an upstream whose entry is missing is gone isn't known.
+        // An upstream whose entry is missing may or may not be gone.
         let changed =
             self.history.changed_since(revision)?.filter(|name| !self.missing.contains(*name));
         let (kept, gone): (Vec<_>, Vec<_>) =
@@ -596,8 +596,8 @@
                 .chain(&snapshot.gone)
                 .for_each(|name| self.remove_upstream(name, now));
         }
-        // A difference is requested when all boxes that reach the store list the upstream, so the
-        // entry of one that this box removed, or had reported to it as gone, had only expired.
+        // A difference is requested when all boxes that reach the store list the upstream. So if
+        // this box removed it, or it was reported as gone, its entry had only expired.
         let may_return = snapshot.is_complete && !is_changes;
         for listed in snapshot.upstreams {
             let is_gone = self.removed.contains_key(&listed.name);
@@ -646,8 +646,8 @@
         self.draining.tick(now, |name| self.fleet.get(name).is_some());
         self.expire_restore_state(now);
         let View { fleet, removed, history, .. } = self;
-        self.reported_gone_at.retain(|name, said| {
-            let is_kept = now < *said + REPORTED_GONE_RETENTION;
+        self.reported_gone_at.retain(|name, reported_at| {
+            let is_kept = now < *reported_at + REPORTED_GONE_RETENTION;
             if !is_kept {
                 let born = fleet.get(name).and_then(|known| known.born);
                 fleet.remove(name);
