--- a/src/proxy/gossip.rs
+++ b/src/proxy/gossip.rs
@@ -11,20 +11,20 @@
 use slog::info;
 use tokio::time::Instant;
 
-use crate::fleet::members::HeartbeatOutcome;
-use crate::fleet::members::HeartbeatMessage;
 use crate::fleet::members::HEARTBEAT_INTERVAL;
+use crate::fleet::members::HeartbeatMessage;
+use crate::fleet::members::HeartbeatOutcome;
 use crate::fleet::sync_state::SyncState;
-use crate::proxy::state_updates;
+use crate::proxy::aligned_timer;
 use crate::proxy::box_api;
+use crate::proxy::engine_placement;
 use crate::proxy::hub::Hub;
-use crate::proxy::plain_placement;
 use crate::proxy::message::Message;
-use crate::proxy::engine_placement;
 use crate::proxy::peers::DATAGRAM_MAX_BYTES;
 use crate::proxy::peers::OwnState;
-use crate::proxy::aligned_timer;
+use crate::proxy::plain_placement;
 use crate::proxy::rollouts;
+use crate::proxy::state_updates;
 use crate::proxy::view::View;
 
 /// Datagrams handled before the task yields.
--- a/src/proxy/message.rs
+++ b/src/proxy/message.rs
@@ -23,10 +23,10 @@
 use crate::placement::choice::Choice;
 use crate::placement::choice::CopySource;
 use crate::placement::share::TokenCounts;
-use crate::proxy::plain_placement::PlainPlacementRequest;
-use crate::proxy::adapter::UpstreamListing;
 use crate::proxy::adapter::Prompt;
 use crate::proxy::adapter::PromptPart;
+use crate::proxy::adapter::UpstreamListing;
+use crate::proxy::plain_placement::PlainPlacementRequest;
 
 /// A message from one box to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/src/proxy/notices.rs
+++ b/src/proxy/notices.rs
@@ -16,12 +16,12 @@
 use crate::fleet::owners::GroupOwners;
 use crate::names::UpstreamName;
 use crate::placement::upstream;
-use crate::proxy::placed_request::PlacedRequest;
-use crate::proxy::adapter::Notice;
+use crate::proxy::adapter::EngineQueryError;
 use crate::proxy::adapter::EngineReply;
+use crate::proxy::adapter::Notice;
 use crate::proxy::hub::Hub;
 use crate::proxy::message::Message;
-use crate::proxy::adapter::EngineQueryError;
+use crate::proxy::placed_request::PlacedRequest;
 use crate::proxy::plain_placement;
 use crate::util;
 
@@ -158,7 +158,10 @@
         (hub.now(), hub.read(|view| view.fleet().get(upstream)?.started_at_ms));
     let EngineReply { name, notice, result } = answer.await;
     if let Some(other) = name.filter(|name| name != upstream) {
-        return Err(EngineQueryError(format!("upstream {} answered at its address", other.as_str())));
+        return Err(EngineQueryError(format!(
+            "upstream {} answered at its address",
+            other.as_str()
+        )));
     }
     apply(hub, ReceivedNotice { upstream, started_at_ms, request: "", sent, notice });
     result
--- a/src/proxy/rollouts.rs
+++ b/src/proxy/rollouts.rs
@@ -14,24 +14,24 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::fleet::revision::Revision;
-use crate::fleet::rollout::VersionFilter;
 use crate::fleet::rollout::Outcome;
-use crate::fleet::rollout::Rollouts;
-use crate::fleet::rollout::StageInputs;
+use crate::fleet::rollout::RolloutEntry;
 use crate::fleet::rollout::RolloutReport;
+use crate::fleet::rollout::Rollouts;
 use crate::fleet::rollout::Stage;
-use crate::fleet::rollout::RolloutEntry;
-use crate::fleet::rollout::regression::time_bucket;
-use crate::fleet::rollout::regression::ResponseReport;
-use crate::fleet::rollout::regression::ResponseOutcome;
+use crate::fleet::rollout::StageInputs;
+use crate::fleet::rollout::VersionFilter;
 use crate::fleet::rollout::regression::RegressionDetector;
+use crate::fleet::rollout::regression::ResponseOutcome;
+use crate::fleet::rollout::regression::ResponseReport;
+use crate::fleet::rollout::regression::time_bucket;
 use crate::names::ServiceName;
 use crate::names::VersionName;
-use crate::proxy::plain_placement;
+use crate::proxy::adapter;
+use crate::proxy::aligned_timer;
 use crate::proxy::hub::Hub;
 use crate::proxy::message::Message;
-use crate::proxy::aligned_timer;
-use crate::proxy::adapter;
+use crate::proxy::plain_placement;
 
 /// Time between evaluations of roll-outs, and between reports of outcomes: a twenty-fifth of the
 /// time within which requests to a bad version must have stopped.
--- a/src/proxy/suspects.rs
+++ b/src/proxy/suspects.rs
@@ -28,12 +28,12 @@
 use crate::fleet::quarantine::SuspectReport;
 use crate::fleet::quarantine::Verdict;
 use crate::names::UpstreamName;
-use crate::proxy::box_api;
-use crate::proxy::adapter::SuspectStore;
 use crate::proxy::adapter::StoreError;
+use crate::proxy::adapter::SuspectStore;
+use crate::proxy::aligned_timer;
+use crate::proxy::box_api;
 use crate::proxy::hub::Hub;
 use crate::proxy::message::Message;
-use crate::proxy::aligned_timer;
 
 /// How long a broken request waits for proof of a crash: the three heartbeats after which an entry
 /// expires, and some time until this box learns of it.
