--- a/src/proxy/admission.rs
+++ b/src/proxy/admission.rs
@@ -26,8 +26,10 @@
     parts: request::Parts,
     arrived: Duration,
 ) -> Result<RequestContext, (Refusal, String)> {
-    let head =
-        hub.dialect().parse_request(&parts).map_err(|_| (Refusal::BadHead, String::new()))?;
+    let head = hub
+        .header_adapter()
+        .parse_request(&parts)
+        .map_err(|_| (Refusal::BadHead, String::new()))?;
     let fail = |cause| (cause, head.id.clone());
     let table = hub.table().ok_or_else(|| fail(Refusal::NotConfigured))?;
     let path = parts.uri.path();
--- a/src/proxy/gossip.rs
+++ b/src/proxy/gossip.rs
@@ -90,12 +90,12 @@
         };
         buf = rest;
         match message {
-            Message::Heartbeat(beat) => handle_heartbeat(hub, &beat),
-            Message::PlacementRequest(ask) => {
-                engine_placement::handle_request(hub, &ask, from.ip())
+            Message::Heartbeat(heartbeat) => handle_heartbeat(hub, &heartbeat),
+            Message::PlacementRequest(request) => {
+                engine_placement::handle_request(hub, &request, from.ip())
             }
-            Message::PlainPlacementRequest(ask) => {
-                plain_placement::handle_request(hub, &ask, from.ip())
+            Message::PlainPlacementRequest(request) => {
+                plain_placement::handle_request(hub, &request, from.ip())
             }
             message => state_updates::apply_message(hub, message, from.ip()),
         }
@@ -104,12 +104,12 @@
 
 /// Handles a heartbeat. Boxes that start learn of each other within a few round trips, since each
 /// answers at once.
-fn handle_heartbeat(hub: &Hub, beat: &HeartbeatMessage) {
+fn handle_heartbeat(hub: &Hub, heartbeat: &HeartbeatMessage) {
     let peers = hub.peers();
     let now = peers.now();
     let HeartbeatOutcome { reply_to, is_new, has_restarted } =
-        peers.members(|members| members.receive(beat, now));
-    let report = &beat.report;
+        peers.members(|members| members.receive(heartbeat, now));
+    let report = &heartbeat.report;
     if has_restarted {
         info!(hub.log(), "box restarted"; "name" => report.name.as_str());
         hub.fleet(|fleet| fleet.remove_sender(report.addr.ip()));
@@ -138,16 +138,16 @@
 }
 
 fn own_state(hub: &Hub) -> OwnState {
-    let held = hub.suspects().read(|quarantine| quarantine.held_digest(hub.now()));
+    let held_digest = hub.suspects().read(|quarantine| quarantine.held_digest(hub.now()));
     let rollouts = rollouts::own_reports(hub);
     hub.read(|view| OwnState {
         version: view.version(),
-        sees_store: view.reaches_store(),
+        reaches_store: view.reaches_store(),
         is_warm: hub.is_warm(),
-        upstreams: view.digest(),
+        upstreams_digest: view.digest(),
         revision: view.revision(),
         evacuated: view.evacuated().clone(),
-        held,
+        held_digest,
         rollouts,
     })
 }
@@ -185,14 +185,14 @@
         }
         let is_known = hub.read(View::is_ready);
         let is_small = hub.peers().owners().is_empty();
-        let (ahead, standing) = sync_status(&hub, is_small);
-        let diverged = matches!(standing, SyncState::Diverged(_)).then(Instant::now);
+        let (ahead, sync_state) = sync_status(&hub, is_small);
+        let diverged = matches!(sync_state, SyncState::Diverged(_)).then(Instant::now);
         diverged_since = diverged.map(|now| diverged_since.unwrap_or(now));
         let request_difference =
             diverged_since.is_some_and(|at| DIVERGED_MIN <= at.elapsed()) || is_small;
         let was_requested =
             requested_at.is_some_and(|at: Instant| at.elapsed() < CHANGES_REQUEST_INTERVAL);
-        match (ahead, standing) {
+        match (ahead, sync_state) {
             (Some(addr), _) => fetch_difference(&hub, addr).await,
             (None, SyncState::Diverged(addr)) if request_difference || !is_known => {
                 fetch_difference(&hub, addr).await
@@ -210,16 +210,16 @@
 /// Returns a box with a newer configuration, and how this box's list compares with those of the
 /// boxes that reach the store.
 fn sync_status(hub: &Hub, is_small: bool) -> (Option<SocketAddr>, SyncState) {
-    let OwnState { version, sees_store, upstreams, revision, .. } = own_state(hub);
+    let OwnState { version, reaches_store, upstreams_digest, revision, .. } = own_state(hub);
     let peers = hub.peers();
-    let standing = if sees_store {
+    let sync_state = if reaches_store {
         SyncState::InSync
     } else if is_small {
         peers.box_with_store().map_or(SyncState::InSync, SyncState::Diverged)
     } else {
-        peers.standing(revision, upstreams)
+        peers.sync_state(revision, upstreams_digest)
     };
-    (peers.box_with_newer_configuration(version), standing)
+    (peers.box_with_newer_configuration(version), sync_state)
 }
 
 /// Requests the difference of the lists from another box.
--- a/src/proxy/hub.rs
+++ b/src/proxy/hub.rs
@@ -52,8 +52,8 @@
 pub struct Hub {
     inner: Mutex<Inner>,
     clock: Arc<Clock>,
-    dialect: Arc<dyn HeaderAdapter>,
-    engines: Arc<dyn EngineClient>,
+    header_adapter: Arc<dyn HeaderAdapter>,
+    engine_client: Arc<dyn EngineClient>,
     upstream_connections: Arc<UpstreamConnections>,
     peers: Peers,
     metrics: ProxyMetrics,
@@ -68,7 +68,7 @@
     streams_max: AtomicUsize,
     is_full: AtomicBool,
     unsent: Arc<AtomicUsize>,
-    turned_away: AtomicUsize,
+    rejected: AtomicUsize,
     connections: Arc<AtomicUsize>,
     connections_max: usize,
     late_max: Duration,
@@ -87,8 +87,8 @@
     pub fn new(
         cfg: &Settings,
         clock: Arc<Clock>,
-        dialect: Arc<dyn HeaderAdapter>,
-        engines: Arc<dyn EngineClient>,
+        header_adapter: Arc<dyn HeaderAdapter>,
+        engine_client: Arc<dyn EngineClient>,
         peers: Peers,
         metrics: ProxyMetrics,
         log: Logger,
@@ -102,8 +102,8 @@
         };
         let hub = Arc::new(Hub {
             inner: Mutex::new(inner),
-            dialect,
-            engines,
+            header_adapter,
+            engine_client,
             upstream_connections: UpstreamConnections::new(clock.clone()),
             clock,
             peers,
@@ -119,7 +119,7 @@
             streams_max: AtomicUsize::new(capacity::initial_stream_limit(cfg.cores)),
             is_full: AtomicBool::new(false),
             unsent: Arc::default(),
-            turned_away: AtomicUsize::new(0),
+            rejected: AtomicUsize::new(0),
             connections: Arc::default(),
             connections_max: capacity::caller_connections_max(cfg.descriptors, cfg.memory_bytes),
             late_max: cfg.late_max,
@@ -129,13 +129,13 @@
     }
 
     /// The HTTP headers of callers and upstreams.
-    pub fn dialect(&self) -> &dyn HeaderAdapter {
-        &*self.dialect
+    pub fn header_adapter(&self) -> &dyn HeaderAdapter {
+        &*self.header_adapter
     }
 
     /// Client for calls to engines other than forwarded requests.
-    pub fn engines(&self) -> &dyn EngineClient {
-        &*self.engines
+    pub fn engine_client(&self) -> &dyn EngineClient {
+        &*self.engine_client
     }
 
     /// Counts a request as in flight until the guard is dropped.
@@ -214,13 +214,13 @@
     }
 
     /// Counts a caller that is refused for overload.
-    pub fn count_turned_away(&self) {
-        self.turned_away.fetch_add(1, Ordering::Relaxed);
+    pub fn count_rejected(&self) {
+        self.rejected.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Returns how many callers have been refused for overload since the start.
-    pub fn turned_away(&self) -> usize {
-        self.turned_away.load(Ordering::Relaxed)
+    pub fn rejected(&self) -> usize {
+        self.rejected.load(Ordering::Relaxed)
     }
 
     /// Counts a caller's connection until the guard is dropped.
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -78,7 +78,7 @@
             tokio::task::yield_now().await;
         }
         let Some(entered) = limiter.try_admit(hub.unsent(), hub.now()) else {
-            hub.count_turned_away();
+            hub.count_rejected();
             away.turn_away(stream);
             continue;
         };
--- a/src/proxy/message.rs
+++ b/src/proxy/message.rs
@@ -128,7 +128,7 @@
 impl Message {
     /// Whether the message may be delayed, because the next choices of other boxes hardly depend on
     /// it.
-    pub fn can_wait(&self) -> bool {
+    pub fn is_deferrable(&self) -> bool {
         matches!(
             self,
             Message::FirstToken { .. }
@@ -160,7 +160,7 @@
     /// Which versions may be chosen.
     pub side: VersionFilter,
     /// The route's target latency, in milliseconds.
-    pub aim_ms: u32,
+    pub target_latency_ms: u32,
     /// Time for which the request has waited, in milliseconds.
     pub waited_ms: u32,
     /// An engine of another group that has part of the prompt cached.
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -227,8 +227,8 @@
         }
         let before = (capacity.is_behind(), hub.is_full());
         hub.set_streams_max(capacity.record_tick(due.elapsed(), hub.streams()));
-        if turned_away < hub.turned_away() {
-            turned_away = hub.turned_away();
+        if turned_away < hub.rejected() {
+            turned_away = hub.rejected();
             crowded_until = due + CROWDED_FOR;
         }
         hub.set_full(capacity.is_full() || due < crowded_until);
--- a/src/proxy/notices.rs
+++ b/src/proxy/notices.rs
@@ -98,7 +98,8 @@
     }
     if is_new {
         info!(hub.log(), "upstream backing off"; "name" => received.upstream.as_str(),
-            "born" => received.started_at_ms, "id" => received.request, "ms" => length.as_millis() as u64);
+            "born" => received.started_at_ms, "id" => received.request,
+            "ms" => length.as_millis() as u64);
     }
 }
 
@@ -148,7 +149,7 @@
 pub async fn query<T>(
     hub: &Hub,
     upstream: &UpstreamName,
-    answer: impl Future<Output = EngineReply<T>>,
+    reply: impl Future<Output = EngineReply<T>>,
 ) -> Result<T, EngineQueryError> {
     if hub.is_backing_off(upstream) {
         hub.metrics().withheld(WithholdReason::Backoff.code());
@@ -156,7 +157,7 @@
     }
     let (sent, started_at_ms) =
         (hub.now(), hub.read(|view| view.fleet().get(upstream)?.started_at_ms));
-    let EngineReply { name, notice, result } = answer.await;
+    let EngineReply { name, notice, result } = reply.await;
     if let Some(other) = name.filter(|name| name != upstream) {
         return Err(EngineQueryError(format!(
             "upstream {} answered at its address",
--- a/src/proxy/peers.rs
+++ b/src/proxy/peers.rs
@@ -70,12 +70,12 @@
 #[derive(Clone, Debug)]
 pub(super) struct OwnState {
     pub(super) version: u64,
-    pub(super) sees_store: bool,
+    pub(super) reaches_store: bool,
     pub(super) is_warm: bool,
-    pub(super) upstreams: u64,
+    pub(super) upstreams_digest: u64,
     pub(super) revision: Revision,
     pub(super) evacuated: EvacuatedZones,
-    pub(super) held: u64,
+    pub(super) held_digest: u64,
     pub(super) rollouts: Vec<RolloutReport>,
 }
 
@@ -214,7 +214,7 @@
         if DATAGRAM_MAX_BYTES < pending.buf.len() + buf.len() {
             self.send_to_live(&std::mem::take(&mut pending.buf));
         }
-        if message.can_wait() {
+        if message.is_deferrable() {
             if pending.buf.is_empty() {
                 self.deferred_pending.notify_one();
             }
@@ -268,14 +268,14 @@
     /// Whether this box has to watch the store.
     pub fn is_store_due(&self) -> bool {
         let now = self.now();
-        let colleague = |(ip, member): (IpAddr, &Member)| {
+        let zone_box = |(ip, member): (IpAddr, &Member)| {
             let (report, age) = member.report_with_age(now)?;
             let store_seen_ago = report.sees_store.then_some(age);
             let is_here = report.zone == self.zone;
             is_here.then_some(ZoneBox { ip, cores: report.cores, store_seen_ago })
         };
         let zone: Vec<ZoneBox> =
-            self.members(|members| members.live(now).filter_map(colleague).collect());
+            self.members(|members| members.live(now).filter_map(zone_box).collect());
         store_watch::should_watch(WatchInputs {
             own_ip: self.me.ip(),
             cores: self.cores,
@@ -339,7 +339,7 @@
         let (to, updates) = self.members(|members| {
             let mut rng = rand::rng();
             // The boxes for which this one watches the store depend on its heartbeats.
-            let zone = state.sees_store.then_some(&self.zone);
+            let zone = state.reaches_store.then_some(&self.zone);
             (
                 members.heartbeat_targets(zone, now, &mut rng),
                 members.heartbeat_updates(now, &mut rng),
@@ -351,17 +351,17 @@
     /// Sends recent updates on other boxes, if there are any.
     pub(super) fn send_gossip(&self, state: impl FnOnce() -> OwnState) {
         let now = self.now();
-        let news: Vec<(Vec<IpAddr>, Vec<LivenessUpdate>)> = self.members(|members| {
+        let updates_by_target: Vec<(Vec<IpAddr>, Vec<LivenessUpdate>)> = self.members(|members| {
             let take = || members.gossip(now, &mut rand::rng());
             std::iter::from_fn(take).take(GOSSIP_ROUNDS).collect()
         });
-        if news.is_empty() {
+        if updates_by_target.is_empty() {
             return;
         }
         let state = state();
-        let call = HeartbeatOptions { requests_reply: false, includes_updates: true };
-        for (to, updates) in news {
-            let to = to.into_iter().map(|ip| (ip, call)).collect();
+        let options = HeartbeatOptions { requests_reply: false, includes_updates: true };
+        for (to, updates) in updates_by_target {
+            let to = to.into_iter().map(|ip| (ip, options)).collect();
             self.send_heartbeat(state.clone(), updates, &to);
         }
     }
@@ -370,12 +370,12 @@
     pub(super) fn send_heartbeat_to(&self, state: OwnState, to: &BTreeSet<IpAddr>) {
         let now = self.now();
         let (to, updates) = self.members(|members| {
-            let call = |ip| HeartbeatOptions {
+            let options = |ip| HeartbeatOptions {
                 requests_reply: members.report(ip).is_none(),
                 includes_updates: true,
             };
             let to: BTreeMap<IpAddr, HeartbeatOptions> =
-                to.iter().map(|ip| (*ip, call(*ip))).collect();
+                to.iter().map(|ip| (*ip, options(*ip))).collect();
             (to, members.reply_updates(now, &mut rand::rng()))
         });
         self.send_heartbeat(state, updates, &to);
@@ -389,12 +389,12 @@
     ) {
         let OwnState {
             version,
-            sees_store,
+            reaches_store,
             is_warm,
-            upstreams,
+            upstreams_digest,
             revision,
             evacuated,
-            held,
+            held_digest,
             rollouts,
         } = state;
         let report = BoxReport {
@@ -404,27 +404,28 @@
             incarnation: self.incarnation,
             cores: self.cores,
             version,
-            sees_store,
+            sees_store: reaches_store,
             is_warm,
-            upstreams_digest: upstreams,
+            upstreams_digest,
             revision,
             evacuated,
-            held_digest: held,
+            held_digest,
             rollouts,
         };
-        let mut beat = HeartbeatMessage { report, requests_reply: false, updates };
+        let mut heartbeat = HeartbeatMessage { report, requests_reply: false, updates };
         for includes_updates in [true, false] {
             if !includes_updates {
-                beat.updates.clear();
+                heartbeat.updates.clear();
             }
             for requests_reply in [false, true] {
-                let call = HeartbeatOptions { requests_reply, includes_updates };
-                let mut to = to.iter().filter(|(_, c)| **c == call).map(|(ip, _)| *ip).peekable();
+                let options = HeartbeatOptions { requests_reply, includes_updates };
+                let mut to =
+                    to.iter().filter(|(_, c)| **c == options).map(|(ip, _)| *ip).peekable();
                 if to.peek().is_none() {
                     continue;
                 }
-                beat.requests_reply = requests_reply;
-                let Ok(buf) = postcard::to_stdvec(&Message::Heartbeat(beat.clone())) else {
+                heartbeat.requests_reply = requests_reply;
+                let Ok(buf) = postcard::to_stdvec(&Message::Heartbeat(heartbeat.clone())) else {
                     continue;
                 };
                 to.for_each(|ip| self.send(&buf, ip));
@@ -461,8 +462,8 @@
         let now = self.now();
         let is_other = |r: &BoxReport| r.held_digest != 0 && r.held_digest != own;
         self.members(|members| {
-            let words = members.live(now).filter_map(|(_, member)| member.report_with_age(now));
-            let others = words.filter(|(r, age)| *age < HELD_REPORT_MAX_AGE && is_other(r));
+            let reports = members.live(now).filter_map(|(_, member)| member.report_with_age(now));
+            let others = reports.filter(|(r, age)| *age < HELD_REPORT_MAX_AGE && is_other(r));
             others.choose(&mut rand::rng()).map(|(r, _)| r.addr)
         })
     }
@@ -471,24 +472,24 @@
     /// a box that reported none.
     pub(super) fn reported_rollouts(&self, service: &str) -> Vec<Option<RolloutReport>> {
         let now = self.now();
-        let told = |(_, member): (IpAddr, &Member)| {
+        let rollout_report = |(_, member): (IpAddr, &Member)| {
             let report = member.report.as_ref()?;
-            report.rollouts.iter().find(|told| &*told.service == service).cloned()
+            report.rollouts.iter().find(|rollout| &*rollout.service == service).cloned()
         };
-        self.members(|members| members.live(now).map(told).collect())
+        self.members(|members| members.live(now).map(rollout_report).collect())
     }
 
     /// Compares this box's list of upstreams, given its digest and the revision up to which it is
     /// complete, with those of the boxes that watch the store.
-    pub(super) fn standing(&self, revision: Revision, upstreams: u64) -> SyncState {
+    pub(super) fn sync_state(&self, revision: Revision, upstreams: u64) -> SyncState {
         let now = self.now();
-        let word = |(_, member): (IpAddr, &Member)| {
+        let list_report = |(_, member): (IpAddr, &Member)| {
             let (r, age) = member.report_with_age(now)?;
             let BoxReport { addr, sees_store, revision, upstreams_digest, .. } = *r;
             Some(UpstreamListReport { addr, sees_store, revision, upstreams_digest, age })
         };
         self.members(|members| {
-            sync_state::evaluate(revision, upstreams, members.live(now).filter_map(word))
+            sync_state::evaluate(revision, upstreams, members.live(now).filter_map(list_report))
         })
     }
 
--- a/src/proxy/proxy_metrics.rs
+++ b/src/proxy/proxy_metrics.rs
@@ -103,7 +103,7 @@
         gauge("frostdyke_proxy_in_flight", |hub| hub.in_flight() as u64);
         gauge("frostdyke_proxy_streams", |hub| hub.streams() as u64);
         gauge("frostdyke_proxy_streams_max", |hub| hub.streams_max() as u64);
-        gauge("frostdyke_proxy_turned_away", |hub| hub.turned_away() as u64);
+        gauge("frostdyke_proxy_turned_away", |hub| hub.rejected() as u64);
         gauge("frostdyke_proxy_connections", |hub| hub.connections() as u64);
         gauge("frostdyke_boxes_alive", |hub| hub.peers().live_count() as u64 + 1);
         gauge("frostdyke_groups_kept", |hub| {
--- a/src/proxy/reachability.rs
+++ b/src/proxy/reachability.rs
@@ -82,7 +82,8 @@
         return;
     }
     let Some(path) = hub.read(|view| view.probe_path(name)) else { return };
-    let cold_for = match notices::query(hub, name, hub.engines().cold_for(addr, &path)).await {
+    let cold_for = match notices::query(hub, name, hub.engine_client().cold_for(addr, &path)).await
+    {
         Ok(cold_for) => Some(cold_for),
         Err(e) => {
             debug!(hub.log(), "engine query failed"; "upstream" => name.as_str(), "error" => %e);
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -378,7 +378,8 @@
         };
         self.sends += 1;
         let status = resp.status();
-        let verdict = self.hub.dialect().check_response(&self.head.id, status, resp.headers());
+        let verdict =
+            self.hub.header_adapter().check_response(&self.head.id, status, resp.headers());
         if resp.body_mut().prove(verdict.is_authentic(status)) && !verdict.misdirected {
             let (upstream, started_at_ms, sent) =
                 (placed.upstream(), placed.started_at_ms(), placed.sent_at());
@@ -478,7 +479,7 @@
         let mut req = Request::new(Full::new(self.body.clone()));
         *req.method_mut() = self.parts.method.clone();
         *req.uri_mut() = self.parts.uri.clone();
-        *req.headers_mut() = self.hub.dialect().upstream_headers(&self.parts.headers, &out);
+        *req.headers_mut() = self.hub.header_adapter().upstream_headers(&self.parts.headers, &out);
         if !self.body.is_empty() {
             req.headers_mut().insert(CONTENT_LENGTH, HeaderValue::from(self.body.len()));
         }
@@ -504,7 +505,7 @@
                 placed.close(None);
                 self.record_success();
                 self.log_end(head.status, "whole");
-                let headers = self.hub.dialect().caller_headers(&head.headers);
+                let headers = self.hub.header_adapter().caller_headers(&head.headers);
                 respond(head.status, headers, response_body::full(bytes))
             }
             Err(fault) => {
--- a/src/proxy/rollouts.rs
+++ b/src/proxy/rollouts.rs
@@ -69,7 +69,7 @@
 #[derive(Default)]
 struct ResponseOutcomes {
     target: Option<VersionName>,
-    judge: RegressionDetector,
+    detector: RegressionDetector,
     /// Outcomes recorded by this box and not reported to other boxes yet.
     unreported: Vec<ResponseReport>,
     /// The outcome of the roll-out that this box last wrote to the store; `None` before the first
@@ -159,12 +159,12 @@
     }
 
     /// Records the outcome of a response.
-    pub fn record_outcome(&self, judged_response: &JudgedResponse, finding: ResponseOutcome) {
+    pub fn record_outcome(&self, judged_response: &JudgedResponse, outcome: ResponseOutcome) {
         let JudgedResponse { ref service, ref target, is_target, route } = *judged_response;
         self.with(|inner| {
             let outcomes = inner.outcomes(service, target);
             if outcomes.unreported.len() < UNREPORTED_MAX {
-                outcomes.unreported.push(ResponseReport { is_target, route, outcome: finding });
+                outcomes.unreported.push(ResponseReport { is_target, route, outcome });
             }
         });
     }
@@ -177,8 +177,8 @@
             if order.filter(is_current).is_none() {
                 return;
             }
-            let judge = &mut inner.outcomes(service, target).judge;
-            all.iter().for_each(|observed| judge.add(*observed));
+            let detector = &mut inner.outcomes(service, target).detector;
+            all.iter().for_each(|report| detector.add(*report));
         });
     }
 }
@@ -200,7 +200,9 @@
         return;
     }
     let now = hub.now();
-    update(hub, |rollouts| all.iter().filter(|told| rollouts.merge_report(told, now)).count() != 0);
+    update(hub, |rollouts| {
+        all.iter().filter(|report| rollouts.merge_report(report, now)).count() != 0
+    });
 }
 
 /// Applies one roll-out as the store lists it.
@@ -288,7 +290,7 @@
     });
     let Some(target) = target else { return };
     let owners = plain_placement::owners(hub, service);
-    if owners.is_none_or(|owned| owned.boxes().any(|ip| ip == hub.peers().own_ip())) {
+    if owners.is_none_or(|owners| owners.boxes().any(|ip| ip == hub.peers().own_ip())) {
         hub.rollouts().add_reports(service, &target, &unreported);
     }
     for all in unreported.chunks(OUTCOMES_PER_MESSAGE) {
@@ -306,7 +308,7 @@
 /// is the greater of their results, so neither waits for the other.
 fn is_evaluator(hub: &Hub, service: &ServiceName) -> bool {
     match plain_placement::owners(hub, service) {
-        Some(owned) => owned.boxes().any(|ip| ip == hub.peers().own_ip()),
+        Some(owners) => owners.boxes().any(|ip| ip == hub.peers().own_ip()),
         None => hub.peers().rank_for(service.as_bytes()) < EVALUATING_BOXES,
     }
 }
@@ -314,24 +316,23 @@
 /// Raises the stage if this box evaluates the roll-out. Any box that has received the outcomes may
 /// revert it, so that requests to a bad version stop even if the boxes that evaluate it are gone.
 fn evaluate(hub: &Hub, service: &ServiceName) {
-    let Some((target, is_bad, answers)) = hub.rollouts().with(|inner| {
+    let Some((target, has_regressed, min_responses)) = hub.rollouts().with(|inner| {
         let target = inner.rollouts.in_progress(service)?.0.target.clone();
-        let judge = &inner.outcomes(service, &target).judge;
-        Some((target, judge.has_regressed(), judge.min_responses()))
+        let detector = &inner.outcomes(service, &target).detector;
+        Some((target, detector.has_regressed(), detector.min_responses()))
     }) else {
         return;
     };
-    if !is_bad && !is_evaluator(hub, service) {
+    if !has_regressed && !is_evaluator(hub, service) {
         return;
     }
     let slots = hub.read(|view| view.fleet().slots_by_version(service, &target));
-    let (situation, now) =
-        (StageInputs { min_responses: answers, has_regressed: is_bad, slots }, hub.now());
-    update(hub, |rollouts| match rollouts.advance(service, situation, now) {
+    let (inputs, now) = (StageInputs { min_responses, has_regressed, slots }, hub.now());
+    update(hub, |rollouts| match rollouts.advance(service, inputs, now) {
         Some(stage) => {
             info!(hub.log(), "roll-out stage raised"; "service" => service.as_str(),
-                "version" => target.as_str(), "stage" => ?stage, "answers" => answers,
-                "is_bad" => is_bad);
+                "version" => target.as_str(), "stage" => ?stage, "answers" => min_responses,
+                "is_bad" => has_regressed);
             true
         }
         None => false,
@@ -383,9 +384,9 @@
 
 /// Whether no live box has requests at the old engines or sends any there.
 fn has_moved(hub: &Hub, service: &ServiceName, target: &VersionName) -> bool {
-    let own = own_reports(hub).into_iter().find(|told| told.service == *service);
+    let own = own_reports(hub).into_iter().find(|report| report.service == *service);
     let others = hub.peers().reported_rollouts(service);
-    others.iter().chain([&own]).all(|told| told.as_ref().is_some_and(|t| t.has_moved(target)))
+    others.iter().chain([&own]).all(|report| report.as_ref().is_some_and(|t| t.has_moved(target)))
 }
 
 impl JudgedResponse {
--- a/src/proxy/stream_relay.rs
+++ b/src/proxy/stream_relay.rs
@@ -95,7 +95,7 @@
 /// Answers with the stream that begins with `reply`.
 pub fn start(run: RequestContext, reply: UpstreamResponse) -> Response<Body> {
     let status = reply.resp.status();
-    let headers = run.hub.dialect().caller_headers(reply.resp.headers());
+    let headers = run.hub.header_adapter().caller_headers(reply.resp.headers());
     let pump = StreamRelay {
         timed_out: run.hub.clock().clone().sleep_until(run.deadline).boxed(),
         run: Some(Box::new(run)),
--- a/src/proxy/suspects.rs
+++ b/src/proxy/suspects.rs
@@ -299,18 +299,18 @@
     crashes.sort_unstable();
     crashes.dedup();
     info!(hub.log(), "upstream crashed"; "name" => name.as_str(), "requests" => crashes.len());
-    let (mut held, told) = hub.suspects().with(|Inner { quarantine, .. }| {
+    let (mut held, reports) = hub.suspects().with(|Inner { quarantine, .. }| {
         let mut held = Vec::new();
         for (fingerprint, instance) in &crashes {
             if let Some(hold) = quarantine.record_crash(*fingerprint, *instance, now) {
                 held.push((*fingerprint, hold));
             }
         }
-        let told =
+        let reports =
             crashes.iter().filter_map(|(fingerprint, _)| quarantine.report(fingerprint, now));
-        (held, told.collect::<Vec<SuspectReport>>())
+        (held, reports.collect::<Vec<SuspectReport>>())
     });
-    for chunk in told.chunks(SUSPECTS_PER_MESSAGE) {
+    for chunk in reports.chunks(SUSPECTS_PER_MESSAGE) {
         // At most one more crash is allowed for one of them, and a datagram may be lost, so it is
         // sent twice.
         let copies = if chunk.iter().any(|s| 1 < s.crashes.len()) { 2 } else { 1 };
