--- a/src/fleet/draining.rs
+++ b/src/fleet/draining.rs
@@ -123,6 +123,6 @@
         self.notice
             .started_at_ms
             .zip(started_at_ms)
-            .is_some_and(|(asked, started_at_ms)| asked < started_at_ms)
+            .is_some_and(|(noticed, listed)| noticed < listed)
     }
 }
--- a/src/fleet/rollout.rs
+++ b/src/fleet/rollout.rs
@@ -31,8 +31,9 @@
 const MOVE_AFTER_FRACTION: f64 = 0.45;
 
 /// Responses of the new version that are required on each busy route before it is widened, and
-/// before all traffic moves. A service whose traffic is too low to reach these by [`LATE_FRACTION`]
-/// of the time limit requires fewer. A judge that receives none at all is cut off.
+/// before all traffic moves. A service whose traffic is too low to reach these by
+/// [`LATE_FRACTION`] of the time limit requires fewer, but not none: a judge that receives none is
+/// cut off.
 const RESPONSES_TO_WIDEN: u64 = 5;
 const RESPONSES_TO_MOVE: u64 = 24;
 const RESPONSES_WHEN_LATE: u64 = 3;
