--- a/src/proxy/state_updates.rs
+++ b/src/proxy/state_updates.rs
@@ -1,4 +1,4 @@
-//! What the store and the other boxes tell, taken into what this box believes.
+//! Applies updates from the store and messages from other boxes to the state of this box.
 
 use std::net::IpAddr;
 use std::time::Duration;
@@ -23,16 +23,16 @@
 use crate::proxy::suspects;
 use crate::proxy::view::View;
 
-/// Takes in what the store tells.
-pub fn apply_store_update(hub: &Hub, news: StoreUpdate) {
-    match news {
+/// Applies an update from the store.
+pub fn apply_store_update(hub: &Hub, update: StoreUpdate) {
+    match update {
         StoreUpdate::Configuration(table) => hub.change(|view, now| view.configure(table, now)),
         StoreUpdate::InvalidConfiguration(fault) => {
             warn!(hub.log(), "configuration refused"; "fault" => fault);
         }
         StoreUpdate::AllUpstreams(all) => hub.change(|view, now| view.set_upstreams(all, now)),
-        StoreUpdate::UpstreamChanged(listed) => {
-            hub.change(|view, now| view.set_upstream(listed, now))
+        StoreUpdate::UpstreamChanged(listing) => {
+            hub.change(|view, now| view.set_upstream(listing, now))
         }
         StoreUpdate::UpstreamRemoved(name) => {
             hub.change(|view, now| view.entry_removed(&name, now))
@@ -50,7 +50,9 @@
                 "service" => service.as_ref().map(|s| s.as_str()), "fault" => fault);
             hub.metrics().rollout_refused();
         }
-        StoreUpdate::InvalidUpstreamEntry { name, fault } => bad_entry(hub, name.as_ref(), &fault),
+        StoreUpdate::InvalidUpstreamEntry { name, fault } => {
+            invalid_entry(hub, name.as_ref(), &fault)
+        }
         StoreUpdate::StoreEra(era) => hub.change(|view, now| view.enter_era(era, now)),
         StoreUpdate::Unavailable(cause) => {
             if hub.read(View::reaches_store) {
@@ -69,17 +71,18 @@
     }
 }
 
-/// Notes an entry that can't be read, and what is wrong with it.
-fn bad_entry(hub: &Hub, name: Option<&UpstreamName>, fault: &str) {
-    let is_news =
+/// Records an entry of the store that can't be parsed, and why. Logs it unless that is known
+/// already.
+fn invalid_entry(hub: &Hub, name: Option<&UpstreamName>, fault: &str) {
+    let is_new =
         name.is_none_or(|name| hub.change(|view, now| view.mark_unreadable(name, fault, now)));
-    if is_news {
+    if is_new {
         warn!(hub.log(), "entry refused"; "name" => name.map(|n| n.as_str()), "fault" => fault);
         hub.metrics().entry_refused();
     }
 }
 
-/// Takes in a message of the box at `sender`.
+/// Applies a message from the box at `sender`.
 pub fn apply_message(hub: &Hub, message: Message, sender: IpAddr) {
     let now = hub.now();
     match message {
@@ -106,17 +109,17 @@
             let is_engine = hub.read(|view| view.fleet().is_engine(&upstream));
             if !is_engine && let Some(workspace) = workspace {
                 hub.plain_shares(|shares| {
-                    let counted = shares.add_remote(
+                    let charge = shares.add_remote(
                         &workspace,
                         TokenCounts::admitted(plain::REQUEST_CHARGE),
                         now,
                     );
-                    shares.remember(request, counted);
+                    shares.remember(request, charge);
                 });
             } else if let Some(workspace) = workspace {
-                let is_owner = owns(hub, &upstream);
+                let is_owner = is_owner_of(hub, &upstream);
                 hub.shares(|shares| {
-                    count(shares, is_owner, request, &workspace, prompt.charge(), now)
+                    add_to_share(shares, is_owner, request, &workspace, prompt.charge(), now)
                 });
             }
         }
@@ -135,22 +138,23 @@
         Message::Withdrawn { request } => hub.withdraw(request),
         Message::Unreachable { upstream } => {
             if hub.fleet(|fleet| fleet.mark_unverified(&upstream, false, now)) {
-                info!(hub.log(), "upstream said to be unreachable"; "name" => upstream.as_str());
+                info!(hub.log(), "upstream reported unreachable by another box";
+                    "name" => upstream.as_str());
                 hub.request_probe();
             }
         }
         Message::Leaving { upstream } => {
             hub.change(|view, now| view.reported_leaving(&upstream, now));
         }
-        Message::DrainNotice(draining) => notices::receive(hub, &draining, sender),
-        Message::Listed(listed) => hub.change(|view, now| view.reported_listed(listed, now)),
+        Message::DrainNotice(notice) => notices::receive(hub, &notice, sender),
+        Message::Listed(listing) => hub.change(|view, now| view.reported_listed(listing, now)),
         Message::Gone { upstream } => hub.change(|view, now| view.reported_gone(&upstream, now)),
-        Message::PlacementResponse(answer) => {
-            engine_placement::handle_response(hub, answer, sender)
+        Message::PlacementResponse(response) => {
+            engine_placement::handle_response(hub, response, sender)
         }
         Message::ShareUsage(all) => hub.shares(|shares| {
-            for used in &all {
-                shares.add_remote(&used.workspace, used.tokens, now);
+            for usage in &all {
+                shares.add_remote(&usage.workspace, usage.tokens, now);
             }
         }),
         Message::ResponseReports { service, target, all } => {
@@ -158,22 +162,23 @@
         }
         Message::Suspects(all) => suspects::merge_reports(hub, &all),
         Message::SuspectCleared { fingerprint } => suspects::clear(hub, &fingerprint),
-        // Taken in by the peers.
+        // Handled by `Peers`.
         Message::Heartbeat(_)
         | Message::PlacementRequest(_)
         | Message::PlainPlacementRequest(_) => {}
     }
 }
 
-/// Whether this box owns the model of an engine; nothing where nobody owns anything.
-fn owns(hub: &Hub, upstream: &UpstreamName) -> Option<bool> {
-    let owned = hub.peers().owners().owners_of_hash(upstream::name_hash(upstream));
-    owned.map(|owned| owned.owner == hub.peers().own_ip())
+/// Whether this box owns an engine; `None` while engines have no owners.
+fn is_owner_of(hub: &Hub, upstream: &UpstreamName) -> Option<bool> {
+    let owners = hub.peers().owners().owners_of_hash(upstream::name_hash(upstream));
+    owners.map(|owners| owners.owner == hub.peers().own_ip())
 }
 
-/// Counts what another box has placed that believes the fleet small, and tells all. The owner of the engine counts
-/// it as its own, to tell the other owners.
-fn count(
+/// Adds the tokens of a request to its workspace's share. The sender placed the request by itself
+/// and notifies all boxes, because it knows of few boxes. The engine's owner counts the tokens as
+/// its own and reports them to the other owners.
+fn add_to_share(
     shares: &mut Shares,
     is_owner: Option<bool>,
     request: u64,
@@ -181,11 +186,11 @@
     tokens: u64,
     now: Duration,
 ) {
-    let counted = match is_owner {
+    let charge = match is_owner {
         Some(true) => shares.begin(workspace, tokens, now),
-        // The owner tells of it.
+        // Reported by the owner.
         Some(false) => return,
         None => shares.add_remote(workspace, TokenCounts::admitted(tokens), now),
     };
-    shares.remember(request, counted);
+    shares.remember(request, charge);
 }
