--- a/src/proxy/message.rs
+++ b/src/proxy/message.rs
@@ -158,7 +158,7 @@
     /// Engines that may not be chosen.
     pub excluded: Vec<UpstreamName>,
     /// Which versions may be chosen.
-    pub side: VersionFilter,
+    pub version_filter: VersionFilter,
     /// The route's target latency, in milliseconds.
     pub latency_target_ms: u32,
     /// Time for which the request has waited, in milliseconds.
