--- a/src/load/client.rs
+++ b/src/load/client.rs
@@ -16,7 +16,7 @@
 use crate::load::histogram;
 use crate::load::scenario::Scenario;
 use crate::load::scenario::Workspace;
-use crate::router::meter;
+use crate::router::cost_meter;
 use crate::util;
 
 /// Pause after a refusal that doesn't say when to come back.
@@ -152,7 +152,7 @@
             Some(b"text/event-stream") => Unit::Tokens,
             _ => Unit::Calls,
         };
-        let mut meter = meter::new(unit);
+        let mut meter = cost_meter::for_unit(unit);
         self.received = 0;
         let mut rdr = resp.into_body().into_reader();
         let mut buf = [0; 4096];
@@ -170,8 +170,8 @@
         self.counts.whole.saturating_record(begun.elapsed().as_micros() as u64);
     }
 
-    fn note(&mut self, meter: &mut dyn meter::Meter, piece: &[u8]) {
-        let more = meter.piece(piece).saturating_sub(self.received);
+    fn note(&mut self, meter: &mut dyn cost_meter::CostMeter, piece: &[u8]) {
+        let more = meter.add_chunk(piece).saturating_sub(self.received);
         self.received += more;
         let second = self.started.elapsed().as_secs() as usize;
         if let Some(service) = self.counts.service.get_mut(second) {
--- a/src/node/admit.rs
+++ b/src/node/admission.rs
@@ -28,7 +28,7 @@
     WaitingLimit { retry_after: Duration },
     /// The requests ahead of it will take longer than its deadline allows.
     #[error("the deadline can't be met")]
-    Hopeless { retry_after: Duration },
+    DeadlineTooShort { retry_after: Duration },
     /// The service's pool isn't in the configuration.
     #[error("the service has no pool")]
     NoPool,
@@ -70,7 +70,7 @@
     /// `left`.
     fn refuse_hopeless(&self, ahead: u32, left: Duration) -> Option<Refusal> {
         let hopeless = left.saturating_mul(HOPELESS_FACTOR) < self.expected_wait(ahead);
-        hopeless.then(|| Refusal::Hopeless { retry_after: self.retry_after(ahead) })
+        hopeless.then(|| Refusal::DeadlineTooShort { retry_after: self.retry_after(ahead) })
     }
 
     fn expected_wait(&self, ahead: u32) -> Duration {
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -2,10 +2,10 @@
 //! and gives out what is to be done. The router process feeds it; tests and benches drive many of
 //! them over a fake network.
 
-mod admit;
+mod admission;
 mod receive;
 mod roles;
-mod wait;
+mod waiting;
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -17,7 +17,7 @@
 use rand::rngs::SmallRng;
 use rustc_hash::FxHashMap;
 
-pub use crate::node::admit::Refusal;
+pub use crate::node::admission::Refusal;
 
 use crate::config::Revision;
 use crate::dispatch::pool::Action;
@@ -29,9 +29,9 @@
 use crate::names::PoolName;
 use crate::names::UpstreamName;
 use crate::names::ZoneName;
-use crate::node::admit::Admission;
-use crate::node::wait::Unheard;
-use crate::node::wait::Waiting;
+use crate::node::admission::Admission;
+use crate::node::waiting::Unheard;
+use crate::node::waiting::Waiting;
 use crate::peer::member::Gossip;
 use crate::peer::member::ListedBox;
 use crate::peer::member::Members;
@@ -67,9 +67,9 @@
     /// A request that waits won't be served in time; tell its caller now.
     Refuse { ticket: TicketId, refusal: Refusal },
     /// Log and remember a decision of a dispatcher on this box.
-    Decided(Decision),
+    RecordDecision(Decision),
     /// Log a change of state.
-    Changed(Change),
+    LogChange(Change),
 }
 
 /// A change of state worth a log line.
@@ -179,7 +179,7 @@
     }
 
     /// The box believed to dispatch a pool in this zone.
-    pub fn owner(&self, pool: &str) -> Option<&BoxName> {
+    pub fn dispatcher_of(&self, pool: &str) -> Option<&BoxName> {
         self.owners.get(pool)
     }
 
@@ -202,12 +202,12 @@
     }
 
     /// How many requests wait at this router.
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         self.waiting.len()
     }
 
     /// How many requests of this router run at upstreams.
-    pub fn running(&self) -> usize {
+    pub fn running_count(&self) -> usize {
         self.running.len()
     }
 
@@ -220,7 +220,7 @@
     /// Notes how much a running request has produced so far, in its pool's unit. Its dispatcher is
     /// told only when that has outgrown what was charged by a factor, so the messages grow with
     /// the logarithm of the cost. Gives the cost from which on this needs to be called again.
-    pub fn produced(&mut self, id: TicketId, cost: u64, now: Duration) -> u64 {
+    pub fn record_progress(&mut self, id: TicketId, cost: u64, now: Duration) -> u64 {
         let Some(running) = self.running.get_mut(&id) else { return cost };
         if cost <= running.grant.cover * OUTGROWN {
             return running.grant.cover * OUTGROWN;
@@ -261,7 +261,7 @@
     }
 
     /// Takes over a newer box list.
-    pub fn list(&mut self, boxes: &[ListedBox], now: Duration) {
+    pub fn set_box_list(&mut self, boxes: &[ListedBox], now: Duration) {
         self.members.list(boxes, now);
         // Upstreams run on boxes, too; they are listed by their own names.
         self.listed_leaving = boxes.iter().filter(|b| b.leaving).map(|b| b.name.clone()).collect();
@@ -279,7 +279,7 @@
         }
         self.cfg = Arc::new(revision);
         self.roles_stale = true;
-        self.out.push(Output::Changed(Change::Configured { revision: self.cfg.number }));
+        self.out.push(Output::LogChange(Change::Configured { revision: self.cfg.number }));
         let cfg = self.cfg.clone();
         self.pools.retain(|name, _| cfg.pool(name).is_some());
         let mut actions = Vec::new();
@@ -292,7 +292,13 @@
     }
 
     /// Takes in what an upstream reports of itself.
-    pub fn report(&mut self, pool: &PoolName, upstream: &str, report: Report, now: Duration) {
+    pub fn record_upstream_report(
+        &mut self,
+        pool: &PoolName,
+        upstream: &str,
+        report: Report,
+        now: Duration,
+    ) {
         let mut actions = Vec::new();
         if let Some(pool) = self.pools.get_mut(pool) {
             pool.upstreams_mut().report(upstream, report, now);
@@ -316,7 +322,7 @@
     }
 
     /// Notes that a box refuses connections.
-    pub fn unreachable(&mut self, name: &BoxName, now: Duration) {
+    pub fn mark_unreachable(&mut self, name: &BoxName, now: Duration) {
         self.members.failed(name);
         // Nothing listens there, so nothing runs there.
         self.forget_router(name, now);
@@ -364,7 +370,7 @@
         for action in actions {
             match action {
                 Action::Send { to, message } => self.send(to, message),
-                Action::Decided(decision) => self.out.push(Output::Decided(decision)),
+                Action::Decided(decision) => self.out.push(Output::RecordDecision(decision)),
             }
         }
     }
--- a/src/node/receive.rs
+++ b/src/node/receive.rs
@@ -221,7 +221,7 @@
             Err(faults) => {
                 let fault = faults.first().map(ToString::to_string).unwrap_or_default();
                 let from = from.clone();
-                self.out.push(Output::Changed(Change::BadConfiguration {
+                self.out.push(Output::LogChange(Change::BadConfiguration {
                     revision: v,
                     from,
                     fault,
--- a/src/node/roles.rs
+++ b/src/node/roles.rs
@@ -79,7 +79,7 @@
         let was_mine = before.as_ref() == Some(&self.id.name);
         if mine || was_mine {
             let change = Change::Role { pool: pool.clone(), dispatcher: owner.clone(), mine };
-            self.out.push(Output::Changed(change));
+            self.out.push(Output::LogChange(change));
         }
         if was_mine && let Some(old) = self.pools.remove(pool) {
             for message in old.hand_over(now) {
@@ -140,10 +140,10 @@
                 live.iter().filter(|n| !self.live.contains(n)).cloned().collect();
             self.live = live;
             for name in gone {
-                self.out.push(Output::Changed(Change::Member { name, live: false }));
+                self.out.push(Output::LogChange(Change::Member { name, live: false }));
             }
             for name in fresh {
-                self.out.push(Output::Changed(Change::Member { name, live: true }));
+                self.out.push(Output::LogChange(Change::Member { name, live: true }));
             }
         }
         for name in self.members.departed(now) {
--- a/src/node/wait.rs
+++ b/src/node/waiting.rs
@@ -77,7 +77,7 @@
 
     /// Notes that messages to a box were likely lost: what waits there is registered again soon, and
     /// grants and their ends are told again, lest their slots stay taken.
-    pub fn lost(&mut self, name: &BoxName, messages: Vec<Message>, now: Duration) {
+    pub fn messages_lost(&mut self, name: &BoxName, messages: Vec<Message>, now: Duration) {
         let at = now + RESEND_LOST;
         for waiting in self.waiting.values_mut() {
             if self.owners.get(&waiting.ticket.pool) == Some(name) {
--- a/src/router/meter.rs
+++ b/src/router/cost_meter.rs
@@ -8,16 +8,16 @@
 const EVENT_MAX: usize = 4096;
 
 /// Counts the cost of one answer.
-pub trait Meter: Send + Sync {
+pub trait CostMeter: Send + Sync {
     /// Takes in the next piece of the answer. Gives the cost so far.
-    fn piece(&mut self, piece: &[u8]) -> u64;
+    fn add_chunk(&mut self, piece: &[u8]) -> u64;
 
     /// The cost so far; exact when the answer has ended.
     fn cost(&self) -> u64;
 }
 
 /// A meter for a pool's unit.
-pub fn new(unit: Unit) -> Box<dyn Meter> {
+pub fn for_unit(unit: Unit) -> Box<dyn CostMeter> {
     match unit {
         Unit::Tokens => Box::new(Tokens::default()),
         Unit::Calls => Box::new(Calls),
@@ -27,8 +27,8 @@
 /// Every call costs one.
 struct Calls;
 
-impl Meter for Calls {
-    fn piece(&mut self, _: &[u8]) -> u64 {
+impl CostMeter for Calls {
+    fn add_chunk(&mut self, _: &[u8]) -> u64 {
         1
     }
 
@@ -56,8 +56,8 @@
     total_tokens: u64,
 }
 
-impl Meter for Tokens {
-    fn piece(&mut self, piece: &[u8]) -> u64 {
+impl CostMeter for Tokens {
+    fn add_chunk(&mut self, piece: &[u8]) -> u64 {
         for &byte in piece {
             match byte {
                 b'\r' => continue,
--- a/src/router/hub.rs
+++ b/src/router/hub.rs
@@ -42,7 +42,7 @@
 use crate::peer::server::Answer;
 use crate::peer::server::Handler;
 use crate::platform::Objects;
-use crate::router::records::Records;
+use crate::router::request_history::Records;
 use crate::status::Explanation;
 use crate::status::PoolStatus;
 use crate::status::Status;
@@ -163,7 +163,7 @@
 
     /// Notes what a running request has produced; gives what is charged.
     pub fn produced(&self, id: TicketId, cost: u64) -> u64 {
-        self.with(|node, now| node.produced(id, cost, now))
+        self.with(|node, now| node.record_progress(id, cost, now))
     }
 
     /// Ends a running request.
@@ -209,8 +209,8 @@
                     place(inner, ticket, Ok(Start { upstream, cover }));
                 }
                 Output::Refuse { ticket, refusal } => place(inner, ticket, Err(refusal)),
-                Output::Decided(decision) => self.decided(decision),
-                Output::Changed(change) => self.changed(&change),
+                Output::RecordDecision(decision) => self.decided(decision),
+                Output::LogChange(change) => self.changed(&change),
             }
         }
         answer
@@ -327,11 +327,11 @@
     }
 
     fn unreachable(&self, name: &BoxName) {
-        self.with(|node, now| node.unreachable(name, now));
+        self.with(|node, now| node.mark_unreachable(name, now));
     }
 
     fn lost(&self, name: &BoxName, messages: Vec<Message>) {
-        self.with(|node, now| node.lost(name, messages, now));
+        self.with(|node, now| node.messages_lost(name, messages, now));
     }
 
     fn address(&self, name: &BoxName) -> Option<SocketAddr> {
@@ -384,8 +384,8 @@
         revision: node.configuration().number,
         leaving: node.members().is_leaving(),
         live: node.members().live(now).cloned().collect(),
-        waiting: node.waiting(),
-        running: node.running(),
+        waiting: node.waiting_count(),
+        running: node.running_count(),
         pools: node.pools().map(pool_status).collect(),
     }
 }
--- a/src/router/front.rs
+++ b/src/router/listener.rs
@@ -19,13 +19,13 @@
 use tokio::net::TcpStream;
 
 use crate::names::BoxName;
-use crate::router::answer;
-use crate::router::answer::Body;
-use crate::router::answer::Cause;
-use crate::router::ask;
-use crate::router::flow;
-use crate::router::flow::Service;
-use crate::router::flow::Tale;
+use crate::router::refusal;
+use crate::router::refusal::Body;
+use crate::router::refusal::Cause;
+use crate::router::request_handler;
+use crate::router::request_handler::Service;
+use crate::router::request_handler::Tale;
+use crate::router::service_request;
 use crate::web;
 
 /// Where services are.
@@ -84,13 +84,13 @@
     let result = match read(service, req).await {
         Ok((ask, body)) => {
             let tale = Tale::new(&service.hub, request.clone(), ticket, &ask);
-            flow::serve(service, ask, body, tale).await
+            request_handler::serve(service, ask, body, tale).await
         }
         Err(cause) => Err(cause),
     };
     result.unwrap_or_else(|cause| {
         service.hub.metrics().refused.add(1, &[KeyValue::new("cause", cause.code())]);
-        answer::refusal(&cause, &request)
+        refusal::response(&cause, &request)
     })
 }
 
@@ -101,7 +101,7 @@
         "/readyz" => is_ready(service) && !*service.stopping.borrow(),
         _ => return None,
     };
-    let mut resp = Response::new(answer::whole(""));
+    let mut resp = Response::new(refusal::full(""));
     if !ready {
         *resp.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
     }
@@ -112,7 +112,10 @@
     service.hub.read(|node, _| node.is_ready())
 }
 
-async fn read(service: &Service, req: Request<Incoming>) -> Result<(ask::Ask, Bytes), Cause> {
+async fn read(
+    service: &Service,
+    req: Request<Incoming>,
+) -> Result<(service_request::ServiceRequest, Bytes), Cause> {
     let (head, body) = req.into_parts();
     let name = head.uri.path().strip_prefix(SERVICES).ok_or(Cause::NoPath)?;
     if head.method != Method::POST {
@@ -125,7 +128,7 @@
         return Err(Cause::NotReady);
     }
     let cfg = service.hub.configuration();
-    let ask = ask::read(name, &head.headers, &cfg, &service.limits)?;
+    let ask = service_request::parse(name, &head.headers, &cfg, &service.limits)?;
     let limits = &service.limits;
     let body = web::read_body(body, limits.max_body, limits.head_timeout).await?;
     Ok((ask, body))
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -1,16 +1,16 @@
 //! The router: the process that holds the callers' connections.
 
-pub mod answer;
-pub mod ask;
-pub mod flow;
-pub mod front;
-pub mod health;
+pub mod cost_meter;
 pub mod hub;
-pub mod meter;
-pub mod records;
-pub mod relay;
-pub mod resume;
-pub mod send;
+pub mod listener;
+pub mod refusal;
+pub mod request_handler;
+pub mod request_history;
+pub mod response_body;
+pub mod service_request;
+pub mod stream_resume;
+pub mod upstream_health;
+pub mod upstream_sender;
 
 use std::io;
 use std::sync::Arc;
@@ -36,9 +36,9 @@
 use crate::platform;
 use crate::platform::client::Client;
 use crate::platform::watch::News;
-use crate::router::flow::Service;
 use crate::router::hub::Hub;
-use crate::router::send::Senders;
+use crate::router::request_handler::Service;
+use crate::router::upstream_sender::Senders;
 use crate::stop::Signals;
 use crate::util;
 
@@ -96,11 +96,11 @@
     show(&metrics, &traffic, &service);
     tokio::spawn(metrics.clone().serve(page));
     follow_platform(&cfg, &hub);
-    health::watch(hub.clone());
+    upstream_health::watch(hub.clone());
     tokio::spawn(server::serve(peers, cfg.secret.clone(), hub.clone(), traffic));
     tokio::spawn(tick(hub.clone()));
     let stopped = wait_for_stop(hub.clone(), signals, stop);
-    front::serve(callers, service, cfg.identity.name.clone(), stopped).await;
+    listener::serve(callers, service, cfg.identity.name.clone(), stopped).await;
     info!(log, "stopped");
     metrics.stop();
     Ok(())
@@ -124,7 +124,7 @@
     let links = Links::new(&id.name, &cfg.secret, traffic);
     let node = Node::new(id, Tuning::default(), Gossip::default());
     let hub = Hub::new(node, links, metrics.clone(), log);
-    hub.with(|node, now| node.list(&cfg.seeds, now));
+    hub.with(|node, now| node.set_box_list(&cfg.seeds, now));
     hub
 }
 
@@ -146,7 +146,7 @@
                 warn!(hub.log(), "configuration refused"; "revision" => version, "fault" => fault);
             }
         },
-        News::Boxes(list) => hub.with(|node, now| node.list(&list, now)),
+        News::Boxes(list) => hub.with(|node, now| node.set_box_list(&list, now)),
         News::Reach(Some(e)) => warn!(hub.log(), "platform lost"; "error" => %e),
         News::Reach(None) => info!(hub.log(), "platform back"),
     }
@@ -165,14 +165,14 @@
 /// that callers the balancer still sends here hear that their request did not run.
 async fn wait_for_stop(hub: Arc<Hub>, mut signals: Signals, stop: watch::Sender<bool>) {
     signals.next().await;
-    info!(hub.log(), "stopping"; "running" => hub.read(|node, _| node.running()));
+    info!(hub.log(), "stopping"; "running" => hub.read(|node, _| node.running_count()));
     hub.with(|node, now| node.leave(now));
     let _ = stop.send(true);
     tokio::spawn(async move {
         signals.next().await;
         std::process::exit(1);
     });
-    while hub.read(|node, _| node.running() + node.waiting()) != 0 {
+    while hub.read(|node, _| node.running_count() + node.waiting_count()) != 0 {
         tokio::time::sleep(TICK).await;
     }
 }
@@ -189,8 +189,8 @@
         hub.read(|node, _| {
             let label = |state: &'static str| vec![KeyValue::new("state", state)];
             vec![
-                (node.waiting() as f64, label("waiting")),
-                (node.running() as f64, label("running")),
+                (node.waiting_count() as f64, label("waiting")),
+                (node.running_count() as f64, label("running")),
             ]
         })
     });
--- a/src/router/answer.rs
+++ b/src/router/refusal.rs
@@ -16,7 +16,7 @@
 
 use crate::claims::KeyFault;
 use crate::node::Refusal;
-use crate::router::ask::Fault;
+use crate::router::service_request::InvalidRequest;
 use crate::web::BodyFault;
 
 /// Names the request, for whoever asks about it.
@@ -62,7 +62,7 @@
 pub enum Cause {
     /// The caller asked for something that can't be.
     #[error(transparent)]
-    Bad(#[from] Fault),
+    Bad(#[from] InvalidRequest),
     /// Not `POST /v1/services/NAME`.
     #[error("there is nothing at this path")]
     NoPath,
@@ -112,13 +112,13 @@
     /// A short name for figures and for the page of refusals.
     pub fn code(&self) -> &'static str {
         match self {
-            Cause::Bad(Fault::Unauthorized) => "unauthorized",
-            Cause::Bad(Fault::NoWorkspace) => "no-workspace",
-            Cause::Bad(Fault::NoService) => "no-service",
-            Cause::Bad(Fault::NotAllowed) => "not-allowed",
-            Cause::Bad(Fault::Header(..)) => "bad-header",
-            Cause::Bad(Fault::Key(KeyFault::Old)) => "key-too-old",
-            Cause::Bad(Fault::Key(_)) => "bad-key",
+            Cause::Bad(InvalidRequest::Unauthorized) => "unauthorized",
+            Cause::Bad(InvalidRequest::NoWorkspace) => "no-workspace",
+            Cause::Bad(InvalidRequest::NoService) => "no-service",
+            Cause::Bad(InvalidRequest::NotAllowed) => "not-allowed",
+            Cause::Bad(InvalidRequest::Header(..)) => "bad-header",
+            Cause::Bad(InvalidRequest::Key(KeyFault::Old)) => "key-too-old",
+            Cause::Bad(InvalidRequest::Key(_)) => "bad-key",
             Cause::DuplicateRan => "duplicate-ran",
             Cause::DuplicateElsewhere => "duplicate-elsewhere",
             Cause::NoClaim { .. } => "no-claim",
@@ -127,7 +127,7 @@
             Cause::Body(BodyFault::TooLong) => "body-too-long",
             Cause::Body(BodyFault::Cut) => "body-cut",
             Cause::Refused(Refusal::WaitingLimit { .. }) => "waiting-limit",
-            Cause::Refused(Refusal::Hopeless { .. }) => "deadline-hopeless",
+            Cause::Refused(Refusal::DeadlineTooShort { .. }) => "deadline-hopeless",
             Cause::Refused(Refusal::NoPool) => "no-pool",
             Cause::Expired => "expired",
             Cause::NotReady => "not-ready",
@@ -141,17 +141,21 @@
 
     fn status(&self) -> StatusCode {
         match self {
-            Cause::Bad(Fault::Unauthorized) => StatusCode::UNAUTHORIZED,
-            Cause::Bad(Fault::NoWorkspace | Fault::NotAllowed) => StatusCode::FORBIDDEN,
-            Cause::Bad(Fault::NoService) | Cause::NoPath => StatusCode::NOT_FOUND,
-            Cause::Bad(Fault::Key(KeyFault::Old)) => StatusCode::GONE,
-            Cause::Bad(Fault::Header(..) | Fault::Key(_)) => StatusCode::BAD_REQUEST,
+            Cause::Bad(InvalidRequest::Unauthorized) => StatusCode::UNAUTHORIZED,
+            Cause::Bad(InvalidRequest::NoWorkspace | InvalidRequest::NotAllowed) => {
+                StatusCode::FORBIDDEN
+            }
+            Cause::Bad(InvalidRequest::NoService) | Cause::NoPath => StatusCode::NOT_FOUND,
+            Cause::Bad(InvalidRequest::Key(KeyFault::Old)) => StatusCode::GONE,
+            Cause::Bad(InvalidRequest::Header(..) | InvalidRequest::Key(_)) => {
+                StatusCode::BAD_REQUEST
+            }
             Cause::DuplicateRan | Cause::DuplicateElsewhere => StatusCode::CONFLICT,
             Cause::Method => StatusCode::METHOD_NOT_ALLOWED,
             Cause::Body(BodyFault::TooLong) => StatusCode::PAYLOAD_TOO_LARGE,
             Cause::Body(BodyFault::Cut) => StatusCode::REQUEST_TIMEOUT,
             Cause::Refused(Refusal::WaitingLimit { .. }) => StatusCode::TOO_MANY_REQUESTS,
-            Cause::Refused(Refusal::Hopeless { .. }) => StatusCode::SERVICE_UNAVAILABLE,
+            Cause::Refused(Refusal::DeadlineTooShort { .. }) => StatusCode::SERVICE_UNAVAILABLE,
             Cause::Refused(Refusal::NoPool)
             | Cause::NoClaim { .. }
             | Cause::NotReady
@@ -170,7 +174,7 @@
             | Cause::TooLate
             | Cause::DuplicateElsewhere
             | Cause::NoClaim { first: false }
-            | Cause::Bad(Fault::Key(KeyFault::Old)) => Outcome::Unknown,
+            | Cause::Bad(InvalidRequest::Key(KeyFault::Old)) => Outcome::Unknown,
             Cause::DuplicateRan => Outcome::Ran,
             _ => Outcome::NotRun,
         }
@@ -181,7 +185,7 @@
     fn retry_after(&self) -> Option<Duration> {
         match self {
             Cause::Refused(Refusal::WaitingLimit { retry_after })
-            | Cause::Refused(Refusal::Hopeless { retry_after }) => Some(*retry_after),
+            | Cause::Refused(Refusal::DeadlineTooShort { retry_after }) => Some(*retry_after),
             Cause::NoClaim { .. } => Some(RETRY_AFTER_OUTAGE),
             Cause::Refused(Refusal::NoPool)
             | Cause::NotReady
@@ -206,7 +210,7 @@
 }
 
 /// The answer that tells a cause.
-pub fn refusal(cause: &Cause, request: &str) -> Response<Body> {
+pub fn response(cause: &Cause, request: &str) -> Response<Body> {
     let status = cause.status();
     let problem = Problem {
         r#type: format!("urn:frostdyke:{}", cause.code()),
@@ -216,7 +220,7 @@
         request,
     };
     let text = serde_json::to_vec(&problem).expect("plain text serializes");
-    let mut resp = Response::new(whole(text));
+    let mut resp = Response::new(full(text));
     *resp.status_mut() = status;
     let headers = resp.headers_mut();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/problem+json"));
@@ -234,6 +238,6 @@
 }
 
 /// A body that is all there.
-pub fn whole(data: impl Into<Bytes>) -> Body {
+pub fn full(data: impl Into<Bytes>) -> Body {
     Full::new(data.into()).map_err(|never| match never {}).boxed()
 }
--- a/src/router/flow.rs
+++ b/src/router/request_handler.rs
@@ -30,22 +30,22 @@
 use crate::peer::message::Ticket;
 use crate::peer::message::TicketId;
 use crate::retry_after;
-use crate::router::answer::Body;
-use crate::router::answer::Cause;
-use crate::router::answer::OUTCOME;
-use crate::router::answer::Outcome;
-use crate::router::answer::REQUEST_ID;
-use crate::router::ask::Ask;
-use crate::router::ask::PREFIX;
 use crate::router::hub::Hub;
-use crate::router::relay;
-use crate::router::relay::Answer;
-use crate::router::relay::Placed;
-use crate::router::resume::Resume;
-use crate::router::send::Event;
-use crate::router::send::Incoming;
-use crate::router::send::Outgoing;
-use crate::router::send::Senders;
+use crate::router::refusal::Body;
+use crate::router::refusal::Cause;
+use crate::router::refusal::OUTCOME;
+use crate::router::refusal::Outcome;
+use crate::router::refusal::REQUEST_ID;
+use crate::router::response_body;
+use crate::router::response_body::Answer;
+use crate::router::response_body::Placed;
+use crate::router::service_request::PREFIX;
+use crate::router::service_request::ServiceRequest;
+use crate::router::stream_resume::Resume;
+use crate::router::upstream_sender::Event;
+use crate::router::upstream_sender::Incoming;
+use crate::router::upstream_sender::Outgoing;
+use crate::router::upstream_sender::Senders;
 use crate::status::Attempt;
 use crate::status::RequestRecord;
 
@@ -71,7 +71,7 @@
 /// Serves a request that was read and checked.
 pub async fn serve(
     service: &Arc<Service>,
-    ask: Ask,
+    ask: ServiceRequest,
     body: Bytes,
     tale: Tale,
 ) -> Result<Response<Body>, Cause> {
@@ -89,7 +89,7 @@
 
 struct Flow {
     service: Arc<Service>,
-    ask: Ask,
+    ask: ServiceRequest,
     body: Bytes,
     tale: Tale,
     claimed: Option<Claimed>,
@@ -293,7 +293,7 @@
         }
         let length =
             headers.get(header::CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.parse().ok());
-        let framed = relay::is_framed(&headers);
+        let framed = response_body::is_framed(&headers);
         let resume = resume.filter(|_| status == StatusCode::OK && is_event_stream(&headers));
         let request = self.tale.request.clone();
         let tale = self.tale.take();
@@ -365,7 +365,7 @@
 
 impl Tale {
     /// Begins with the request's arrival.
-    pub fn new(hub: &Arc<Hub>, request: String, first: TicketId, ask: &Ask) -> Tale {
+    pub fn new(hub: &Arc<Hub>, request: String, first: TicketId, ask: &ServiceRequest) -> Tale {
         Tale {
             hub: hub.clone(),
             request,
--- a/src/router/relay.rs
+++ b/src/router/response_body.rs
@@ -18,16 +18,16 @@
 use crate::names::UpstreamName;
 use crate::peer::message::Ending;
 use crate::peer::message::TicketId;
-use crate::router::answer::Outcome;
-use crate::router::ask::Ask;
-use crate::router::flow::Tale;
+use crate::router::cost_meter;
+use crate::router::cost_meter::CostMeter;
 use crate::router::hub::Hub;
 use crate::router::hub::Start;
-use crate::router::meter;
-use crate::router::meter::Meter;
-use crate::router::resume::Resume;
-use crate::router::send::Event;
-use crate::router::send::Incoming;
+use crate::router::refusal::Outcome;
+use crate::router::request_handler::Tale;
+use crate::router::service_request::ServiceRequest;
+use crate::router::stream_resume::Resume;
+use crate::router::upstream_sender::Event;
+use crate::router::upstream_sender::Incoming;
 
 /// A request that has its grant. Dropped before its end, it counts as cancelled.
 pub struct Placed {
@@ -38,7 +38,7 @@
     pub upstream: UpstreamName,
     /// The cost at which the node is told of it next.
     next_report: u64,
-    meter: Box<dyn Meter>,
+    meter: Box<dyn CostMeter>,
     labels: [KeyValue; 2],
     /// The backoff that the upstream asks for.
     backoff: Option<Duration>,
@@ -47,13 +47,13 @@
 
 impl Placed {
     /// A request that was placed just now.
-    pub fn new(hub: &Arc<Hub>, id: TicketId, start: Start, ask: &Ask) -> Placed {
+    pub fn new(hub: &Arc<Hub>, id: TicketId, start: Start, ask: &ServiceRequest) -> Placed {
         Placed {
             hub: hub.clone(),
             id,
             upstream: start.upstream,
             next_report: start.cover,
-            meter: meter::new(ask.unit),
+            meter: cost_meter::for_unit(ask.unit),
             labels: [
                 KeyValue::new("workspace", ask.workspace.to_string()),
                 KeyValue::new("pool", ask.pool.to_string()),
@@ -69,7 +69,7 @@
     }
 
     fn piece(&mut self, piece: &[u8]) {
-        let cost = self.meter.piece(piece);
+        let cost = self.meter.add_chunk(piece);
         if self.next_report < cost {
             self.next_report = self.hub.produced(self.id, cost);
         }
--- a/src/router/ask.rs
+++ b/src/router/service_request.rs
@@ -52,7 +52,7 @@
 
 /// What a caller asks for.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct ServiceRequest {
     /// Who is charged.
     pub workspace: WorkspaceName,
     /// What is asked for.
@@ -83,7 +83,7 @@
 
 /// What is wrong with a request.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
+pub enum InvalidRequest {
     /// No key, or one that names no workspace.
     #[error("the key names no workspace")]
     Unauthorized,
@@ -105,22 +105,22 @@
 }
 
 /// Reads what is asked of `service`.
-pub fn read(
+pub fn parse(
     service: &str,
     headers: &HeaderMap,
     cfg: &Revision,
     limits: &Limits,
-) -> Result<Ask, Fault> {
+) -> Result<ServiceRequest, InvalidRequest> {
     let workspace = authenticate(headers, cfg, limits.trust_workspace_header)?;
-    let service = cfg.service(service).ok_or(Fault::NoService)?;
+    let service = cfg.service(service).ok_or(InvalidRequest::NoService)?;
     if !cfg.workspace(&workspace).is_some_and(|w| w.may_use(&service.name)) {
-        return Err(Fault::NotAllowed);
+        return Err(InvalidRequest::NotAllowed);
     }
-    let pool = cfg.pool(&service.pool).ok_or(Fault::NoService)?;
+    let pool = cfg.pool(&service.pool).ok_or(InvalidRequest::NoService)?;
     let repeatable = repeatable(headers)?.unwrap_or(service.repeatable);
     let key = key(headers)?.filter(|_| !repeatable);
     let key = key.map(|k| Key::new(&workspace, k, SystemTime::now())).transpose()?;
-    Ok(Ask {
+    Ok(ServiceRequest {
         workspace,
         service: service.name.clone(),
         pool: pool.name.clone(),
@@ -141,14 +141,14 @@
     headers: &HeaderMap,
     cfg: &Revision,
     trusted: bool,
-) -> Result<WorkspaceName, Fault> {
+) -> Result<WorkspaceName, InvalidRequest> {
     if trusted {
-        let name = text(headers, &WORKSPACE)?.ok_or(Fault::Unauthorized)?;
-        let workspace = cfg.workspace(name).ok_or(Fault::NoWorkspace)?;
+        let name = text(headers, &WORKSPACE)?.ok_or(InvalidRequest::Unauthorized)?;
+        let workspace = cfg.workspace(name).ok_or(InvalidRequest::NoWorkspace)?;
         return Ok(workspace.name.clone());
     }
-    let value = text(headers, &header::AUTHORIZATION)?.ok_or(Fault::Unauthorized)?;
-    let key = value.strip_prefix("Bearer ").ok_or(Fault::Unauthorized)?;
+    let value = text(headers, &header::AUTHORIZATION)?.ok_or(InvalidRequest::Unauthorized)?;
+    let key = value.strip_prefix("Bearer ").ok_or(InvalidRequest::Unauthorized)?;
     let digest = hex::encode(Sha256::digest(key.as_bytes()));
     // Every digest is compared, and in constant time, so that timing tells nothing of the keys.
     let mut found = None;
@@ -159,50 +159,51 @@
             found = Some(workspace.name.clone());
         }
     }
-    found.ok_or(Fault::Unauthorized)
+    found.ok_or(InvalidRequest::Unauthorized)
 }
 
-fn class(headers: &HeaderMap) -> Result<Class, Fault> {
+fn class(headers: &HeaderMap) -> Result<Class, InvalidRequest> {
     match text(headers, &CLASS)? {
         None | Some("normal") => Ok(Class::Normal),
         Some("urgent") => Ok(Class::Urgent),
         Some("background") => Ok(Class::Background),
-        Some(_) => Err(Fault::Header(CLASS, "must be urgent, normal or background")),
+        Some(_) => Err(InvalidRequest::Header(CLASS, "must be urgent, normal or background")),
     }
 }
 
-fn deadline(headers: &HeaderMap) -> Result<Option<Duration>, Fault> {
+fn deadline(headers: &HeaderMap) -> Result<Option<Duration>, InvalidRequest> {
     let Some(text) = text(headers, &DEADLINE)? else { return Ok(None) };
-    let millis = text.parse().map_err(|_| Fault::Header(DEADLINE, "must be milliseconds"))?;
+    let millis =
+        text.parse().map_err(|_| InvalidRequest::Header(DEADLINE, "must be milliseconds"))?;
     let deadline = Duration::from_millis(millis);
     if deadline.is_zero() || DEADLINE_MAX < deadline {
-        return Err(Fault::Header(DEADLINE, "must be between 1 ms and a day"));
+        return Err(InvalidRequest::Header(DEADLINE, "must be between 1 ms and a day"));
     }
     Ok(Some(deadline))
 }
 
-fn key(headers: &HeaderMap) -> Result<Option<&str>, Fault> {
+fn key(headers: &HeaderMap) -> Result<Option<&str>, InvalidRequest> {
     let Some(text) = text(headers, &KEY)? else { return Ok(None) };
     if text.is_empty() || KEY_MAX < text.len() {
-        return Err(Fault::Header(KEY, "must have 1 to 200 bytes"));
+        return Err(InvalidRequest::Header(KEY, "must have 1 to 200 bytes"));
     }
     Ok(Some(text))
 }
 
-fn first(headers: &HeaderMap) -> Result<bool, Fault> {
+fn first(headers: &HeaderMap) -> Result<bool, InvalidRequest> {
     match text(headers, &ATTEMPT)? {
         None | Some("again") => Ok(false),
         Some("first") => Ok(true),
-        Some(_) => Err(Fault::Header(ATTEMPT, "must be first or again")),
+        Some(_) => Err(InvalidRequest::Header(ATTEMPT, "must be first or again")),
     }
 }
 
-fn repeatable(headers: &HeaderMap) -> Result<Option<bool>, Fault> {
+fn repeatable(headers: &HeaderMap) -> Result<Option<bool>, InvalidRequest> {
     match text(headers, &REPEATABLE)? {
         None => Ok(None),
         Some("yes") => Ok(Some(true)),
         Some("no") => Ok(Some(false)),
-        Some(_) => Err(Fault::Header(REPEATABLE, "must be yes or no")),
+        Some(_) => Err(InvalidRequest::Header(REPEATABLE, "must be yes or no")),
     }
 }
 
@@ -217,12 +218,12 @@
 }
 
 /// The one value of a header, which must be text.
-fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, Fault> {
+fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, InvalidRequest> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else { return Ok(None) };
     if values.next().is_some() {
-        return Err(Fault::Header(name.clone(), "stands twice"));
+        return Err(InvalidRequest::Header(name.clone(), "stands twice"));
     }
     let text = HeaderValue::to_str(value);
-    text.map(Some).map_err(|_| Fault::Header(name.clone(), "must be plain text"))
+    text.map(Some).map_err(|_| InvalidRequest::Header(name.clone(), "must be plain text"))
 }
--- a/src/router/resume.rs
+++ b/src/router/stream_resume.rs
@@ -15,10 +15,10 @@
 use crate::config::catalog::REQUEST;
 use crate::names::PoolName;
 use crate::names::WorkspaceName;
-use crate::router::answer::REQUEST_ID;
-use crate::router::flow::Service;
-use crate::router::send::Incoming;
-use crate::router::send::Outgoing;
+use crate::router::refusal::REQUEST_ID;
+use crate::router::request_handler::Service;
+use crate::router::upstream_sender::Incoming;
+use crate::router::upstream_sender::Outgoing;
 
 /// Times that one answer is resumed.
 const TIMES_MAX: u32 = 3;
@@ -37,7 +37,7 @@
     /// The path, with places for the request and the event.
     path: String,
     times: u32,
-    events: Events,
+    events: EventSplitter,
 }
 
 impl Resume {
@@ -58,7 +58,7 @@
             outgoing: Outgoing { method: Method::GET, body: Bytes::new(), ..outgoing },
             path: path.to_owned(),
             times: 0,
-            events: Events::default(),
+            events: EventSplitter::default(),
         }
     }
 
@@ -74,12 +74,12 @@
 
     /// Takes in a piece of the stream; gives the events that are whole, if any.
     pub fn piece(&mut self, piece: &[u8]) -> Option<Bytes> {
-        self.events.take(piece)
+        self.events.push(piece)
     }
 
     /// What is left when the stream has ended well.
     pub fn rest(&mut self) -> Option<Bytes> {
-        self.events.rest()
+        self.events.take_partial()
     }
 
     /// Asks the upstream for the rest. What was kept back comes again.
@@ -87,7 +87,7 @@
         if TIMES_MAX <= self.times {
             return None;
         }
-        let from = self.events.restart()?;
+        let from = self.events.discard_partial()?;
         self.times += 1;
         let path = self.path.replace(REQUEST, &self.request).replace(FROM, &from.to_string());
         let outgoing = Outgoing { path, ..self.outgoing.clone() };
@@ -103,16 +103,16 @@
 
 /// Splits a stream into whole events, and counts those with data.
 #[derive(Debug, Default)]
-pub struct Events {
+pub struct EventSplitter {
     passed: u64,
     kept: Vec<u8>,
     /// An event was too long: all is passed on, and nothing counted.
     given_up: bool,
 }
 
-impl Events {
+impl EventSplitter {
     /// Takes in a piece; gives the events that are whole, if any.
-    pub fn take(&mut self, piece: &[u8]) -> Option<Bytes> {
+    pub fn push(&mut self, piece: &[u8]) -> Option<Bytes> {
         if self.given_up {
             return Some(Bytes::copy_from_slice(piece));
         }
@@ -132,13 +132,13 @@
     }
 
     /// What is left at the end of the stream.
-    pub fn rest(&mut self) -> Option<Bytes> {
+    pub fn take_partial(&mut self) -> Option<Bytes> {
         let rest = std::mem::take(&mut self.kept);
         (!rest.is_empty()).then(|| Bytes::from(rest))
     }
 
     /// Drops what was kept back, since it will come again. Gives the number of events passed on.
-    pub fn restart(&mut self) -> Option<u64> {
+    pub fn discard_partial(&mut self) -> Option<u64> {
         if self.given_up {
             return None;
         }
--- a/src/router/health.rs
+++ b/src/router/upstream_health.rs
@@ -82,7 +82,7 @@
     let Ok(load) = serde_json::from_str::<Load>(&text) else { return };
     let report = Report { running: load.running, leaving: load.leaving };
     hub.with(|node, now| {
-        node.report(&target.pool, &target.name, report, now);
+        node.record_upstream_report(&target.pool, &target.name, report, now);
         for event in &load.events {
             node.cache_event(&target.pool, &target.name, event.prefix, event.stored);
         }
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -92,7 +92,7 @@
     let all: BTreeSet<TicketId> =
         started.iter().copied().chain(refused.iter().map(|(id, _)| *id)).collect();
     assert_eq!(all.len(), started.len() + refused.len());
-    assert_eq!(node.waiting(), ids.len() - all.len());
+    assert_eq!(node.waiting_count(), ids.len() - all.len());
 }
 
 /// Urgent work isn't given up on for what waits behind it.
--- a/tests/holds_answers.rs
+++ b/tests/holds_answers.rs
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::Duration;
 
-use frostdyke::router::resume::Events;
+use frostdyke::router::stream_resume::EventSplitter;
 use frostdyke_standin::engine;
 use frostdyke_standin::service;
 use proptest::prelude::*;
@@ -124,13 +124,13 @@
         let event = |(i, size): (usize, &usize)| format!("data: {i}{}{end}", "x".repeat(*size));
         let stream: Vec<String> = sizes.iter().enumerate().map(event).collect();
         let text = stream.concat().into_bytes();
-        let (mut events, mut passed, mut at) = (Events::default(), Vec::new(), 0);
+        let (mut events, mut passed, mut at) = (EventSplitter::default(), Vec::new(), 0);
         for size in pieces {
             let until = (at + size).min(text.len());
-            passed.extend(events.take(&text[at..until]).unwrap_or_default());
+            passed.extend(events.push(&text[at..until]).unwrap_or_default());
             at = until;
         }
-        let from = events.restart().expect("no event is too long") as usize;
+        let from = events.discard_partial().expect("no event is too long") as usize;
         passed.extend(stream[from..].concat().into_bytes());
         prop_assert_eq!(passed, text);
     }
--- a/tests/keys.rs
+++ b/tests/keys.rs
@@ -8,8 +8,8 @@
 use frostdyke::config::Workspace;
 use frostdyke::config::settings::Limits;
 use frostdyke::config::settings::Secret;
-use frostdyke::router::ask;
-use frostdyke::router::ask::Fault;
+use frostdyke::router::service_request;
+use frostdyke::router::service_request::InvalidRequest;
 use http::HeaderMap;
 use http::HeaderValue;
 use sha2::Digest;
@@ -39,12 +39,12 @@
     Revision::new(1, cfg).expect("it is valid")
 }
 
-fn asks(headers: &[(&'static str, &str)]) -> Result<String, Fault> {
+fn asks(headers: &[(&'static str, &str)]) -> Result<String, InvalidRequest> {
     let mut map = HeaderMap::new();
     for (name, value) in headers {
         map.append(*name, HeaderValue::from_str(value).expect("plain text"));
     }
-    let ask = ask::read(catalog::SERVICE, &map, &configuration(), &limits());
+    let ask = service_request::parse(catalog::SERVICE, &map, &configuration(), &limits());
     ask.map(|ask| ask.workspace.to_string())
 }
 
@@ -53,13 +53,17 @@
     assert_eq!(asks(&[("authorization", "Bearer key of a")]), Ok("a".to_owned()));
     let other = [("authorization", "Bearer key of a"), ("frostdyke-workspace", "b")];
     assert_eq!(asks(&other), Ok("a".to_owned()), "the header counts only where it is trusted");
-    assert_eq!(asks(&[("frostdyke-workspace", "b")]), Err(Fault::Unauthorized));
+    assert_eq!(asks(&[("frostdyke-workspace", "b")]), Err(InvalidRequest::Unauthorized));
     for wrong in ["", "Bearer", "Bearer ", "Bearer key of c", "Basic key of a", "key of a"] {
-        assert_eq!(asks(&[("authorization", wrong)]), Err(Fault::Unauthorized), "{wrong:?}");
+        assert_eq!(
+            asks(&[("authorization", wrong)]),
+            Err(InvalidRequest::Unauthorized),
+            "{wrong:?}"
+        );
     }
     // A digest, which operators can read, is no key.
     let digest = format!("Bearer {}", hex::encode(Sha256::digest("key of a")));
-    assert_eq!(asks(&[("authorization", &digest)]), Err(Fault::Unauthorized));
+    assert_eq!(asks(&[("authorization", &digest)]), Err(InvalidRequest::Unauthorized));
     let twice = [("authorization", "Bearer key of a"), ("authorization", "Bearer key of b")];
     assert!(asks(&twice).is_err());
 }
--- a/tests/strangers.rs
+++ b/tests/strangers.rs
@@ -215,7 +215,7 @@
     let id = Identity { name: "box-0".into(), zone: "zone-0".into(), incarnation: 1 };
     let mut node = Node::new(id, Tuning::default(), Gossip::default());
     let catalog = util::rig::configuration(&setup);
-    node.list(&util::rig::listed(&setup), Duration::ZERO);
+    node.set_box_list(&util::rig::listed(&setup), Duration::ZERO);
     node.configure(Revision::new(1, catalog).expect("a valid configuration"), Duration::ZERO);
     node
 }
--- a/tests/util/rig.rs
+++ b/tests/util/rig.rs
@@ -310,7 +310,7 @@
         };
         let mut node = Node::new(id, self.setup.tuning, self.setup.gossip);
         let now = Duration::ZERO;
-        node.list(&listed(&self.setup), now);
+        node.set_box_list(&listed(&self.setup), now);
         node.configure(self.revision.clone(), now);
         let member = &mut self.members[i];
         member.node = Some(node);
@@ -348,7 +348,7 @@
         let boxes = zone * self.setup.boxes..(zone + 1) * self.setup.boxes;
         let alive = boxes.clone().filter(|&i| self.is_up(i));
         let nodes = alive.filter_map(|i| self.members[i].node.as_ref());
-        let owner = nodes.filter_map(|n| n.owner(POOL)).next().expect("a box is up");
+        let owner = nodes.filter_map(|n| n.dispatcher_of(POOL)).next().expect("a box is up");
         boxes.into_iter().find(|&i| box_name(i) == *owner).expect("the owner is in the zone")
     }
 
@@ -419,8 +419,8 @@
         let member = &mut self.members[from];
         if let Some(node) = member.node.as_mut() {
             // The connection is refused, which the sender's link tells with what it couldn't send.
-            node.lost(&box_name(to), messages, now - member.started);
-            node.unreachable(&box_name(to), now - member.started);
+            node.messages_lost(&box_name(to), messages, now - member.started);
+            node.mark_unreachable(&box_name(to), now - member.started);
             self.flush(from);
         }
     }
@@ -431,7 +431,7 @@
         let now = self.now;
         let member = &mut self.members[from];
         if let Some(node) = member.node.as_mut() {
-            node.lost(&box_name(to), messages, now - member.started);
+            node.messages_lost(&box_name(to), messages, now - member.started);
         }
     }
 
@@ -523,13 +523,13 @@
                     self.members[i].outbox.entry(to).or_default().push(message);
                 }
                 Output::Start { ticket, upstream, .. } => self.begin(i, ticket, &upstream),
-                Output::Changed(Change::Member { live: false, .. }) => {
+                Output::LogChange(Change::Member { live: false, .. }) => {
                     self.outcome.suspicions += 1;
                 }
                 Output::Refuse { ticket, .. } => {
                     self.requests.remove(&ticket);
                 }
-                Output::Decided(_) | Output::Changed(_) => {}
+                Output::RecordDecision(_) | Output::LogChange(_) => {}
             }
         }
         for (to, messages) in std::mem::take(&mut self.members[i].outbox) {
@@ -642,7 +642,7 @@
         let (router, ticket) = (r.router, r.ticket);
         let member = &mut self.members[router];
         if let Some(node) = member.node.as_mut() {
-            node.produced(ticket, produced, self.now - member.started);
+            node.record_progress(ticket, produced, self.now - member.started);
             self.flush(router);
         }
         self.at(self.now + PROGRESS, Event::Progress { run });
@@ -713,7 +713,7 @@
         let member = &mut self.members[i];
         if let Some(node) = member.node.as_mut() {
             for (name, report) in reports {
-                node.report(&POOL.into(), &name, report, now - member.started);
+                node.record_upstream_report(&POOL.into(), &name, report, now - member.started);
             }
             self.flush(i);
             self.at(now + REPORT, Event::Report(i));
