--- a/src/node/admission.rs
+++ b/src/node/admission.rs
@@ -1,4 +1,5 @@
-//! What a router lets wait: limits per workspace, hopeless deadlines, and the retry budget.
+//! Admission of requests to wait at a router: limits per workspace, deadlines that cannot be met,
+//! and retry budgets.
 
 use std::time::Duration;
 
@@ -8,25 +9,26 @@
 use crate::names::PoolName;
 use crate::names::WorkspaceName;
 
-/// Weight of the newest wait in the average.
-const WAIT_GAIN: f64 = 0.1;
+/// Weight of the newest interval in the moving average of grant intervals.
+const GRANT_INTERVAL_GAIN: f64 = 0.1;
 
-/// Shortest time after which a refused caller is told to come back.
+/// Shortest `retry-after` of a refusal.
 const RETRY_AFTER_MIN: Duration = Duration::from_secs(1);
 
-/// Longest time after which a refused caller is told to come back.
+/// Longest `retry-after` of a refusal.
 const RETRY_AFTER_MAX: Duration = Duration::from_secs(60);
 
-/// Only what is this many times out of reach is turned away: the estimate is rough.
-const HOPELESS_FACTOR: u32 = 2;
+/// A request is refused only if its expected wait exceeds its deadline by this factor, because the
+/// estimate is rough.
+const DEADLINE_MARGIN: u32 = 2;
 
-/// Why a request can't wait here.
+/// Why a request cannot wait here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
-    /// The workspace has as many requests waiting here as it may.
+    /// The workspace has reached its limit of requests waiting here.
     #[error("the workspace has too many requests waiting")]
     WaitingLimit { retry_after: Duration },
-    /// The requests ahead of it will take longer than its deadline allows.
+    /// The requests ahead of it are expected to take longer than its deadline allows.
     #[error("the deadline can't be met")]
     DeadlineTooShort { retry_after: Duration },
     /// The service's pool isn't in the configuration.
@@ -34,52 +36,52 @@
     NoPool,
 }
 
-/// The requests that wait at one router, counted.
+/// Counts the requests that wait at one router, and holds the retry budgets of the pools.
 #[derive(Debug, Default)]
 pub struct Admission {
-    counts: FxHashMap<WorkspaceName, FxHashMap<PoolName, Lane>>,
-    budgets: FxHashMap<PoolName, RetryBudget>,
+    queues: FxHashMap<WorkspaceName, FxHashMap<PoolName, QueueStats>>,
+    retry_budgets: FxHashMap<PoolName, RetryBudget>,
 }
 
 /// The requests of one workspace that wait for one pool.
 #[derive(Debug, Default)]
-struct Lane {
+struct QueueStats {
     waiting: u32,
-    /// Average seconds between grants while requests wait; 0 until known.
-    pace: f64,
-    /// How many times the pace was measured.
-    samples: u32,
-    granted: Option<Duration>,
+    /// Average time between grants while requests wait; 0 until known.
+    grant_interval_s: f64,
+    /// Number of intervals in the average.
+    interval_count: u32,
+    last_grant_at: Option<Duration>,
 }
 
-impl Lane {
-    /// Takes in the seconds between two grants. The first ones count for more: an average that
-    /// began at nothing would take long to be any good.
-    fn measured(&mut self, seconds: f64) {
-        self.samples = self.samples.saturating_add(1);
-        let gain = WAIT_GAIN.max(1.0 / f64::from(self.samples));
-        self.pace += gain * (seconds - self.pace);
+impl QueueStats {
+    /// Adds the time between two grants to the average. The first intervals weigh more, since an
+    /// average that starts at 0 would converge slowly.
+    fn record_interval(&mut self, seconds: f64) {
+        self.interval_count = self.interval_count.saturating_add(1);
+        let gain = GRANT_INTERVAL_GAIN.max(1.0 / f64::from(self.interval_count));
+        self.grant_interval_s += gain * (seconds - self.grant_interval_s);
     }
 
-    /// When a refused caller should come back, for a request with so many of its lane ahead.
+    /// The `retry-after` for a request with this many requests ahead of it.
     fn retry_after(&self, ahead: u32) -> Duration {
         self.expected_wait(ahead).clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX)
     }
 
-    /// Refuses a request with so many of its lane ahead that can't be served in the time that is
-    /// `left`.
-    fn refuse_hopeless(&self, ahead: u32, left: Duration) -> Option<Refusal> {
-        let hopeless = left.saturating_mul(HOPELESS_FACTOR) < self.expected_wait(ahead);
-        hopeless.then(|| Refusal::DeadlineTooShort { retry_after: self.retry_after(ahead) })
+    /// Returns a refusal if a request with this many requests ahead of it cannot be served within
+    /// the remaining time.
+    fn check_deadline(&self, ahead: u32, remaining: Duration) -> Option<Refusal> {
+        let is_too_short = remaining.saturating_mul(DEADLINE_MARGIN) < self.expected_wait(ahead);
+        is_too_short.then(|| Refusal::DeadlineTooShort { retry_after: self.retry_after(ahead) })
     }
 
     fn expected_wait(&self, ahead: u32) -> Duration {
-        Duration::from_secs_f64(self.pace * f64::from(ahead))
+        Duration::from_secs_f64(self.grant_interval_s * f64::from(ahead))
     }
 }
 
 impl Admission {
-    /// Counts a request in, or refuses it.
+    /// Adds a request to the waiting ones, or refuses it.
     pub fn admit(
         &mut self,
         workspace: &WorkspaceName,
@@ -87,63 +89,63 @@
         limit: u32,
         deadline: Duration,
     ) -> Result<(), Refusal> {
-        let lanes = self.counts.entry(workspace.clone()).or_default();
-        let waiting: u32 = lanes.values().map(|l| l.waiting).sum();
-        let lane = lanes.entry(pool.clone()).or_default();
+        let queues = self.queues.entry(workspace.clone()).or_default();
+        let waiting: u32 = queues.values().map(|q| q.waiting).sum();
+        let queue = queues.entry(pool.clone()).or_default();
         if limit <= waiting {
-            return Err(Refusal::WaitingLimit { retry_after: lane.retry_after(lane.waiting) });
+            return Err(Refusal::WaitingLimit { retry_after: queue.retry_after(queue.waiting) });
         }
-        if let Some(refusal) = lane.refuse_hopeless(lane.waiting, deadline) {
+        if let Some(refusal) = queue.check_deadline(queue.waiting, deadline) {
             return Err(refusal);
         }
-        lane.waiting += 1;
+        queue.waiting += 1;
         self.budget(pool, 0).deposit();
         Ok(())
     }
 
-    /// Refuses a request that waits, with so many of its lane ahead, and can't be served in the time
-    /// that is `left`.
-    pub fn refuse_hopeless(
+    /// Returns a refusal if a waiting request, with this many of its workspace and pool ahead of
+    /// it, cannot be served within the remaining time.
+    pub fn check_deadline(
         &self,
         workspace: &str,
         pool: &str,
         ahead: u32,
-        left: Duration,
+        remaining: Duration,
     ) -> Option<Refusal> {
-        self.counts.get(workspace)?.get(pool)?.refuse_hopeless(ahead, left)
+        self.queues.get(workspace)?.get(pool)?.check_deadline(ahead, remaining)
     }
 
-    /// Counts a request out that got no grant.
-    pub fn leave(&mut self, workspace: &str, pool: &str) {
-        if let Some(lane) = self.counts.get_mut(workspace).and_then(|l| l.get_mut(pool)) {
-            lane.waiting -= 1;
+    /// Removes a waiting request that got no grant.
+    pub fn remove(&mut self, workspace: &str, pool: &str) {
+        if let Some(queue) = self.queues.get_mut(workspace).and_then(|q| q.get_mut(pool)) {
+            queue.waiting -= 1;
         }
     }
 
-    /// Counts a request out that got a grant, and learns the pace of grants.
-    pub fn granted(&mut self, workspace: &str, pool: &str, now: Duration) {
-        let Some(lane) = self.counts.get_mut(workspace).and_then(|l| l.get_mut(pool)) else {
+    /// Removes a waiting request that got a grant, and updates the average grant interval.
+    pub fn record_grant(&mut self, workspace: &str, pool: &str, now: Duration) {
+        let Some(queue) = self.queues.get_mut(workspace).and_then(|q| q.get_mut(pool)) else {
             return;
         };
-        lane.waiting -= 1;
-        let since = lane.granted.replace(now).map(|at| (now - at).as_secs_f64());
-        match since {
-            Some(s) if lane.waiting != 0 => lane.measured(s),
-            _ => lane.pace *= 1.0 - WAIT_GAIN,
+        queue.waiting -= 1;
+        let interval = queue.last_grant_at.replace(now).map(|at| (now - at).as_secs_f64());
+        match interval {
+            Some(s) if queue.waiting != 0 => queue.record_interval(s),
+            _ => queue.grant_interval_s *= 1.0 - GRANT_INTERVAL_GAIN,
         }
-        if lane.waiting == 0 {
-            lane.granted = None;
+        if queue.waiting == 0 {
+            queue.last_grant_at = None;
         }
     }
 
-    /// Takes a retry out of a pool's budget.
-    pub fn may_retry(&mut self, pool: &PoolName, percent: u32) -> bool {
+    /// Takes a retry from a pool's budget; `false` if it is exhausted.
+    pub fn try_take_retry(&mut self, pool: &PoolName, percent: u32) -> bool {
         let budget = self.budget(pool, percent);
         budget.set_percent(percent);
         budget.withdraw()
     }
 
     fn budget(&mut self, pool: &PoolName, percent: u32) -> &mut RetryBudget {
-        self.budgets.entry(pool.clone()).or_insert_with(|| RetryBudget::new(percent))
+        self.retry_budgets.entry(pool.clone()).or_insert_with(|| RetryBudget::new(percent))
     }
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,6 +1,6 @@
-//! One box's part in the fleet, without input or output: it takes in calls, messages and the time,
-//! and gives out what is to be done. The router process feeds it; tests and benches drive many of
-//! them over a fake network.
+//! The state machine of one box, without I/O: it takes calls, messages and the time as input, and
+//! returns the actions to perform. The router process drives it; tests and benches run many of them
+//! over a simulated network.
 
 mod admission;
 mod receive;
@@ -30,8 +30,8 @@
 use crate::names::UpstreamName;
 use crate::names::ZoneName;
 use crate::node::admission::Admission;
-use crate::node::waiting::Unheard;
-use crate::node::waiting::Waiting;
+use crate::node::waiting::UndeliveredMessage;
+use crate::node::waiting::WaitingRequest;
 use crate::peer::member::Gossip;
 use crate::peer::member::ListedBox;
 use crate::peer::member::Members;
@@ -43,84 +43,88 @@
 use crate::peer::message::TicketId;
 use crate::util;
 
-/// A request that has produced this many times what was charged for it is charged anew.
-const OUTGROWN: u64 = 2;
+/// A running request whose cost exceeds the charged cost by this factor is reported to its
+/// dispatcher again.
+const PROGRESS_FACTOR: u64 = 2;
 
-/// Who a box is.
+/// The identity of a box.
 #[derive(Clone, Debug)]
 pub struct Identity {
     /// Unique name of the box.
     pub name: BoxName,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Which start of the box this is; later ones are greater.
+    /// Number of this start of the box; later starts have greater numbers.
     pub incarnation: u64,
 }
 
-/// What a node wants done.
+/// An action that a [`Node`] requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send a message to another box.
     Send { to: BoxName, message: Message },
-    /// Send a waiting request to this upstream now; `cover` of its cost is charged already.
+    /// Send a waiting request to this upstream; `cover` of its cost is charged already.
     Start { ticket: TicketId, upstream: UpstreamName, cover: u64 },
-    /// A request that waits won't be served in time; tell its caller now.
+    /// Refuse a waiting request that cannot be served within its deadline.
     Refuse { ticket: TicketId, refusal: Refusal },
-    /// Log and remember a decision of a dispatcher on this box.
+    /// Log and record a decision of a dispatcher on this box.
     RecordDecision(Decision),
     /// Log a change of state.
     LogChange(Change),
 }
 
-/// A change of state worth a log line.
+/// A change of state that is logged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// This box became the dispatcher of a pool in its zone, or ceased to be.
-    Role { pool: PoolName, dispatcher: BoxName, mine: bool },
-    /// A configuration came into force.
-    Configured { revision: u64 },
-    /// A peer offered a configuration that isn't valid; the old one stays.
-    BadConfiguration { revision: u64, from: BoxName, fault: String },
-    /// A box is alive, or suspected.
+    /// This box became the dispatcher of a pool in its zone, or stopped being it.
+    Dispatcher { pool: PoolName, dispatcher: BoxName, is_local: bool },
+    /// A configuration was applied.
+    ConfigurationApplied { revision: u64 },
+    /// Another box sent an invalid configuration; the current one stays.
+    InvalidConfiguration { revision: u64, from: BoxName, fault: String },
+    /// A box became alive or suspected.
     Member { name: BoxName, live: bool },
 }
 
-/// One box's part in the fleet.
+/// The state of one box: its view of the other boxes, the dispatchers it runs and the requests of
+/// its router.
 #[derive(Debug)]
 pub struct Node {
-    id: Identity,
+    identity: Identity,
     cfg: Arc<Revision>,
     members: Members,
     tuning: Tuning,
     pools: BTreeMap<PoolName, Pool>,
-    owners: BTreeMap<PoolName, BoxName>,
-    live: Vec<BoxName>,
-    /// Whether roles must be found anew though nobody came or went.
+    /// The dispatching box of each pool in this zone.
+    dispatchers: BTreeMap<PoolName, BoxName>,
+    live_boxes: Vec<BoxName>,
+    /// Whether roles must be recomputed even if the set of live boxes is unchanged.
     roles_stale: bool,
-    listed_leaving: BTreeSet<BoxName>,
+    leaving_boxes: BTreeSet<BoxName>,
     incarnations: BTreeMap<BoxName, u64>,
     admission: Admission,
-    waiting: FxHashMap<TicketId, Waiting>,
-    /// Grants and their ends to be told again, the earliest first.
-    unheard: VecDeque<Unheard>,
-    running: FxHashMap<TicketId, Running>,
+    waiting: FxHashMap<TicketId, WaitingRequest>,
+    /// Grants and completions to resend, the earliest first.
+    undelivered: VecDeque<UndeliveredMessage>,
+    running: FxHashMap<TicketId, RunningRequest>,
     next_ticket: u64,
-    next_cell: u64,
-    beats: u64,
-    gave_up: Duration,
+    next_replica_incarnation: u64,
+    heartbeat_count: u64,
+    last_deadline_check: Duration,
     rng: SmallRng,
-    out: Vec<Output>,
-    inbox: VecDeque<Message>,
+    outputs: Vec<Output>,
+    /// Messages of this box to itself.
+    loopback: VecDeque<Message>,
 }
 
 #[derive(Debug)]
-struct Running {
+struct RunningRequest {
     ticket: Ticket,
     grant: Grant,
 }
 
 impl Node {
-    /// A node that knows nothing of the fleet yet.
+    /// Creates a node without configuration or box list.
     pub fn new(id: Identity, tuning: Tuning, gossip: Gossip) -> Node {
         let members = Members::new(&id.name, &id.zone, id.incarnation, gossip);
         Node {
@@ -128,102 +132,100 @@
             tuning,
             cfg: Arc::default(),
             pools: BTreeMap::new(),
-            owners: BTreeMap::new(),
-            live: vec![id.name.clone()],
+            dispatchers: BTreeMap::new(),
+            live_boxes: vec![id.name.clone()],
             roles_stale: true,
-            listed_leaving: BTreeSet::new(),
+            leaving_boxes: BTreeSet::new(),
             incarnations: BTreeMap::new(),
             admission: Admission::default(),
             waiting: FxHashMap::default(),
-            unheard: VecDeque::new(),
+            undelivered: VecDeque::new(),
             running: FxHashMap::default(),
             next_ticket: util::id_base(&id.name, id.incarnation, "ticket"),
-            next_cell: id.incarnation,
-            beats: 0,
-            gave_up: Duration::ZERO,
+            next_replica_incarnation: id.incarnation,
+            heartbeat_count: 0,
+            last_deadline_check: Duration::ZERO,
             rng: SmallRng::seed_from_u64(util::id_base(&id.name, id.incarnation, "seed")),
-            out: Vec::new(),
-            inbox: VecDeque::new(),
-            id,
+            outputs: Vec::new(),
+            loopback: VecDeque::new(),
+            identity: id,
         }
     }
 
-    /// What is to be done, in order; empties the list.
+    /// Takes the requested actions, in order.
     pub fn take_output(&mut self) -> Vec<Output> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
-    /// Who this is.
     pub fn identity(&self) -> &Identity {
-        &self.id
+        &self.identity
     }
 
-    /// The configuration in force.
+    /// The applied configuration.
     pub fn configuration(&self) -> &Arc<Revision> {
         &self.cfg
     }
 
-    /// What is known of the other boxes.
+    /// What this box knows of the other boxes.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    /// The dispatchers on this box.
+    /// The dispatchers that run on this box.
     pub fn pools(&self) -> impl Iterator<Item = &Pool> {
-        self.pools.iter().filter(|(name, _)| self.is_owner(name)).map(|(_, p)| p)
+        self.pools.iter().filter(|(name, _)| self.is_dispatcher(name)).map(|(_, p)| p)
     }
 
-    /// A dispatcher on this box, if it has this pool's.
+    /// The dispatcher of a pool, if it runs on this box.
     pub fn pool(&self, name: &str) -> Option<&Pool> {
-        self.pools.get(name).filter(|_| self.is_owner(name))
+        self.pools.get(name).filter(|_| self.is_dispatcher(name))
     }
 
-    /// The box believed to dispatch a pool in this zone.
+    /// The box that dispatches a pool in this zone, as far as this box knows.
     pub fn dispatcher_of(&self, pool: &str) -> Option<&BoxName> {
-        self.owners.get(pool)
+        self.dispatchers.get(pool)
     }
 
-    /// The box that usually writes the claims of a shard; nothing when it is this one.
+    /// The box that usually writes the claims of a shard; `None` if it is this one.
     pub fn claims_writer(&self, shard: u64, now: Duration) -> Option<BoxName> {
         let role = format!("claims/{shard}");
         let elsewhere = self.members.elsewhere(&role);
-        let zones = elsewhere.iter().map(|(zone, _)| zone).chain([&self.id.zone]);
+        let zones = elsewhere.iter().map(|(zone, _)| zone).chain([&self.identity.zone]);
         let home = util::rendezvous(&role, zones)?;
-        if *home == self.id.zone {
+        if *home == self.identity.zone {
             let owner = self.members.owner(&role, now);
-            return (*owner != self.id.name).then(|| owner.clone());
+            return (*owner != self.identity.name).then(|| owner.clone());
         }
         elsewhere.iter().find(|(zone, _)| zone == home).map(|(_, name)| name.clone())
     }
 
-    /// Whether requests can be served: a configuration is in force.
+    /// Whether requests can be served, which requires a configuration.
     pub fn is_ready(&self) -> bool {
         self.cfg.number != 0
     }
 
-    /// How many requests wait at this router.
+    /// Number of requests waiting at this router.
     pub fn waiting_count(&self) -> usize {
         self.waiting.len()
     }
 
-    /// How many requests of this router run at upstreams.
+    /// Number of requests of this router that run at upstreams.
     pub fn running_count(&self) -> usize {
         self.running.len()
     }
 
-    /// A new ticket name.
     pub fn new_ticket_id(&mut self) -> TicketId {
         self.next_ticket += 1;
         TicketId(self.next_ticket)
     }
 
-    /// Notes how much a running request has produced so far, in its pool's unit. Its dispatcher is
-    /// told only when that has outgrown what was charged by a factor, so the messages grow with
-    /// the logarithm of the cost. Gives the cost from which on this needs to be called again.
+    /// Records the cost of a running request so far, in its pool's unit. Its dispatcher is notified
+    /// only when the cost exceeds the charged cost by a factor, so the number of messages grows
+    /// with the logarithm of the cost. Returns the cost above which this must be called again.
     pub fn record_progress(&mut self, id: TicketId, cost: u64, now: Duration) -> u64 {
         let Some(running) = self.running.get_mut(&id) else { return cost };
-        if cost <= running.grant.cover * OUTGROWN {
-            return running.grant.cover * OUTGROWN;
+        if cost <= running.grant.cover * PROGRESS_FACTOR {
+            return running.grant.cover * PROGRESS_FACTOR;
         }
         running.grant.cover = cost;
         let message = Message::Progress {
@@ -233,8 +235,8 @@
         };
         let (to, cover) = (running.grant.dispatcher.clone(), running.grant.cover);
         self.send(to, message);
-        self.settle(now);
-        cover * OUTGROWN
+        self.deliver_loopback(now);
+        cover * PROGRESS_FACTOR
     }
 
     /// Ends a running request.
@@ -243,43 +245,44 @@
         let done =
             Done { pool: running.ticket.pool.clone(), grant: running.grant.id, cost, ending };
         self.send(running.grant.dispatcher, Message::Done(done));
-        self.settle(now);
+        self.deliver_loopback(now);
     }
 
-    /// Whether a failed request may be tried again under its pool's retry budget.
-    pub fn may_retry(&mut self, pool: &PoolName) -> bool {
+    /// Takes a retry from a pool's retry budget; `false` if it is exhausted.
+    pub fn try_take_retry(&mut self, pool: &PoolName) -> bool {
         let percent = self.cfg.pool(pool).map_or(0, |p| p.retry_percent);
-        self.admission.may_retry(pool, percent)
+        self.admission.try_take_retry(pool, percent)
     }
 
-    /// Takes in messages from another box.
+    /// Handles messages from another box.
     pub fn receive(&mut self, from: &BoxName, messages: Vec<Message>, now: Duration) {
         for message in messages {
             self.handle(from, message, now);
         }
-        self.settle(now);
+        self.deliver_loopback(now);
     }
 
-    /// Takes over a newer box list.
+    /// Applies a newer box list.
     pub fn set_box_list(&mut self, boxes: &[ListedBox], now: Duration) {
         self.members.list(boxes, now);
-        // Upstreams run on boxes, too; they are listed by their own names.
-        self.listed_leaving = boxes.iter().filter(|b| b.leaving).map(|b| b.name.clone()).collect();
+        // Upstreams are in the box list, too, under their own names.
+        self.leaving_boxes = boxes.iter().filter(|b| b.leaving).map(|b| b.name.clone()).collect();
         for pool in self.pools.values_mut() {
-            pool.upstreams_mut().list_leaving(&self.listed_leaving);
+            pool.upstreams_mut().list_leaving(&self.leaving_boxes);
         }
         self.refresh_roles(now);
-        self.settle(now);
+        self.deliver_loopback(now);
     }
 
-    /// Takes over a configuration, unless it is older than the one in force.
+    /// Applies a configuration, unless it is older than the current one.
     pub fn configure(&mut self, revision: Revision, now: Duration) {
         if revision.number <= self.cfg.number {
             return;
         }
         self.cfg = Arc::new(revision);
         self.roles_stale = true;
-        self.out.push(Output::LogChange(Change::Configured { revision: self.cfg.number }));
+        self.outputs
+            .push(Output::LogChange(Change::ConfigurationApplied { revision: self.cfg.number }));
         let cfg = self.cfg.clone();
         self.pools.retain(|name, _| cfg.pool(name).is_some());
         let mut actions = Vec::new();
@@ -288,10 +291,10 @@
         }
         self.perform(actions);
         self.refresh_roles(now);
-        self.settle(now);
+        self.deliver_loopback(now);
     }
 
-    /// Takes in what an upstream reports of itself.
+    /// Records the load that an upstream reported.
     pub fn record_upstream_report(
         &mut self,
         pool: &PoolName,
@@ -305,10 +308,10 @@
             pool.fill(now, &mut actions);
         }
         self.perform(actions);
-        self.settle(now);
+        self.deliver_loopback(now);
     }
 
-    /// Takes in an upstream's word on its prefix cache.
+    /// Records that an upstream stored a prefix in its cache or evicted it.
     pub fn cache_event(
         &mut self,
         pool: &PoolName,
@@ -321,72 +324,72 @@
         }
     }
 
-    /// Notes that a box refuses connections.
+    /// Records that a box refuses connections.
     pub fn mark_unreachable(&mut self, name: &BoxName, now: Duration) {
         self.members.failed(name);
-        // Nothing listens there, so nothing runs there.
-        self.forget_router(name, now);
+        // No process listens there, so none of its requests run.
+        self.release_router(name, now);
         self.refresh_roles(now);
-        self.settle(now);
+        self.deliver_loopback(now);
     }
 
-    /// Tells the zone that this box is about to stop, and gives its roles to others.
+    /// Announces to the zone that this box is about to stop, and hands over its roles.
     pub fn leave(&mut self, now: Duration) {
         let (t, boxes) = self.members.leave(now);
         for to in boxes {
             let v = self.cfg.number;
-            self.out.push(Output::Send { to, message: Message::Heartbeat { t: t.clone(), v } });
+            self.outputs.push(Output::Send { to, message: Message::Heartbeat { t: t.clone(), v } });
         }
         self.refresh_roles(now);
-        self.settle(now);
+        self.deliver_loopback(now);
     }
 
-    /// Does what is due by time. Call it every few tens of milliseconds.
+    /// Performs timed work. Must be called every few tens of milliseconds.
     pub fn tick(&mut self, now: Duration) {
-        self.beat(now);
+        self.send_heartbeats(now);
         self.refresh_roles(now);
-        self.resend(now);
-        self.give_up(now);
+        self.resend_due(now);
+        self.refuse_short_deadlines(now);
         let mut actions = Vec::new();
         for (name, pool) in &mut self.pools {
-            if self.owners.get(name) != Some(&self.id.name) {
+            if self.dispatchers.get(name) != Some(&self.identity.name) {
                 continue;
             }
             pool.tick(now, &mut actions);
             let mut others = self.members.elsewhere(name);
             let successor = self.members.successor(name, now);
-            others.extend(successor.map(|b| (self.id.zone.clone(), b.clone())));
+            others.extend(successor.map(|b| (self.identity.zone.clone(), b.clone())));
             pool.exchange(&others, now, &mut actions);
         }
         self.perform(actions);
-        self.settle(now);
+        self.deliver_loopback(now);
     }
 
-    fn is_owner(&self, pool: &str) -> bool {
-        self.owners.get(pool) == Some(&self.id.name)
+    fn is_dispatcher(&self, pool: &str) -> bool {
+        self.dispatchers.get(pool) == Some(&self.identity.name)
     }
 
     fn perform(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send { to, message } => self.send(to, message),
-                Action::Decided(decision) => self.out.push(Output::RecordDecision(decision)),
+                Action::Decided(decision) => self.outputs.push(Output::RecordDecision(decision)),
             }
         }
     }
 
     fn send(&mut self, to: BoxName, message: Message) {
-        if to == self.id.name {
-            self.inbox.push_back(message);
+        if to == self.identity.name {
+            self.loopback.push_back(message);
         } else {
-            self.out.push(Output::Send { to, message });
+            self.outputs.push(Output::Send { to, message });
         }
     }
 
-    /// Handles the messages of this box to itself until there are none.
-    fn settle(&mut self, now: Duration) {
-        while let Some(message) = self.inbox.pop_front() {
-            let me = self.id.name.clone();
+    /// Handles the messages of this box to itself until none are left.
+    fn deliver_loopback(&mut self, now: Duration) {
+        while let Some(message) = self.loopback.pop_front() {
+            let me = self.identity.name.clone();
             self.handle(&me, message, now);
         }
     }
--- a/src/node/receive.rs
+++ b/src/node/receive.rs
@@ -1,4 +1,4 @@
-//! What a node does with each kind of message.
+//! Handlers for the messages between boxes.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use crate::node::Change;
 use crate::node::Node;
 use crate::node::Output;
-use crate::node::Running;
+use crate::node::RunningRequest;
 use crate::peer::message::Beat;
 use crate::peer::message::Digest;
 use crate::peer::message::Done;
@@ -52,10 +52,10 @@
             }
             Message::Check { p, g, d } => self.handle_check(from, p, &g, d),
             Message::Using { p, f, u, g } => {
-                self.with_pool(&p, |pool, out| pool.using(from, f, u, &g, now, out));
+                self.with_pool(&p, |pool, actions| pool.using(from, f, u, &g, now, actions));
             }
             Message::NotRunning { p, g } => {
-                self.with_pool(&p, |pool, out| pool.not_running(from, &g, now, out));
+                self.with_pool(&p, |pool, actions| pool.not_running(from, &g, now, actions));
             }
             Message::Summary(summary) => self.handle_summary(from, *summary, now),
             Message::Copied { p, z, c, t } => {
@@ -63,11 +63,13 @@
             }
             Message::Pull(pull) => self.handle_pull(pull, now),
             Message::Pulled(pulled) => {
-                self.with_pool(&pulled.pool.clone(), |pool, out| pool.pulled(pulled, now, out));
+                self.with_pool(&pulled.pool.clone(), |pool, actions| {
+                    pool.pulled(pulled, now, actions)
+                });
             }
             // Claims need the store; the process handles them.
             Message::Claim(_) | Message::Claimed { .. } => {}
-            Message::WantConfiguration { v } => self.handle_want(from, v),
+            Message::WantConfiguration { v } => self.handle_configuration_request(from, v),
             Message::Configuration { v, c } => self.handle_configuration(from, v, *c, now),
         }
     }
@@ -75,7 +77,7 @@
     fn handle_heartbeat(&mut self, from: &BoxName, table: &[Beat], revision: u64, now: Duration) {
         self.members.hear(table, now);
         for beat in table {
-            self.note_incarnation(&beat.name, now);
+            self.update_incarnation(&beat.name, now);
         }
         if self.cfg.number < revision {
             let v = self.cfg.number;
@@ -88,19 +90,20 @@
         if ticket.router.is_none() {
             ticket.router = from.clone();
         }
-        // A service that this box doesn't know yet is registered again later.
+        // A ticket for a service that this box doesn't know yet is registered again later.
         let Some(service) = self.cfg.service(&ticket.service) else { return };
         ticket.pool = service.pool.clone();
-        if self.is_owner(&ticket.pool) {
+        if self.is_dispatcher(&ticket.pool) {
             let name = ticket.pool.clone();
-            self.with_pool(&name, |pool, out| pool.submit(ticket, now, out));
+            self.with_pool(&name, |pool, actions| pool.submit(ticket, now, actions));
             return;
         }
-        // The sender's view of the zone differs; the box that this one believes in may agree.
-        if let Some(owner) = self.owners.get(&ticket.pool).cloned()
+        // The sender's view of the zone differs. The box that is the dispatcher in this box's view
+        // may agree with it.
+        if let Some(dispatcher) = self.dispatchers.get(&ticket.pool).cloned()
             && !ticket.forwarded
         {
-            self.send(owner, Message::Ticket(Ticket { forwarded: true, ..ticket }));
+            self.send(dispatcher, Message::Ticket(Ticket { forwarded: true, ..ticket }));
         }
     }
 
@@ -110,17 +113,17 @@
         }
         if let Some(waiting) = self.waiting.remove(&grant.ticket) {
             let ticket = waiting.ticket;
-            self.admission.granted(&ticket.workspace, &ticket.pool, now);
+            self.admission.record_grant(&ticket.workspace, &ticket.pool, now);
             let (upstream, cover) = (grant.upstream.clone(), grant.cover);
             let start = Output::Start { ticket: ticket.id, upstream, cover };
-            self.running.insert(ticket.id, Running { ticket, grant });
-            self.out.push(start);
+            self.running.insert(ticket.id, RunningRequest { ticket, grant });
+            self.outputs.push(start);
             return;
         }
         if self.running.get(&grant.ticket).is_some_and(|r| r.grant.id == grant.id) {
             return;
         }
-        // A second grant for the same ticket, or one that came too late.
+        // A second grant for the same ticket, or one for a request that no longer waits.
         let Some(pool) = self.pool_of(&grant) else { return };
         let done = Done { pool, grant: grant.id, cost: 0, ending: Ending::Unused };
         self.send(grant.dispatcher, Message::Done(done));
@@ -128,14 +131,14 @@
 
     fn handle_done(&mut self, done: Done, now: Duration) {
         if self.pools.contains_key(&done.pool) {
-            self.with_pool(&done.pool.clone(), |pool, out| pool.done(&done, now, out));
+            self.with_pool(&done.pool.clone(), |pool, actions| pool.done(&done, now, actions));
             return;
         }
-        // The role was handed over, and the sender doesn't know yet.
-        if let Some(owner) = self.owners.get(&done.pool).cloned()
-            && owner != self.id.name
+        // The role was handed over and the sender doesn't know it yet.
+        if let Some(dispatcher) = self.dispatchers.get(&done.pool).cloned()
+            && dispatcher != self.identity.name
         {
-            self.send(owner, Message::Done(done));
+            self.send(dispatcher, Message::Done(done));
         }
     }
 
@@ -146,43 +149,43 @@
         grants: &[GrantId],
         digest: Option<Digest>,
     ) {
-        let used: FxHashSet<GrantId> = self.running.values().map(|r| r.grant.id).collect();
-        if let Some(theirs) = digest {
-            let (f, u) = (theirs.from, theirs.upto);
-            if theirs != Digest::new(f, u, used.iter().copied()) {
+        let in_use: FxHashSet<GrantId> = self.running.values().map(|r| r.grant.id).collect();
+        if let Some(sender_digest) = digest {
+            let (f, u) = (sender_digest.from, sender_digest.upto);
+            if sender_digest != Digest::new(f, u, in_use.iter().copied()) {
                 let mut g: Vec<GrantId> =
-                    used.iter().copied().filter(|g| theirs.covers(*g)).collect();
+                    in_use.iter().copied().filter(|g| sender_digest.covers(*g)).collect();
                 g.sort();
                 self.send(from.clone(), Message::Using { p: p.clone(), f, u, g });
             }
         }
-        let g: Vec<GrantId> = grants.iter().copied().filter(|id| !used.contains(id)).collect();
-        // Sent even when empty: it tells that this router lives.
+        let g: Vec<GrantId> = grants.iter().copied().filter(|id| !in_use.contains(id)).collect();
+        // Sent even when empty: it proves that this router is alive.
         self.send(from.clone(), Message::NotRunning { p, g });
     }
 
     fn handle_summary(&mut self, from: &BoxName, summary: Summary, now: Duration) {
-        // What another box tells in this one's name would have it ask itself for work.
-        if summary.dispatcher == self.id.name {
+        // A report in this box's own name would make it request work from itself.
+        if summary.dispatcher == self.identity.name {
             return;
         }
-        let here = summary.zone == self.id.zone;
-        let is_owner = self.is_owner(&summary.pool);
-        if !here && !is_owner {
-            if let Some(owner) = self.owners.get(&summary.pool).cloned()
+        let is_own_zone = summary.zone == self.identity.zone;
+        let is_dispatcher = self.is_dispatcher(&summary.pool);
+        if !is_own_zone && !is_dispatcher {
+            if let Some(dispatcher) = self.dispatchers.get(&summary.pool).cloned()
                 && !summary.forwarded
             {
                 let forwarded = Summary { forwarded: true, ..summary };
-                self.send(owner, Message::Summary(Box::new(forwarded)));
+                self.send(dispatcher, Message::Summary(Box::new(forwarded)));
             }
             return;
         }
         let name = summary.pool.clone();
-        let Some(pool) = self.pool_mut(&name) else { return };
+        let Some(pool) = self.pool_or_insert(&name) else { return };
         let mut actions = Vec::new();
         pool.summary(&summary, now, &mut actions);
         self.perform(actions);
-        if here && !is_owner {
+        if is_own_zone && !is_dispatcher {
             let copied = Message::Copied {
                 p: summary.pool,
                 z: summary.zone,
@@ -194,18 +197,18 @@
     }
 
     fn handle_pull(&mut self, pull: Pull, now: Duration) {
-        if self.is_owner(&pull.pool) {
-            self.with_pool(&pull.pool.clone(), |pool, out| pool.pull(&pull, now, out));
+        if self.is_dispatcher(&pull.pool) {
+            self.with_pool(&pull.pool.clone(), |pool, actions| pool.pull(&pull, now, actions));
             return;
         }
-        if let Some(owner) = self.owners.get(&pull.pool).cloned()
+        if let Some(dispatcher) = self.dispatchers.get(&pull.pool).cloned()
             && !pull.forwarded
         {
-            self.send(owner, Message::Pull(Pull { forwarded: true, ..pull }));
+            self.send(dispatcher, Message::Pull(Pull { forwarded: true, ..pull }));
         }
     }
 
-    fn handle_want(&mut self, from: &BoxName, revision: u64) {
+    fn handle_configuration_request(&mut self, from: &BoxName, revision: u64) {
         if revision < self.cfg.number {
             let c = Box::new(self.cfg.catalog.clone());
             self.send(from.clone(), Message::Configuration { v: self.cfg.number, c });
@@ -221,7 +224,7 @@
             Err(faults) => {
                 let fault = faults.first().map(ToString::to_string).unwrap_or_default();
                 let from = from.clone();
-                self.out.push(Output::LogChange(Change::BadConfiguration {
+                self.outputs.push(Output::LogChange(Change::InvalidConfiguration {
                     revision: v,
                     from,
                     fault,
@@ -238,7 +241,7 @@
         self.perform(actions);
     }
 
-    /// The pool of an upstream that a grant names.
+    /// The pool of a grant's upstream.
     fn pool_of(&self, grant: &Grant) -> Option<PoolName> {
         self.cfg.upstream(&grant.upstream).map(|u| u.pool.clone())
     }
--- a/src/node/roles.rs
+++ b/src/node/roles.rs
@@ -1,4 +1,4 @@
-//! Who dispatches which pool, and what happens when that changes.
+//! Which box dispatches which pool, and the handover when that changes.
 
 use std::time::Duration;
 
@@ -13,94 +13,99 @@
 use crate::peer::message::Running;
 use crate::peer::message::Ticket;
 
-/// Every so many heartbeats one also goes to another zone, so that news of a configuration gets
-/// there when the platform can't bring it.
-const ABROAD_EVERY: u64 = 4;
+/// One in this many heartbeats also goes to another zone, so that a configuration spreads there
+/// when the platform cannot deliver it.
+const HEARTBEATS_PER_OTHER_ZONE: u64 = 4;
 
 impl Node {
     /// Sends the heartbeats and probes that are due.
-    pub(super) fn beat(&mut self, now: Duration) {
+    pub(super) fn send_heartbeats(&mut self, now: Duration) {
         for name in self.members.to_probe(now) {
             self.send(name, Message::Probe {});
         }
         let Some((t, to)) = self.members.beat(now, &mut self.rng) else { return };
-        self.beats += 1;
+        self.heartbeat_count += 1;
         let v = self.cfg.number;
         for name in to {
             self.send(name, Message::Heartbeat { t: t.clone(), v });
         }
-        if self.beats.is_multiple_of(ABROAD_EVERY)
+        if self.heartbeat_count.is_multiple_of(HEARTBEATS_PER_OTHER_ZONE)
             && let Some(name) = self.members.anyone_abroad(&mut self.rng)
         {
             self.send(name, Message::Heartbeat { t: Vec::new(), v });
         }
     }
 
-    /// Finds out who is alive and who dispatches what, and acts on changes. Cheap when nobody came
-    /// or went.
+    /// Updates the live boxes and the dispatcher of each pool, and acts on changes. Cheap when the
+    /// set of live boxes is unchanged.
     pub(super) fn refresh_roles(&mut self, now: Duration) {
-        let changed = self.note_members(now);
+        let changed = self.update_live_boxes(now);
         if !changed && !self.roles_stale {
             return;
         }
         self.roles_stale = false;
         let pools: Vec<PoolName> = self.cfg.catalog.pools.iter().map(|p| p.name.clone()).collect();
         for pool in pools {
-            let owner = self.members.owner(&pool, now).clone();
-            let before = self.owners.insert(pool.clone(), owner.clone());
-            if before.as_ref() != Some(&owner) {
-                self.owner_changed(&pool, before, &owner, now);
+            let dispatcher = self.members.owner(&pool, now).clone();
+            let previous = self.dispatchers.insert(pool.clone(), dispatcher.clone());
+            if previous.as_ref() != Some(&dispatcher) {
+                self.dispatcher_changed(&pool, previous, &dispatcher, now);
             }
         }
         let cfg = self.cfg.clone();
-        self.owners.retain(|name, _| cfg.pool(name).is_some());
+        self.dispatchers.retain(|name, _| cfg.pool(name).is_some());
     }
 
-    /// The dispatcher or the copy of a pool on this box, made when it is first needed.
-    pub(super) fn pool_mut(&mut self, name: &PoolName) -> Option<&mut Pool> {
+    /// The dispatcher or standby copy of a pool on this box, created on first use.
+    pub(super) fn pool_or_insert(&mut self, name: &PoolName) -> Option<&mut Pool> {
         if !self.pools.contains_key(name) {
-            let cell = CellId { name: self.id.name.clone(), incarnation: self.next_cell };
-            self.next_cell += 1;
-            let mut pool = Pool::new(name, &self.id.zone, cell, self.cfg.clone(), self.tuning)?;
-            pool.upstreams_mut().list_leaving(&self.listed_leaving);
+            let cell = CellId {
+                name: self.identity.name.clone(),
+                incarnation: self.next_replica_incarnation,
+            };
+            self.next_replica_incarnation += 1;
+            let mut pool =
+                Pool::new(name, &self.identity.zone, cell, self.cfg.clone(), self.tuning)?;
+            pool.upstreams_mut().list_leaving(&self.leaving_boxes);
             self.pools.insert(name.clone(), pool);
         }
         self.pools.get_mut(name)
     }
 
-    fn owner_changed(
+    fn dispatcher_changed(
         &mut self,
         pool: &PoolName,
-        before: Option<BoxName>,
-        owner: &BoxName,
+        previous: Option<BoxName>,
+        dispatcher: &BoxName,
         now: Duration,
     ) {
-        let mine = *owner == self.id.name;
-        let was_mine = before.as_ref() == Some(&self.id.name);
-        if mine || was_mine {
-            let change = Change::Role { pool: pool.clone(), dispatcher: owner.clone(), mine };
-            self.out.push(Output::LogChange(change));
-        }
-        if was_mine && let Some(old) = self.pools.remove(pool) {
+        let is_local = *dispatcher == self.identity.name;
+        let was_local = previous.as_ref() == Some(&self.identity.name);
+        if is_local || was_local {
+            let change =
+                Change::Dispatcher { pool: pool.clone(), dispatcher: dispatcher.clone(), is_local };
+            self.outputs.push(Output::LogChange(change));
+        }
+        if was_local && let Some(old) = self.pools.remove(pool) {
             for message in old.hand_over(now) {
-                self.send(owner.clone(), message);
+                self.send(dispatcher.clone(), message);
             }
         }
-        if mine && let Some(pool) = self.pool_mut(pool) {
+        if is_local && let Some(pool) = self.pool_or_insert(pool) {
             pool.take_over(now);
         }
-        if let Some(before) = before {
-            self.hand_grants_over(pool, &before, owner);
+        if let Some(previous) = previous {
+            self.transfer_grants(pool, &previous, dispatcher);
         }
-        self.register_again(pool, now);
+        self.reregister_waiting(pool, now);
     }
 
-    /// Tells a new dispatcher of the grants that its predecessor gave to this router.
-    fn hand_grants_over(&mut self, pool: &PoolName, before: &BoxName, owner: &BoxName) {
+    /// Reports to a new dispatcher the grants that its predecessor gave to this router.
+    fn transfer_grants(&mut self, pool: &PoolName, previous: &BoxName, dispatcher: &BoxName) {
         let mut r = Vec::new();
         for running in self.running.values_mut() {
-            if running.ticket.pool == *pool && running.grant.dispatcher == *before {
-                running.grant.dispatcher = owner.clone();
+            if running.ticket.pool == *pool && running.grant.dispatcher == *previous {
+                running.grant.dispatcher = dispatcher.clone();
                 r.push(Running {
                     grant: running.grant.id,
                     workspace: running.ticket.workspace.clone(),
@@ -112,16 +117,20 @@
         }
         r.sort_by_key(|r| r.grant);
         if !r.is_empty() {
-            self.send(owner.clone(), Message::Running { p: pool.clone(), b: BoxName::none(), r });
+            self.send(
+                dispatcher.clone(),
+                Message::Running { p: pool.clone(), b: BoxName::none(), r },
+            );
         }
     }
 
-    fn register_again(&mut self, pool: &PoolName, now: Duration) {
+    /// Registers the waiting tickets of a pool with its new dispatcher.
+    fn reregister_waiting(&mut self, pool: &PoolName, now: Duration) {
         let mut tickets: Vec<Ticket> = self
             .waiting
             .values()
             .filter(|w| w.ticket.pool == *pool)
-            .map(|w| w.renewed(now))
+            .map(|w| w.with_remaining_deadline(now))
             .collect();
         tickets.sort_by_key(|t| t.id);
         for ticket in tickets {
@@ -129,40 +138,41 @@
         }
     }
 
-    /// Notes who is alive; tells whether that has changed.
-    fn note_members(&mut self, now: Duration) -> bool {
+    /// Updates the set of live boxes; returns whether it changed.
+    fn update_live_boxes(&mut self, now: Duration) -> bool {
         let live: Vec<BoxName> = self.members.live(now).cloned().collect();
-        let changed = live != self.live;
+        let changed = live != self.live_boxes;
         if changed {
-            let gone: Vec<BoxName> =
-                self.live.iter().filter(|n| !live.contains(n)).cloned().collect();
-            let fresh: Vec<BoxName> =
-                live.iter().filter(|n| !self.live.contains(n)).cloned().collect();
-            self.live = live;
-            for name in gone {
-                self.out.push(Output::LogChange(Change::Member { name, live: false }));
+            let removed: Vec<BoxName> =
+                self.live_boxes.iter().filter(|n| !live.contains(n)).cloned().collect();
+            let added: Vec<BoxName> =
+                live.iter().filter(|n| !self.live_boxes.contains(n)).cloned().collect();
+            self.live_boxes = live;
+            for name in removed {
+                self.outputs.push(Output::LogChange(Change::Member { name, live: false }));
             }
-            for name in fresh {
-                self.out.push(Output::LogChange(Change::Member { name, live: true }));
+            for name in added {
+                self.outputs.push(Output::LogChange(Change::Member { name, live: true }));
             }
         }
         for name in self.members.departed(now) {
-            self.forget_router(&name, now);
+            self.release_router(&name, now);
         }
         changed
     }
 
-    /// Notes which start of a box was heard; a new one has forgotten what the old one asked for.
-    pub(super) fn note_incarnation(&mut self, name: &BoxName, now: Duration) {
+    /// Records the incarnation of a box. A new incarnation has lost the requests of the previous
+    /// one, so what those held is released.
+    pub(super) fn update_incarnation(&mut self, name: &BoxName, now: Duration) {
         let Some(incarnation) = self.members.incarnation(name) else { return };
-        let before = self.incarnations.insert(name.clone(), incarnation);
-        if before.is_some_and(|b| b != incarnation) {
-            self.forget_router(name, now);
+        let previous = self.incarnations.insert(name.clone(), incarnation);
+        if previous.is_some_and(|b| b != incarnation) {
+            self.release_router(name, now);
         }
     }
 
-    /// Frees what a router held that is gone.
-    pub(super) fn forget_router(&mut self, name: &BoxName, now: Duration) {
+    /// Releases what a router that is gone held.
+    pub(super) fn release_router(&mut self, name: &BoxName, now: Duration) {
         let mut actions = Vec::new();
         for pool in self.pools.values_mut() {
             pool.lost_router(name, now, &mut actions);
--- a/src/node/waiting.rs
+++ b/src/node/waiting.rs
@@ -1,5 +1,5 @@
-//! The requests that wait at this router: registered with their dispatcher, again when that may not
-//! know of them, and given up on when they can't be served in time.
+//! The requests that wait at this router. Each is registered with the dispatcher of its pool, again
+//! when the dispatcher may not know of it, and refused when it cannot be served in time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,39 +15,39 @@
 use crate::peer::message::Ticket;
 use crate::peer::message::TicketId;
 
-/// First wait before a ticket that got no grant is registered again; doubled each time.
-const RESEND_FIRST: Duration = Duration::from_secs(4);
+/// Initial wait before a ticket without a grant is registered again; doubled each time.
+const RESEND_BACKOFF_MIN: Duration = Duration::from_secs(4);
 
-/// Grants and their ends that are kept to be told again.
-const UNHEARD_MAX: usize = 4096;
+/// Most grants and completions kept for resending.
+const UNDELIVERED_MAX: usize = 4096;
 
-/// Wait before a ticket is registered again when messages to its dispatcher were lost.
-const RESEND_LOST: Duration = Duration::from_millis(300);
+/// Wait before tickets are registered again after messages to their dispatcher were lost.
+const RESEND_AFTER_LOSS: Duration = Duration::from_millis(300);
 
-/// How often those that wait are looked through for such as can't be served in time.
-const GIVE_UP_EVERY: Duration = Duration::from_millis(250);
+/// Interval at which waiting requests are checked for deadlines that cannot be met.
+const DEADLINE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Longest wait before a ticket is registered again.
-const RESEND_MAX: Duration = Duration::from_secs(16);
+const RESEND_BACKOFF_MAX: Duration = Duration::from_secs(16);
 
 #[derive(Debug)]
-pub(super) struct Waiting {
+pub(super) struct WaitingRequest {
     pub(super) ticket: Ticket,
     expires: Duration,
     resend_at: Duration,
     backoff: Duration,
 }
 
-/// A grant or its end that its receiver likely hasn't heard of.
+/// A grant or completion that its receiver likely didn't get.
 #[derive(Debug)]
-pub(super) struct Unheard {
+pub(super) struct UndeliveredMessage {
     at: Duration,
     to: BoxName,
     message: Message,
 }
 
 impl Node {
-    /// Lets a request wait to be placed, or says at once why it can't.
+    /// Queues a request for a grant, or returns why it cannot wait.
     pub fn submit(&mut self, ticket: Ticket, now: Duration) -> Result<(), Refusal> {
         if self.cfg.pool(&ticket.pool).is_none() {
             return Err(Refusal::NoPool);
@@ -55,135 +55,139 @@
         let limit = self.cfg.workspace(&ticket.workspace).map_or(0, |w| w.waiting_limit);
         let deadline = Duration::from_millis(ticket.deadline_ms);
         self.admission.admit(&ticket.workspace, &ticket.pool, limit, deadline)?;
-        let waiting = Waiting {
+        let waiting = WaitingRequest {
             expires: now + deadline,
-            resend_at: now + RESEND_FIRST,
-            backoff: RESEND_FIRST,
+            resend_at: now + RESEND_BACKOFF_MIN,
+            backoff: RESEND_BACKOFF_MIN,
             ticket: ticket.clone(),
         };
         self.waiting.insert(ticket.id, waiting);
         self.register(ticket);
-        self.settle(now);
+        self.deliver_loopback(now);
         Ok(())
     }
 
-    /// Takes back a request that waits: its caller left or its deadline passed. False when it
-    /// doesn't wait (any more).
+    /// Withdraws a waiting request whose caller left or whose deadline passed. Returns `false` if
+    /// it doesn't wait (any more).
     pub fn withdraw(&mut self, id: TicketId, now: Duration) -> bool {
-        let waited = self.take_back(id);
-        self.settle(now);
-        waited
+        let was_waiting = self.remove_waiting(id);
+        self.deliver_loopback(now);
+        was_waiting
     }
 
-    /// Notes that messages to a box were likely lost: what waits there is registered again soon, and
-    /// grants and their ends are told again, lest their slots stay taken.
+    /// Records that messages to a box were likely lost. Tickets registered there are registered
+    /// again soon; grants and completions are resent, since their slots would stay occupied
+    /// otherwise.
     pub fn messages_lost(&mut self, name: &BoxName, messages: Vec<Message>, now: Duration) {
-        let at = now + RESEND_LOST;
+        let at = now + RESEND_AFTER_LOSS;
         for waiting in self.waiting.values_mut() {
-            if self.owners.get(&waiting.ticket.pool) == Some(name) {
+            if self.dispatchers.get(&waiting.ticket.pool) == Some(name) {
                 waiting.resend_at = waiting.resend_at.min(at);
             }
         }
         for message in messages {
-            let matters = matches!(message, Message::Done(_) | Message::Grant(_));
-            if matters && self.unheard.len() < UNHEARD_MAX {
-                self.unheard.push_back(Unheard { at, to: name.clone(), message });
+            let resend = matches!(message, Message::Done(_) | Message::Grant(_));
+            if resend && self.undelivered.len() < UNDELIVERED_MAX {
+                self.undelivered.push_back(UndeliveredMessage { at, to: name.clone(), message });
             }
         }
     }
 
-    /// Forgets a ticket that waits, here and at its dispatcher.
-    fn take_back(&mut self, id: TicketId) -> bool {
+    /// Removes a waiting ticket, here and at its dispatcher.
+    fn remove_waiting(&mut self, id: TicketId) -> bool {
         let Some(waiting) = self.waiting.remove(&id) else { return false };
-        self.admission.leave(&waiting.ticket.workspace, &waiting.ticket.pool);
+        self.admission.remove(&waiting.ticket.workspace, &waiting.ticket.pool);
         let pool = waiting.ticket.pool;
-        if let Some(owner) = self.owners.get(&pool).cloned() {
-            self.send(owner, Message::Cancel { p: pool, i: id });
+        if let Some(dispatcher) = self.dispatchers.get(&pool).cloned() {
+            self.send(dispatcher, Message::Cancel { p: pool, i: id });
         }
         true
     }
 
-    /// Gives up on requests that can't be served in time, so that their callers hear of it early.
-    pub(super) fn give_up(&mut self, now: Duration) {
-        if now < self.gave_up + GIVE_UP_EVERY {
+    /// Refuses waiting requests whose deadline cannot be met, so that their callers are answered
+    /// early.
+    pub(super) fn refuse_short_deadlines(&mut self, now: Duration) {
+        if now < self.last_deadline_check + DEADLINE_CHECK_INTERVAL {
             return;
         }
-        self.gave_up = now;
-        for (ticket, refusal) in self.hopeless(now) {
-            self.take_back(ticket);
-            self.out.push(Output::Refuse { ticket, refusal });
+        self.last_deadline_check = now;
+        for (ticket, refusal) in self.deadline_refusals(now) {
+            self.remove_waiting(ticket);
+            self.outputs.push(Output::Refuse { ticket, refusal });
         }
     }
 
-    /// Those of the waiting that can't be served in time, each with the reason. Those that are given
-    /// up on are in nobody's way.
-    fn hopeless(&self, now: Duration) -> Vec<(TicketId, Refusal)> {
-        type Lane<'a> = (&'a WorkspaceName, &'a PoolName);
-        let mut lanes: BTreeMap<Lane, Vec<(Class, TicketId, Duration)>> = BTreeMap::new();
+    /// The waiting requests whose deadline cannot be met, each with its refusal. Refused requests
+    /// do not count as ahead of others.
+    fn deadline_refusals(&self, now: Duration) -> Vec<(TicketId, Refusal)> {
+        type QueueKey<'a> = (&'a WorkspaceName, &'a PoolName);
+        let mut queues: BTreeMap<QueueKey, Vec<(Class, TicketId, Duration)>> = BTreeMap::new();
         for (&id, waiting) in &self.waiting {
-            let (ticket, left) = (&waiting.ticket, waiting.expires.saturating_sub(now));
-            let lane = lanes.entry((&ticket.workspace, &ticket.pool)).or_default();
-            lane.push((ticket.class, id, left));
+            let (ticket, remaining) = (&waiting.ticket, waiting.expires.saturating_sub(now));
+            let queue = queues.entry((&ticket.workspace, &ticket.pool)).or_default();
+            queue.push((ticket.class, id, remaining));
         }
-        let mut hopeless = Vec::new();
-        for ((workspace, pool), mut lane) in lanes {
-            lane.sort();
+        let mut refusals = Vec::new();
+        for ((workspace, pool), mut queue) in queues {
+            queue.sort();
             let mut ahead = 0;
-            for (_, id, left) in lane {
-                match self.admission.refuse_hopeless(workspace, pool, ahead, left) {
-                    Some(refusal) => hopeless.push((id, refusal)),
+            for (_, id, remaining) in queue {
+                match self.admission.check_deadline(workspace, pool, ahead, remaining) {
+                    Some(refusal) => refusals.push((id, refusal)),
                     None => ahead += 1,
                 }
             }
         }
-        hopeless
+        refusals
     }
 
     /// Registers a ticket with the dispatcher of its pool.
     pub(super) fn register(&mut self, ticket: Ticket) {
-        if let Some(owner) = self.owners.get(&ticket.pool).cloned() {
-            // The receiver knows from whom it comes, and whose the service is.
+        if let Some(dispatcher) = self.dispatchers.get(&ticket.pool).cloned() {
+            // The receiver fills in the sender as router, and the pool from the service.
             let (router, pool) = (BoxName::none(), PoolName::none());
-            self.send(owner, Message::Ticket(Ticket { router, pool, ..ticket }));
+            self.send(dispatcher, Message::Ticket(Ticket { router, pool, ..ticket }));
         }
     }
 
-    pub(super) fn resend(&mut self, now: Duration) {
+    /// Registers overdue tickets again and resends undelivered messages.
+    pub(super) fn resend_due(&mut self, now: Duration) {
         let mut due = Vec::new();
         for waiting in self.waiting.values_mut() {
             if waiting.resend_at <= now {
-                waiting.backoff = (waiting.backoff * 2).min(RESEND_MAX);
+                waiting.backoff = (waiting.backoff * 2).min(RESEND_BACKOFF_MAX);
                 waiting.resend_at = now + waiting.backoff;
-                due.push(waiting.renewed(now));
+                due.push(waiting.with_remaining_deadline(now));
             }
         }
         due.sort_by_key(|t| t.id);
         for ticket in due {
             self.register(ticket);
         }
-        while self.unheard.front().is_some_and(|u| u.at <= now) {
-            let unheard = self.unheard.pop_front().expect("just seen");
-            let to = match &unheard.message {
-                Message::Done(done) => self.dispatcher_now(&unheard.to, &done.pool),
-                _ => unheard.to,
+        while self.undelivered.front().is_some_and(|u| u.at <= now) {
+            let undelivered = self.undelivered.pop_front().expect("just seen");
+            let to = match &undelivered.message {
+                Message::Done(done) => self.current_dispatcher(&undelivered.to, &done.pool),
+                _ => undelivered.to,
             };
-            self.send(to, unheard.message);
+            self.send(to, undelivered.message);
         }
     }
 
-    /// Who should hear what a dispatcher didn't: itself, or in this zone whoever followed it.
-    fn dispatcher_now(&self, before: &BoxName, pool: &str) -> BoxName {
-        match self.owners.get(pool) {
-            Some(owner) if self.members.is_of_zone(before) => owner.clone(),
-            _ => before.clone(),
+    /// The box to which a message for a dispatcher is resent: the same box or, in this zone, the
+    /// pool's current dispatcher.
+    fn current_dispatcher(&self, previous: &BoxName, pool: &str) -> BoxName {
+        match self.dispatchers.get(pool) {
+            Some(dispatcher) if self.members.is_of_zone(previous) => dispatcher.clone(),
+            _ => previous.clone(),
         }
     }
 }
 
-impl Waiting {
-    /// The ticket with what is left of its time.
-    pub(super) fn renewed(&self, now: Duration) -> Ticket {
-        let left = self.expires.saturating_sub(now);
-        Ticket { deadline_ms: left.as_millis() as u64, ..self.ticket.clone() }
+impl WaitingRequest {
+    /// The ticket with its remaining deadline.
+    pub(super) fn with_remaining_deadline(&self, now: Duration) -> Ticket {
+        let remaining = self.expires.saturating_sub(now);
+        Ticket { deadline_ms: remaining.as_millis() as u64, ..self.ticket.clone() }
     }
 }
--- a/src/router/hub.rs
+++ b/src/router/hub.rs
@@ -172,8 +172,8 @@
     }
 
     /// Takes a retry out of a pool's budget, and counts it.
-    pub fn may_retry(&self, pool: &PoolName) -> bool {
-        let allowed = self.with(|node, _| node.may_retry(pool));
+    pub fn try_take_retry(&self, pool: &PoolName) -> bool {
+        let allowed = self.with(|node, _| node.try_take_retry(pool));
         if allowed {
             self.metrics.retries.add(1, &[KeyValue::new("pool", pool.to_string())]);
         }
@@ -260,13 +260,13 @@
 
     fn changed(&self, change: &Change) {
         match change {
-            Change::Role { pool, dispatcher, mine } => {
-                info!(self.log, "dispatcher"; "pool" => %pool, "is" => %dispatcher, "mine" => mine);
+            Change::Dispatcher { pool, dispatcher, is_local } => {
+                info!(self.log, "dispatcher"; "pool" => %pool, "is" => %dispatcher, "mine" => is_local);
             }
-            Change::Configured { revision } => {
+            Change::ConfigurationApplied { revision } => {
                 info!(self.log, "configuration in force"; "revision" => revision);
             }
-            Change::BadConfiguration { revision, from, fault } => {
+            Change::InvalidConfiguration { revision, from, fault } => {
                 warn!(self.log, "configuration refused";
                     "revision" => revision, "from" => %from, "fault" => fault);
             }
--- a/src/router/request_handler.rs
+++ b/src/router/request_handler.rs
@@ -121,7 +121,8 @@
             if cause.outcome() != Outcome::NotRun {
                 self.failed = Some(cause.clone());
             }
-            if TRIES_MAX <= self.tale.attempts.len() || !self.service.hub.may_retry(&self.ask.pool)
+            if TRIES_MAX <= self.tale.attempts.len()
+                || !self.service.hub.try_take_retry(&self.ask.pool)
             {
                 return Err(cause);
             }
--- a/src/router/response_body.rs
+++ b/src/router/response_body.rs
@@ -165,7 +165,7 @@
     fn go_on(&mut self) -> bool {
         let Some(resume) = &mut self.resume else { return false };
         // A whole answer needs nothing more.
-        if self.placed.ended || !self.placed.hub.may_retry(resume.pool()) {
+        if self.placed.ended || !self.placed.hub.try_take_retry(resume.pool()) {
             return false;
         }
         let Some(incoming) = resume.again() else { return false };
