--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -15,7 +15,7 @@
 
 use fleet::Judge;
 use frostdyke::config::Revision;
-use frostdyke::peer::member::Gossip;
+use frostdyke::peer::member::GossipSettings;
 use frostdyke::peer::member::ListedBox;
 use frostdyke::peer::member::Members;
 use pool::Backlog;
@@ -76,22 +76,22 @@
 fn heartbeat(n: usize) -> f64 {
     let listed: Vec<ListedBox> = (0..n).map(listed).collect();
     let mut members: Vec<Members> = (0..n)
-        .map(|i| Members::new(&listed[i].name, &"zone".into(), 1, Gossip::default()))
+        .map(|i| Members::new(&listed[i].name, &"zone".into(), 1, GossipSettings::default()))
         .collect();
     let mut rng = SmallRng::seed_from_u64(1);
     let mut now = Duration::from_secs(1);
     for m in &mut members {
-        m.list(&listed, now);
+        m.update_box_list(&listed, now);
     }
     let mut turn = 0;
     let mut beat = || {
         let i = turn % n;
         now += Duration::from_millis(2000) / n as u32;
         turn += 1;
-        if let Some((table, to)) = members[i].beat(now, &mut rng) {
+        if let Some((table, to)) = members[i].next_heartbeat(now, &mut rng) {
             for name in to {
                 let to = listed.iter().position(|l| l.name == name).expect("it is listed");
-                members[to].hear(&table, now);
+                members[to].receive(&table, now);
             }
         }
     };
--- a/benches/capacity/pool.rs
+++ b/benches/capacity/pool.rs
@@ -6,12 +6,12 @@
 use frostdyke::config::Catalog;
 use frostdyke::config::Revision;
 use frostdyke::config::Workspace;
-use frostdyke::dispatch::ledger::CellId;
+use frostdyke::dispatch::ledger::ReplicaId;
 use frostdyke::dispatch::pool::Action;
-use frostdyke::dispatch::pool::Pool;
+use frostdyke::dispatch::pool::PoolDispatcher;
 use frostdyke::dispatch::pool::Tuning;
 use frostdyke::peer::message::Class;
-use frostdyke::peer::message::Done;
+use frostdyke::peer::message::CompletionReport;
 use frostdyke::peer::message::Ending;
 use frostdyke::peer::message::Grant;
 use frostdyke::peer::message::Message;
@@ -34,7 +34,7 @@
 
 /// A dispatcher all of whose slots are taken and that has a ticket of every workspace waiting.
 pub struct Backlog {
-    pool: Pool,
+    pool: PoolDispatcher,
     workspaces: usize,
     next: u64,
     now: Duration,
@@ -45,9 +45,9 @@
 impl Backlog {
     pub fn new(workspaces: usize, engines: usize) -> Backlog {
         let cfg = Revision::new(1, configuration(workspaces, engines)).expect("it is valid");
-        let cell = CellId { name: "box".into(), incarnation: 1 };
+        let cell = ReplicaId { name: "box".into(), incarnation: 1 };
         let tuning = Tuning::default();
-        let pool = Pool::new(&"llm".into(), &"zone".into(), cell, Arc::new(cfg), tuning);
+        let pool = PoolDispatcher::new(&"llm".into(), &"zone".into(), cell, Arc::new(cfg), tuning);
         let pool = pool.expect("it is in the configuration");
         let now = Duration::from_secs(100);
         let mut backlog =
@@ -84,8 +84,13 @@
         let at = self.next as usize % self.running.len();
         let grant = self.running.swap_remove(at);
         let cost = 50 + self.next % 100;
-        let done = Done { pool: "llm".into(), grant: grant.id, cost, ending: Ending::Answered };
-        self.pool.done(&done, self.now, &mut self.out);
+        let done = CompletionReport {
+            pool: "llm".into(),
+            grant: grant.id,
+            cost,
+            ending: Ending::Answered,
+        };
+        self.pool.handle_completion(&done, self.now, &mut self.out);
         self.submit();
     }
 
--- a/benches/claims.rs
+++ b/benches/claims.rs
@@ -7,10 +7,10 @@
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
 
-use frostdyke::claims::Claim;
+use frostdyke::claims::ClaimRequest;
+use frostdyke::claims::ClaimTransport;
 use frostdyke::claims::Claims;
-use frostdyke::claims::Courier;
-use frostdyke::claims::Key;
+use frostdyke::claims::IdempotencyKey;
 use frostdyke::load;
 use frostdyke::names::BoxName;
 use frostdyke::platform::client::Client;
@@ -28,12 +28,12 @@
 /// Writes all claims itself.
 struct Alone;
 
-impl Courier for Alone {
+impl ClaimTransport for Alone {
     fn writer_of(&self, _: u64) -> Option<BoxName> {
         None
     }
 
-    fn send(&self, _: &BoxName, _: Claim) {}
+    fn send(&self, _: &BoxName, _: ClaimRequest) {}
 }
 
 fn main() {
@@ -66,9 +66,9 @@
     let mut running = tokio::task::JoinSet::new();
     for n in 0..HISTORY {
         let made = Timestamp::from_unix(NoContext, now - n * 590 / HISTORY, 0);
-        let key = Key::new("alpha", &Uuid::new_v7(made).to_string(), SystemTime::now());
+        let key = IdempotencyKey::new("alpha", &Uuid::new_v7(made).to_string(), SystemTime::now());
         let (key, claims) = (key.expect("it is young"), claims.clone());
-        running.spawn(async move { claims.take(key, n + 1).await.is_ok() });
+        running.spawn(async move { claims.acquire(key, n + 1).await.is_ok() });
         if running.len() == 4000 {
             while running.join_next().await.is_some() {}
         }
@@ -80,8 +80,8 @@
         interval.tick().await;
         let claims = claims.clone();
         running.spawn(async move {
-            let key = Key::new("alpha", &Uuid::now_v7().to_string(), SystemTime::now());
-            claims.take(key.expect("it is new"), HISTORY + n + 1).await.is_ok()
+            let key = IdempotencyKey::new("alpha", &Uuid::now_v7().to_string(), SystemTime::now());
+            claims.acquire(key.expect("it is new"), HISTORY + n + 1).await.is_ok()
         });
     }
     let taken = running.join_all().await.iter().filter(|taken| **taken).count();
@@ -105,10 +105,10 @@
         let claims = claims.clone();
         running.spawn(async move {
             let text = Uuid::now_v7().to_string();
-            let key = Key::new("alpha", &text, SystemTime::now()).expect("it is new");
+            let key = IdempotencyKey::new("alpha", &text, SystemTime::now()).expect("it is new");
             let begun = Instant::now();
-            let attempt = claims.take(key, n + 1).await.expect("nobody else has it");
-            claims.settle(key, attempt, true);
+            let attempt = claims.acquire(key, n + 1).await.expect("nobody else has it");
+            claims.resolve(key, attempt, true);
             begun.elapsed()
         });
     }
--- a/benches/fairness.rs
+++ b/benches/fairness.rs
@@ -89,7 +89,7 @@
 fn bound(setup: &Setup) -> f64 {
     let slots = f64::from(setup.slots) * (setup.zones * setup.engines) as f64;
     let rate = slots / setup.token.as_secs_f64();
-    2.0 * LARGEST as f64 + rate * setup.tuning.exchange_every.as_secs_f64()
+    2.0 * LARGEST as f64 + rate * setup.tuning.exchange_interval.as_secs_f64()
 }
 
 fn sweep(base: &Setup) {
@@ -98,7 +98,7 @@
         for interval in [50, 100, 250, 500, 1000] {
             let mut setup = base.clone();
             setup.tuning.pull_margin = Some(margin);
-            setup.tuning.exchange_every = Duration::from_millis(interval);
+            setup.tuning.exchange_interval = Duration::from_millis(interval);
             let f = fleet::run(Policy::Fleet, Scene::Uneven, &setup);
             let (gap, util, bytes) = (f.gap, f.utilisation, f.bytes_per_request);
             println!("{margin} {interval} {gap:.0} {util:.4} {bytes:.0}");
--- a/benches/fleet/mod.rs
+++ b/benches/fleet/mod.rs
@@ -96,7 +96,7 @@
         setup.zones = base.zones * base.boxes;
         setup.boxes = 1;
         setup.engines = base.engines / base.boxes;
-        setup.tuning.exchange = false;
+        setup.tuning.exchange_enabled = false;
         setup.fifo = policy == Policy::FifoPerRouter;
     }
     let mut rig = Rig::new(setup.clone());
--- a/src/claims/mod.rs
+++ b/src/claims/mod.rs
@@ -10,7 +10,7 @@
 //! over a ring of objects by the minute in which their keys were made: a commit writes the keys of a
 //! minute, not of all the window, and an object is forgotten as a whole when its turn comes again.
 
-pub mod book;
+pub mod records;
 pub mod writer;
 
 use std::collections::HashMap;
@@ -55,42 +55,42 @@
 
 /// The key of a request that must not be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Key {
+pub struct IdempotencyKey {
     hash: u128,
     made: u64,
 }
 
 /// Why a text can't be a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum KeyFault {
+pub enum KeyError {
     /// It isn't a UUID of version 7.
     #[error("must be a UUID of version 7")]
-    Kind,
+    NotUuidV7,
     /// It claims to be made in the future.
     #[error("was made in the future")]
-    Future,
+    MadeInFuture,
     /// It is older than the window.
     #[error("is too old to tell whether the request has run")]
-    Old,
+    TooOld,
 }
 
-impl Key {
+impl IdempotencyKey {
     /// Reads the key that a workspace's caller sent. Keys of different workspaces never meet.
-    pub fn new(workspace: &str, text: &str, now: SystemTime) -> Result<Key, KeyFault> {
-        let uuid = Uuid::parse_str(text).map_err(|_| KeyFault::Kind)?;
+    pub fn new(workspace: &str, text: &str, now: SystemTime) -> Result<IdempotencyKey, KeyError> {
+        let uuid = Uuid::parse_str(text).map_err(|_| KeyError::NotUuidV7)?;
         let made = match (uuid.get_version_num(), uuid.get_timestamp()) {
             (7, Some(made)) => made.to_unix().0,
-            _ => return Err(KeyFault::Kind),
+            _ => return Err(KeyError::NotUuidV7),
         };
         let now = unix(now);
         if now + SKEW.as_secs() < made {
-            return Err(KeyFault::Future);
+            return Err(KeyError::MadeInFuture);
         }
         if made + WINDOW.as_secs() < now {
-            return Err(KeyFault::Old);
+            return Err(KeyError::TooOld);
         }
         let salt = u128::from(xxh3_64(workspace.as_bytes()));
-        Ok(Key { hash: uuid.as_u128() ^ (salt << 64 | salt), made })
+        Ok(IdempotencyKey { hash: uuid.as_u128() ^ (salt << 64 | salt), made })
     }
 
     /// The shard whose object holds its record.
@@ -101,7 +101,7 @@
 
 /// What is asked of a shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Claim {
+pub struct ClaimRequest {
     /// The key, in hexadecimal.
     #[serde(rename = "k")]
     pub key: String,
@@ -113,18 +113,18 @@
     pub attempt: u64,
     /// What to do.
     #[serde(rename = "o")]
-    pub op: Op,
+    pub op: ClaimOp,
 }
 
 /// What to do with a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Op {
+pub enum ClaimOp {
     /// Make it, unless there is one.
     #[serde(rename = "c")]
-    Take,
+    Acquire,
     /// The request was answered.
     #[serde(rename = "r")]
-    Ran,
+    MarkRan,
     /// The request did not run: remove it.
     #[serde(rename = "x")]
     Release,
@@ -132,16 +132,16 @@
 
 /// What came of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum ClaimOutcome {
     /// The request may be sent, by this attempt only.
     #[serde(rename = "y")]
-    Taken,
+    Acquired,
     /// Another attempt was answered.
     #[serde(rename = "r")]
     Ran,
     /// Another attempt has it; it runs, or nobody knows.
     #[serde(rename = "u")]
-    Elsewhere,
+    HeldByOther,
     /// The store can't be reached.
     #[serde(rename = "n")]
     Unavailable,
@@ -151,24 +151,24 @@
 }
 
 /// Sends claims to another box; the answer comes back through `Claims::answered`.
-pub trait Courier: Send + Sync {
+pub trait ClaimTransport: Send + Sync {
     /// The box that usually writes for a shard; nothing for this one.
     fn writer_of(&self, shard: u64) -> Option<BoxName>;
 
     /// Sends a claim.
-    fn send(&self, to: &BoxName, claim: Claim);
+    fn send(&self, to: &BoxName, claim: ClaimRequest);
 }
 
 /// The claims of one router.
 pub struct Claims {
     writer: Writer,
-    courier: Box<dyn Courier>,
-    pending: Mutex<HashMap<u64, oneshot::Sender<Verdict>>>,
+    courier: Box<dyn ClaimTransport>,
+    pending: Mutex<HashMap<u64, oneshot::Sender<ClaimOutcome>>>,
 }
 
 impl Claims {
     /// Claims that are written to `objects` here, or through `courier` elsewhere.
-    pub fn new(objects: Arc<dyn Objects>, courier: Box<dyn Courier>) -> Arc<Claims> {
+    pub fn new(objects: Arc<dyn Objects>, courier: Box<dyn ClaimTransport>) -> Arc<Claims> {
         let pending = Mutex::default();
         Arc::new(Claims { writer: Writer::start(objects), courier, pending })
     }
@@ -178,12 +178,12 @@
     ///
     /// The box that usually writes may not answer, and write all the same. So this one then claims
     /// for another attempt: whichever is written first has the key, and the other is released.
-    pub async fn take(&self, key: Key, attempt: u64) -> Result<u64, Verdict> {
+    pub async fn acquire(&self, key: IdempotencyKey, attempt: u64) -> Result<u64, ClaimOutcome> {
         if let Some(to) = self.courier.writer_of(key.shard()) {
-            match self.ask(&to, claim(key, attempt, Op::Take)).await {
-                Some(Verdict::Taken) => return Ok(attempt),
-                Some(Verdict::Unavailable) | None => {
-                    self.courier.send(&to, claim(key, attempt, Op::Release));
+            match self.ask(&to, claim(key, attempt, ClaimOp::Acquire)).await {
+                Some(ClaimOutcome::Acquired) => return Ok(attempt),
+                Some(ClaimOutcome::Unavailable) | None => {
+                    self.courier.send(&to, claim(key, attempt, ClaimOp::Release));
                 }
                 Some(verdict) => return Err(verdict),
             }
@@ -194,15 +194,15 @@
             // The request may have stopped waiting; its record is then released.
             let _ = tx.send(verdict);
         };
-        self.writer.submit(claim(key, attempt, Op::Take), Box::new(answer));
+        self.writer.submit(claim(key, attempt, ClaimOp::Acquire), Box::new(answer));
         match rx.await {
-            Ok(Verdict::Taken) => Ok(attempt),
+            Ok(ClaimOutcome::Acquired) => Ok(attempt),
             Ok(verdict) => Err(verdict),
-            Err(_) => Err(Verdict::Unavailable),
+            Err(_) => Err(ClaimOutcome::Unavailable),
         }
     }
 
-    async fn ask(&self, to: &BoxName, claim: Claim) -> Option<Verdict> {
+    async fn ask(&self, to: &BoxName, claim: ClaimRequest) -> Option<ClaimOutcome> {
         let attempt = claim.attempt;
         let (tx, rx) = oneshot::channel();
         self.pending.lock().expect("no panic under lock").insert(attempt, tx);
@@ -214,8 +214,8 @@
 
     /// Tells that the request of an attempt was answered, or that it did not run. Kept until the
     /// store has taken it in.
-    pub fn settle(&self, key: Key, attempt: u64, ran: bool) {
-        let op = if ran { Op::Ran } else { Op::Release };
+    pub fn resolve(&self, key: IdempotencyKey, attempt: u64, ran: bool) {
+        let op = if ran { ClaimOp::MarkRan } else { ClaimOp::Release };
         let claim = claim(key, attempt, op);
         match self.courier.writer_of(key.shard()) {
             // What gets lost on the way leaves a record that expires.
@@ -225,12 +225,16 @@
     }
 
     /// Takes in a claim of another box; `answer` is called with its verdict.
-    pub fn asked(&self, claim: Claim, answer: impl FnOnce(Verdict) + Send + 'static) {
+    pub fn handle_request(
+        &self,
+        claim: ClaimRequest,
+        answer: impl FnOnce(ClaimOutcome) + Send + 'static,
+    ) {
         self.writer.submit(claim, Box::new(answer));
     }
 
     /// Takes in another box's answer.
-    pub fn answered(&self, attempt: u64, verdict: Verdict) {
+    pub fn handle_response(&self, attempt: u64, verdict: ClaimOutcome) {
         let tx = self.pending.lock().expect("no panic under lock").remove(&attempt);
         if let Some(tx) = tx {
             // The request may have stopped waiting just now.
@@ -239,8 +243,8 @@
     }
 
     /// Whether keys are refused since the store can't be reached.
-    pub fn is_down(&self) -> bool {
-        self.writer.is_down()
+    pub fn is_store_down(&self) -> bool {
+        self.writer.is_store_down()
     }
 
     /// Conditional updates tried so far.
@@ -251,17 +255,17 @@
 
 /// The object that holds a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Place {
+pub struct ClaimObject {
     shard: u64,
     slot: u64,
 }
 
-impl Place {
+impl ClaimObject {
     /// Where the record of a claim is; nothing for a claim that names no key.
-    pub fn of(claim: &Claim) -> Option<Place> {
+    pub fn for_request(claim: &ClaimRequest) -> Option<ClaimObject> {
         let hash = u128::from_str_radix(&claim.key, 16).ok()?;
         let shard = xxh3_64(&hash.to_le_bytes()) % SHARDS;
-        Some(Place { shard, slot: claim.minute() % RING })
+        Some(ClaimObject { shard, slot: claim.minute() % RING })
     }
 
     /// The name of the object.
@@ -270,15 +274,15 @@
     }
 }
 
-impl Claim {
+impl ClaimRequest {
     /// The minute of Unix time in which the key was made.
     pub fn minute(&self) -> u64 {
         self.made / MINUTE
     }
 }
 
-fn claim(key: Key, attempt: u64, op: Op) -> Claim {
-    Claim { key: format!("{:x}", key.hash), made: key.made, attempt, op }
+fn claim(key: IdempotencyKey, attempt: u64, op: ClaimOp) -> ClaimRequest {
+    ClaimRequest { key: format!("{:x}", key.hash), made: key.made, attempt, op }
 }
 
 /// Seconds of Unix time.
--- a/src/claims/writer.rs
+++ b/src/claims/writer.rs
@@ -15,11 +15,11 @@
 use crossbeam::channel::Receiver;
 use crossbeam::channel::Sender;
 
-use crate::claims::Claim;
-use crate::claims::Op;
-use crate::claims::Place;
-use crate::claims::Verdict;
-use crate::claims::book::Book;
+use crate::claims::ClaimObject;
+use crate::claims::ClaimOp;
+use crate::claims::ClaimOutcome;
+use crate::claims::ClaimRequest;
+use crate::claims::records::ClaimRecords;
 use crate::claims::unix;
 use crate::platform::Error;
 use crate::platform::Objects;
@@ -50,7 +50,7 @@
 const GOSSIP_INTERVAL: u64 = 4;
 
 /// Called with the verdict on a claim.
-pub type Answer = Box<dyn FnOnce(Verdict) + Send>;
+pub type Answer = Box<dyn FnOnce(ClaimOutcome) + Send>;
 
 /// The writing side of the claims.
 pub struct Writer {
@@ -60,14 +60,14 @@
 }
 
 struct Pending {
-    claim: Claim,
+    claim: ClaimRequest,
     answer: Answer,
     since: Instant,
 }
 
 /// News for one object, and since when there is any.
 struct News {
-    claims: Vec<Claim>,
+    claims: Vec<ClaimRequest>,
     since: Instant,
 }
 
@@ -101,12 +101,12 @@
 
     /// Hands a claim over; doesn't block. While the store can't be reached, keys are refused here,
     /// so that nobody waits for a call to it.
-    pub fn submit(&self, claim: Claim, answer: Answer) {
-        if claim.op == Op::Take && self.is_down() {
-            return answer(Verdict::Unavailable);
+    pub fn submit(&self, claim: ClaimRequest, answer: Answer) {
+        if claim.op == ClaimOp::Acquire && self.is_store_down() {
+            return answer(ClaimOutcome::Unavailable);
         }
         if let Err(e) = self.tx.try_send(Pending { claim, answer, since: Instant::now() }) {
-            (e.into_inner().answer)(Verdict::Unavailable);
+            (e.into_inner().answer)(ClaimOutcome::Unavailable);
         }
     }
 
@@ -116,7 +116,7 @@
     }
 
     /// Whether the store could not be reached when it was last asked.
-    pub fn is_down(&self) -> bool {
+    pub fn is_store_down(&self) -> bool {
         self.down.load(Ordering::Relaxed)
     }
 }
@@ -127,11 +127,11 @@
     writes: Arc<AtomicU64>,
     down: Arc<AtomicBool>,
     /// The objects as last seen, with their versions.
-    known: HashMap<Place, (u64, Book)>,
+    known: HashMap<ClaimObject, (u64, ClaimRecords)>,
     /// Claims that somebody waits for, by their object.
-    waiting: BTreeMap<Place, Vec<Pending>>,
+    waiting: BTreeMap<ClaimObject, Vec<Pending>>,
     /// News that nobody waits for, by their object.
-    lazy: BTreeMap<Place, News>,
+    lazy: BTreeMap<ClaimObject, News>,
     turns: u64,
     written: Option<Instant>,
     failed: Option<Instant>,
@@ -174,10 +174,10 @@
 
     /// Claims are answered; other news goes along with them.
     fn sort_in(&mut self, pending: Pending) {
-        let Some(place) = Place::of(&pending.claim) else {
-            return (pending.answer)(Verdict::Unavailable);
+        let Some(place) = ClaimObject::for_request(&pending.claim) else {
+            return (pending.answer)(ClaimOutcome::Unavailable);
         };
-        if pending.claim.op == Op::Take {
+        if pending.claim.op == ClaimOp::Acquire {
             self.waiting.entry(place).or_default().push(pending);
         } else {
             self.put_off(place, pending.claim);
@@ -185,7 +185,7 @@
     }
 
     /// Keeps news for the next commit of its object.
-    fn put_off(&mut self, place: Place, claim: Claim) {
+    fn put_off(&mut self, place: ClaimObject, claim: ClaimRequest) {
         let kept: usize = self.lazy.values().map(|news| news.claims.len()).sum();
         if kept < LAZY_MAX {
             self.lazy.entry(place).or_default().claims.push(claim);
@@ -195,7 +195,7 @@
     /// The object to write next: the one for which claims have waited longest in sum, so that a full
     /// one goes first and none waits for ever. Now and then, or when no claims wait, one with news
     /// that is overdue.
-    fn next_place(&mut self) -> Option<Place> {
+    fn next_place(&mut self) -> Option<ClaimObject> {
         let overdue = || {
             let oldest = self.lazy.iter().min_by_key(|(_, news)| news.since)?;
             (LAZY <= oldest.1.since.elapsed()).then_some(*oldest.0)
@@ -234,8 +234,8 @@
     }
 
     /// Commits claims and news of one object, and answers the claims.
-    fn commit(&mut self, place: Place, pending: Vec<Pending>, news: Vec<Claim>) {
-        let claims: Vec<Claim> = pending.iter().map(|p| p.claim.clone()).collect();
+    fn commit(&mut self, place: ClaimObject, pending: Vec<Pending>, news: Vec<ClaimRequest>) {
+        let claims: Vec<ClaimRequest> = pending.iter().map(|p| p.claim.clone()).collect();
         match self.update(place, &claims, &news) {
             Ok(verdicts) => {
                 for (pending, verdict) in pending.into_iter().zip(verdicts) {
@@ -246,7 +246,8 @@
                 self.note_store(true);
                 self.known.remove(&place);
                 // The claims may have been written all the same, though nothing will be sent.
-                let released = claims.into_iter().map(|c| Claim { op: Op::Release, ..c });
+                let released =
+                    claims.into_iter().map(|c| ClaimRequest { op: ClaimOp::Release, ..c });
                 for claim in released.chain(news) {
                     self.put_off(place, claim);
                 }
@@ -257,10 +258,10 @@
 
     fn update(
         &mut self,
-        place: Place,
-        claims: &[Claim],
-        news: &[Claim],
-    ) -> Result<Vec<Verdict>, Error> {
+        place: ClaimObject,
+        claims: &[ClaimRequest],
+        news: &[ClaimRequest],
+    ) -> Result<Vec<ClaimOutcome>, Error> {
         for _ in 0..TRIES_MAX {
             let (version, mut book) = match self.known.remove(&place) {
                 Some(known) => known,
@@ -295,15 +296,20 @@
         Err(Error::Unavailable("too many conflicts".to_owned()))
     }
 
-    fn read(&self, place: Place) -> Result<(u64, Book), Error> {
+    fn read(&self, place: ClaimObject) -> Result<(u64, ClaimRecords), Error> {
         let Some(object) = self.objects.get(&place.object())? else {
-            return Ok((0, Book::default()));
+            return Ok((0, ClaimRecords::default()));
         };
         let book = serde_json::from_slice(&object.value);
         book.map(|b| (object.version, b)).map_err(|e| Error::Unexpected(e.to_string()))
     }
 
-    fn write(&mut self, place: Place, book: &Book, version: u64) -> Result<u64, Error> {
+    fn write(
+        &mut self,
+        place: ClaimObject,
+        book: &ClaimRecords,
+        version: u64,
+    ) -> Result<u64, Error> {
         self.writes.fetch_add(1, Ordering::Relaxed);
         self.written = Some(Instant::now());
         let value = serde_json::to_vec(book).expect("records serialize");
@@ -313,6 +319,6 @@
 
 fn refuse(pending: Vec<Pending>) {
     for p in pending {
-        (p.answer)(Verdict::Unavailable);
+        (p.answer)(ClaimOutcome::Unavailable);
     }
 }
--- a/src/ctl/table.rs
+++ b/src/ctl/table.rs
@@ -6,7 +6,7 @@
 
 use crate::config::EngineState;
 use crate::controller::report::Report;
-use crate::dispatch::pool::Waits;
+use crate::dispatch::pool::WaitReason;
 use crate::operator::Shown;
 use crate::operator::fleet::Answer;
 use crate::operator::plan::Plan;
@@ -136,12 +136,14 @@
     out
 }
 
-fn why_waits(why: Waits) -> String {
+fn why_waits(why: WaitReason) -> String {
     match why {
-        Waits::RunningLimit { running } => format!("at its running limit of {running}"),
-        Waits::Slot { first: 0 } => "next when a slot is free".to_owned(),
-        Waits::Slot { first } => format!("no slot is free, {first} further behind go first"),
-        Waits::Turn { first } => format!("about to be served, {first} further behind go first"),
+        WaitReason::RunningLimit { running } => format!("at its running limit of {running}"),
+        WaitReason::Slot { first: 0 } => "next when a slot is free".to_owned(),
+        WaitReason::Slot { first } => format!("no slot is free, {first} further behind go first"),
+        WaitReason::Turn { first } => {
+            format!("about to be served, {first} further behind go first")
+        }
     }
 }
 
--- a/src/dispatch/ledger.rs
+++ b/src/dispatch/ledger.rs
@@ -22,7 +22,7 @@
 use crate::names::BoxName;
 use crate::names::WorkspaceName;
 use crate::names::ZoneName;
-use crate::peer::message::OtherCell;
+use crate::peer::message::RelayedCounters;
 
 /// Parts of one cost unit that virtual time is counted in.
 pub const PARTS: i64 = 1000;
@@ -36,7 +36,7 @@
 
 /// Names the cell of one dispatcher in one start of its box.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct CellId {
+pub struct ReplicaId {
     /// The dispatcher's box.
     #[serde(rename = "b")]
     pub name: BoxName,
@@ -45,12 +45,12 @@
     pub incarnation: u64,
 }
 
-/// One workspace's line of a cell, as dispatchers exchange it: the name, the service charged in
-/// this cell, the offset as the sender knows it, and how many tickets wait at the sender.
+/// One workspace's line of a replica, as dispatchers exchange it: the name, the service charged in
+/// this replica, the offset as the sender knows it, and how many tickets wait at the sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry(pub WorkspaceName, pub VirtualTime, pub VirtualTime, pub u32);
+pub struct CounterEntry(pub WorkspaceName, pub VirtualTime, pub VirtualTime, pub u32);
 
-impl Entry {
+impl CounterEntry {
     /// Whether its amounts can be true.
     fn is_sane(&self) -> bool {
         let sane = |amount: VirtualTime| (-AMOUNT_MAX..=AMOUNT_MAX).contains(&amount);
@@ -61,11 +61,11 @@
 /// The service of all workspaces on one pool.
 #[derive(Debug)]
 pub struct Ledger {
-    mine: CellId,
+    mine: ReplicaId,
     version: u64,
     own: FxHashMap<WorkspaceName, Line>,
     changed: BTreeMap<u64, WorkspaceName>,
-    others: BTreeMap<CellId, Copy>,
+    others: BTreeMap<ReplicaId, Copy>,
     accounts: FxHashMap<WorkspaceName, Account>,
     assumed: FxHashMap<ZoneName, FxHashMap<WorkspaceName, VirtualTime>>,
     charged: VirtualTime,
@@ -94,7 +94,7 @@
 
 impl Ledger {
     /// An empty ledger whose own cell is `mine`.
-    pub fn new(mine: CellId) -> Ledger {
+    pub fn new(mine: ReplicaId) -> Ledger {
         Ledger {
             mine,
             version: 0,
@@ -107,12 +107,12 @@
         }
     }
 
-    /// The name of the own cell.
-    pub fn cell(&self) -> &CellId {
+    /// The name of the own replica.
+    pub fn replica(&self) -> &ReplicaId {
         &self.mine
     }
 
-    /// The version of the own cell.
+    /// The version of the own replica.
     pub fn version(&self) -> u64 {
         self.version
     }
@@ -128,7 +128,7 @@
         self.accounts.get(workspace).map_or(0, |a| a.service + a.offset)
     }
 
-    /// All that was ever charged to the own cell.
+    /// All that was ever charged to the own replica.
     pub fn charged(&self) -> VirtualTime {
         self.charged
     }
@@ -151,7 +151,7 @@
         assumed.into_keys().collect()
     }
 
-    /// Charges `amount` (which may be negative, when an estimate was too high) to the own cell.
+    /// Charges `amount` (which may be negative, when an estimate was too high) to the own replica.
     pub fn charge(&mut self, workspace: &WorkspaceName, amount: VirtualTime) {
         if amount == 0 {
             return;
@@ -181,44 +181,48 @@
     }
 
     /// The entries of the own cell that changed after version `since`.
-    pub fn changes(&self, since: u64) -> Vec<Entry> {
+    pub fn changes(&self, since: u64) -> Vec<CounterEntry> {
         self.changed.range(since + 1..).map(|(_, w)| self.entry(w)).collect()
     }
 
     /// The copies of other cells as far as they changed after the versions in `since`; all of a
     /// cell that isn't in there.
-    pub fn copies(&self, since: &FxHashMap<CellId, u64>) -> Vec<OtherCell> {
+    pub fn copies(&self, since: &FxHashMap<ReplicaId, u64>) -> Vec<RelayedCounters> {
         let mut copies = Vec::new();
-        for (cell, copy) in &self.others {
-            let known = since.get(cell).copied().unwrap_or(0);
+        for (replica, copy) in &self.others {
+            let known = since.get(replica).copied().unwrap_or(0);
             if copy.version <= known {
                 continue;
             }
             let changed = copy.charged.iter().filter(|(_, (_, version))| known < *version);
-            let entries = changed.map(|(w, (c, _))| Entry(w.clone(), *c, self.offset(w), 0));
+            let entries = changed.map(|(w, (c, _))| CounterEntry(w.clone(), *c, self.offset(w), 0));
             let entries = entries.collect();
-            copies.push(OtherCell { cell: cell.clone(), upto: copy.version, entries });
+            copies.push(RelayedCounters {
+                replica: replica.clone(),
+                version: copy.version,
+                entries,
+            });
         }
         copies
     }
 
     /// The version up to which another cell is known; 0 when it isn't.
-    pub fn seen(&self, cell: &CellId) -> u64 {
-        self.others.get(cell).map_or(0, |c| c.version)
+    pub fn seen(&self, replica: &ReplicaId) -> u64 {
+        self.others.get(replica).map_or(0, |c| c.version)
     }
 
     /// Merges entries that bring another's cell to version `upto`. An older or equal version
     /// changes nothing and gives false.
-    pub fn merge(&mut self, cell: &CellId, upto: u64, entries: &[Entry]) -> bool {
-        if *cell == self.mine {
+    pub fn merge(&mut self, replica: &ReplicaId, upto: u64, entries: &[CounterEntry]) -> bool {
+        if *replica == self.mine {
             return false;
         }
-        let copy = self.others.entry(cell.clone()).or_default();
+        let copy = self.others.entry(replica.clone()).or_default();
         if upto <= copy.version {
             return false;
         }
         copy.version = upto;
-        for Entry(workspace, charged, offset, _) in entries.iter().filter(|e| e.is_sane()) {
+        for CounterEntry(workspace, charged, offset, _) in entries.iter().filter(|e| e.is_sane()) {
             let line = (*charged, upto);
             let before = copy.charged.insert(workspace.clone(), line).map_or(0, |(c, _)| c);
             let account = self.accounts.entry(workspace.clone()).or_default();
@@ -228,7 +232,7 @@
         true
     }
 
-    /// The line of a workspace in the own cell, moved to a new version.
+    /// The line of a workspace in the own replica, moved to a new version.
     fn line(&mut self, workspace: &WorkspaceName) -> &mut Line {
         self.version += 1;
         let line = self.own.entry(workspace.clone()).or_default();
@@ -238,9 +242,9 @@
         line
     }
 
-    fn entry(&self, workspace: &WorkspaceName) -> Entry {
+    fn entry(&self, workspace: &WorkspaceName) -> CounterEntry {
         let line = &self.own[workspace];
-        Entry(workspace.clone(), line.charged, self.offset(workspace), line.waiting)
+        CounterEntry(workspace.clone(), line.charged, self.offset(workspace), line.waiting)
     }
 
     fn offset(&self, workspace: &str) -> VirtualTime {
--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -4,6 +4,6 @@
 pub mod ledger;
 pub mod pool;
 pub mod queue;
-pub mod remotes;
+pub mod remote_zones;
 pub mod retry;
 pub mod upstreams;
--- a/src/dispatch/pool/decision.rs
+++ b/src/dispatch/pool/decision.rs
@@ -24,7 +24,7 @@
 /// Why a workspace went next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Why {
+pub enum SelectionReason {
     /// It was furthest behind of all that wait here.
     FurthestBehind,
     /// Its urgent work went ahead within the lead that the pool allows.
@@ -38,7 +38,7 @@
 /// Why a workspace that waits isn't served now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "waits-for", rename_all = "kebab-case")]
-pub enum Waits {
+pub enum WaitReason {
     /// It has as many requests running as it may.
     RunningLimit { running: u32 },
     /// All upstreams are full or aside; so many workspaces are further behind and go first.
@@ -63,7 +63,7 @@
     /// Where it goes.
     pub upstream: UpstreamName,
     /// Why it went next.
-    pub why: Why,
+    pub why: SelectionReason,
     /// Its workspace's virtual time, before it was charged.
     pub virtual_time: VirtualTime,
     /// The smallest virtual time of all that waited.
--- a/src/dispatch/pool/exchange.rs
+++ b/src/dispatch/pool/exchange.rs
@@ -7,29 +7,29 @@
 use rustc_hash::FxHashMap;
 
 use crate::dispatch::ledger::AMOUNT_MAX;
-use crate::dispatch::ledger::CellId;
-use crate::dispatch::ledger::Entry;
+use crate::dispatch::ledger::CounterEntry;
+use crate::dispatch::ledger::ReplicaId;
 use crate::dispatch::pool::COST_MAX;
 use crate::dispatch::pool::Granted;
 use crate::dispatch::pool::PendingPull;
-use crate::dispatch::pool::Pool;
+use crate::dispatch::pool::PoolDispatcher;
 use crate::dispatch::pool::decision::Action;
 use crate::dispatch::pool::decision::Decision;
-use crate::dispatch::pool::decision::Why;
+use crate::dispatch::pool::decision::SelectionReason;
 use crate::dispatch::pool::waited;
-use crate::dispatch::remotes::CUT_AFTER;
+use crate::dispatch::remote_zones::CUT_AFTER;
 use crate::names::BoxName;
 use crate::names::WorkspaceName;
 use crate::names::ZoneName;
+use crate::peer::message::DispatcherReport;
 use crate::peer::message::Ending;
 use crate::peer::message::Grant;
 use crate::peer::message::Message;
-use crate::peer::message::OtherCell;
-use crate::peer::message::Pull;
-use crate::peer::message::Pulled;
-use crate::peer::message::Running;
-use crate::peer::message::Summary;
-use crate::peer::message::Taken;
+use crate::peer::message::PullRequest;
+use crate::peer::message::PullResponse;
+use crate::peer::message::PulledTicket;
+use crate::peer::message::RelayedCounters;
+use crate::peer::message::RunningGrant;
 use crate::peer::message::Ticket;
 
 /// How long a slot is kept for the answer to a pull.
@@ -50,9 +50,14 @@
 /// A zone with idle slots is told of new work this soon.
 const IDLE_INTERVAL: Duration = Duration::from_millis(10);
 
-impl Pool {
+impl PoolDispatcher {
     /// Gives a waiting ticket to another zone that has a free slot for it.
-    pub fn pull(&mut self, pull: &Pull, now: Duration, out: &mut Vec<Action>) {
+    pub fn handle_pull_request(
+        &mut self,
+        pull: &PullRequest,
+        now: Duration,
+        out: &mut Vec<Action>,
+    ) {
         // A pull that comes twice must not take two tickets for one slot.
         if self.answered.contains(&pull.grant) {
             return;
@@ -63,7 +68,7 @@
         }
         let mut workspace = pull.workspace.clone();
         if self.queue.waiting(&workspace) == 0
-            && pull.any
+            && pull.any_workspace
             && let Some((_, first)) = self.queue.first()
         {
             workspace = first.clone();
@@ -72,7 +77,7 @@
         let waiting_workspaces = self.queue.workspace_count();
         let ticket = self.queue.pop(&workspace, self.policy.background_every, now);
         let taken = ticket.map(|ticket| {
-            let cover = self.estimate(&ticket.workspace, &ticket.service);
+            let charged_cost = self.estimate(&ticket.workspace, &ticket.service);
             let arrival = self.left(ticket.id);
             self.note_waiting(&ticket.workspace);
             out.push(Action::Decided(Decision {
@@ -82,12 +87,12 @@
                 workspace: ticket.workspace.clone(),
                 service: ticket.service.clone(),
                 upstream: pull.upstream.clone(),
-                why: Why::Pulled,
+                why: SelectionReason::Pulled,
                 virtual_time: self.ledger.virtual_time(&ticket.workspace),
                 floor,
                 waiting_workspaces,
                 candidates: 1,
-                estimate: cover,
+                estimate: charged_cost,
                 waited_ms: waited(arrival, now),
             }));
             out.push(Action::Send {
@@ -97,40 +102,48 @@
                     ticket: ticket.id,
                     upstream: pull.upstream.clone(),
                     dispatcher: pull.dispatcher.clone(),
-                    cover,
+                    charged_cost,
                 }),
             });
-            Taken {
+            PulledTicket {
                 ticket: ticket.id,
                 router: ticket.router,
                 workspace: ticket.workspace,
                 service: ticket.service,
-                cover,
+                charged_cost,
             }
         });
-        let answer = Pulled {
+        let response = PullResponse {
             pool: self.policy.name.clone(),
             grant: pull.grant,
             workspace: pull.workspace.clone(),
             zone: self.zone.clone(),
-            taken,
-            left: self.queue.waiting(&pull.workspace),
+            ticket: taken,
+            still_waiting: self.queue.waiting(&pull.workspace),
         };
-        out.push(Action::Send { to: pull.dispatcher.clone(), message: Message::Pulled(answer) });
+        out.push(Action::Send {
+            to: pull.dispatcher.clone(),
+            message: Message::PullResponse(response),
+        });
     }
 
     /// Takes in the answer to a pull.
-    pub fn pulled(&mut self, pulled: Pulled, now: Duration, out: &mut Vec<Action>) {
+    pub fn handle_pull_response(
+        &mut self,
+        pulled: PullResponse,
+        now: Duration,
+        out: &mut Vec<Action>,
+    ) {
         let at = self.ledger.virtual_time(&pulled.workspace);
-        self.remotes.set_waiting(&pulled.zone, &pulled.workspace, pulled.left, at);
+        self.remotes.set_waiting(&pulled.zone, &pulled.workspace, pulled.still_waiting, at);
         let Some(pending) = self.pulls.remove(&pulled.grant) else { return };
-        let Some(taken) = pulled.taken else {
+        let Some(taken) = pulled.ticket else {
             // Whatever it said of itself before, asking again now would give as little.
             self.remotes.set_waiting(&pending.zone, &pulled.workspace, 0, at);
             if !pending.overdue {
                 self.upstreams.release(&pending.upstream, Ending::Unused, now);
             }
-            self.fill(now, out);
+            self.fill_slots(now, out);
             return;
         };
         if pending.overdue {
@@ -142,36 +155,41 @@
             workspace: taken.workspace,
             service: taken.service,
             upstream: pending.upstream,
-            cover: taken.cover.min(COST_MAX),
+            charged_cost: taken.charged_cost.min(COST_MAX),
             at: now,
         };
-        let (workspace, cover) = (granted.workspace.clone(), granted.cover);
+        let (workspace, charged_cost) = (granted.workspace.clone(), granted.charged_cost);
         self.start_grant(pulled.grant, granted);
-        self.charge(&workspace, cover as i64);
+        self.charge(&workspace, charged_cost as i64);
         if let Some(done) = pending.early {
-            self.done(&done, now, out);
+            self.handle_completion(&done, now, out);
         }
     }
 
     /// Takes in what another dispatcher tells of the pool.
-    pub fn summary(&mut self, summary: &Summary, now: Duration, out: &mut Vec<Action>) {
+    pub fn handle_report(
+        &mut self,
+        summary: &DispatcherReport,
+        now: Duration,
+        out: &mut Vec<Action>,
+    ) {
         self.remotes.heard(summary, self.ledger.charged(), now);
         self.unheard.remove(&summary.zone);
-        for router in &summary.gone {
-            self.router_gone(router, now, out);
+        for router in &summary.lost_routers {
+            self.forget_router(router, now, out);
         }
         for workspace in self.ledger.forget_assumed(&summary.zone) {
             self.moved(&workspace);
         }
         self.virtual_time = self.virtual_time.max(summary.virtual_time.min(AMOUNT_MAX));
-        for other in &summary.others {
-            self.ledger.merge(&other.cell, other.upto, &other.entries);
+        for other in &summary.relayed {
+            self.ledger.merge(&other.replica, other.version, &other.entries);
             self.reorder(&other.entries);
         }
-        if self.ledger.merge(&summary.cell, summary.upto, &summary.entries) {
+        if self.ledger.merge(&summary.replica, summary.version, &summary.entries) {
             self.reorder(&summary.entries);
             if summary.zone != self.zone {
-                for Entry(workspace, _, _, waiting) in &summary.entries {
+                for CounterEntry(workspace, _, _, waiting) in &summary.entries {
                     let at = self.ledger.virtual_time(workspace);
                     self.remotes.set_waiting(&summary.zone, workspace, *waiting, at);
                 }
@@ -180,26 +198,26 @@
         if self.may_lift(now) {
             self.cap_debts();
         }
-        self.fill(now, out);
+        self.fill_slots(now, out);
     }
 
     /// Sends what changed to the dispatchers of other zones, and to the box that would follow this
     /// one. `others` names each zone with the box believed to dispatch there.
-    pub fn exchange(
+    pub fn send_reports(
         &mut self,
         others: &[(ZoneName, BoxName)],
         now: Duration,
         out: &mut Vec<Action>,
     ) {
-        if !self.tuning.exchange {
+        if !self.tuning.exchange_enabled {
             return;
         }
         self.expect_zones(others);
-        let idle = self.idle();
+        let idle = self.idle_slots();
         let version = self.ledger.version();
         for (zone, guess) in others {
             let waits = !self.queue.is_empty();
-            let every = self.tuning.exchange_every;
+            let every = self.tuning.exchange_interval;
             let remote = self.remotes.meet(zone, guess);
             let silent = remote.heard + CUT_AFTER <= now;
             let standby = *zone == self.zone;
@@ -217,7 +235,7 @@
             let due = match remote.told {
                 None => true,
                 Some(_) if !gone.is_empty() => true,
-                Some(told) if waits && remote.idle != 0 && version != remote.told_version => {
+                Some(told) if waits && remote.idle_slots != 0 && version != remote.told_version => {
                     told + IDLE_INTERVAL.min(every) <= now
                 }
                 Some(told) if news => told + every <= now,
@@ -233,7 +251,7 @@
             let since = remote.acknowledged;
             let seen = match self.unheard.contains(zone) {
                 true => 0,
-                false => remote.cell.as_ref().map_or(0, |c| self.ledger.seen(c)),
+                false => remote.replica.as_ref().map_or(0, |c| self.ledger.seen(c)),
             };
             // A receiver that has nothing of this cell likely has nothing at all. The box that
             // would follow this one gets the news of other zones, too.
@@ -243,16 +261,19 @@
                 (false, _) => Vec::new(),
             };
             if standby {
-                remote.relayed.extend(others.iter().map(|o| (o.cell.clone(), o.upto)));
+                remote.relayed.extend(others.iter().map(|o| (o.replica.clone(), o.version)));
             }
-            let summary = Summary { gone, ..self.summarise(since, seen, idle, others) };
-            out.push(Action::Send { to, message: Message::Summary(Box::new(summary)) });
+            let summary = DispatcherReport {
+                lost_routers: gone,
+                ..self.summarise(since, seen, idle, others)
+            };
+            out.push(Action::Send { to, message: Message::DispatcherReport(Box::new(summary)) });
         }
     }
 
     /// Notes that the box which would follow this one has a copy of the own cell at `version`.
-    pub fn copied(&mut self, zone: &ZoneName, cell: &CellId, version: u64) {
-        if cell == self.ledger.cell()
+    pub fn record_standby_ack(&mut self, zone: &ZoneName, replica: &ReplicaId, version: u64) {
+        if replica == self.ledger.replica()
             && let Some(remote) = self.remotes.zone(zone)
         {
             remote.acknowledged = version;
@@ -261,10 +282,10 @@
 
     /// All that this dispatcher knows, for the box that takes the role over: counters, waiting
     /// tickets and grants. The routers tell it the latter, too, but only once they know of it.
-    pub fn hand_over(&self, now: Duration) -> Vec<Message> {
+    pub fn handover_messages(&self, now: Duration) -> Vec<Message> {
         let others = self.ledger.copies(&FxHashMap::default());
         let summary = self.summarise(0, 0, 0, others);
-        let mut messages = vec![Message::Summary(Box::new(summary))];
+        let mut messages = vec![Message::DispatcherReport(Box::new(summary))];
         let mut tickets: Vec<&Ticket> = self.queue.tickets().collect();
         tickets.sort_by_key(|t| t.id);
         for ticket in tickets {
@@ -273,20 +294,20 @@
             let ticket = Ticket { deadline_ms, forwarded: true, ..ticket.clone() };
             messages.push(Message::Ticket(ticket));
         }
-        let mut grants: BTreeMap<&BoxName, Vec<Running>> = BTreeMap::new();
+        let mut by_router: BTreeMap<&BoxName, Vec<RunningGrant>> = BTreeMap::new();
         for (&grant, g) in &self.grants {
-            grants.entry(&g.router).or_default().push(Running {
+            by_router.entry(&g.router).or_default().push(RunningGrant {
                 grant,
                 workspace: g.workspace.clone(),
                 service: g.service.clone(),
                 upstream: g.upstream.clone(),
-                cover: g.cover,
+                charged_cost: g.charged_cost,
             });
         }
-        for (router, mut r) in grants {
-            r.sort_by_key(|r| r.grant);
-            let p = self.policy.name.clone();
-            messages.push(Message::Running { p, b: router.clone(), r });
+        for (router, mut grants) in by_router {
+            grants.sort_by_key(|r| r.grant);
+            let pool = self.policy.name.clone();
+            messages.push(Message::RunningGrants { pool, router: router.clone(), grants });
         }
         messages
     }
@@ -294,7 +315,7 @@
     /// Begins to dispatch, with what the predecessor has left. Until the other zones have told what
     /// they know, or a while has passed, nobody is lifted: with counters missing, a lift would set
     /// a workspace back by what is missing.
-    pub fn take_over(&mut self, now: Duration) {
+    pub fn start_dispatching(&mut self, now: Duration) {
         self.lift_after = now + SYNC_WAIT;
         self.expects = false;
         self.unheard.clear();
@@ -308,16 +329,16 @@
         let pending =
             PendingPull { zone, upstream: upstream.clone(), at: now, overdue: false, early: None };
         self.pulls.insert(id, pending);
-        let pull = Pull {
+        let pull = PullRequest {
             pool: self.policy.name.clone(),
             workspace: workspace.clone(),
             grant: id,
             upstream,
-            dispatcher: self.ledger.cell().name.clone(),
-            any: self.queue.is_empty(),
+            dispatcher: self.ledger.replica().name.clone(),
+            any_workspace: self.queue.is_empty(),
             forwarded: false,
         };
-        out.push(Action::Send { to, message: Message::Pull(pull) });
+        out.push(Action::Send { to, message: Message::PullRequest(pull) });
     }
 
     pub(super) fn expire_pulls(&mut self, now: Duration) {
@@ -347,20 +368,20 @@
         since: u64,
         seen: u64,
         idle: u32,
-        others: Vec<OtherCell>,
-    ) -> Summary {
-        Summary {
+        others: Vec<RelayedCounters>,
+    ) -> DispatcherReport {
+        DispatcherReport {
             pool: self.policy.name.clone(),
             zone: self.zone.clone(),
-            dispatcher: self.ledger.cell().name.clone(),
-            cell: self.ledger.cell().clone(),
-            upto: self.ledger.version(),
-            seen,
+            dispatcher: self.ledger.replica().name.clone(),
+            replica: self.ledger.replica().clone(),
+            version: self.ledger.version(),
+            merged_version: seen,
             virtual_time: self.virtual_time,
-            idle,
-            gone: Vec::new(),
+            idle_slots: idle,
+            lost_routers: Vec::new(),
             entries: self.ledger.changes(since),
-            others,
+            relayed: others,
             forwarded: false,
         }
     }
--- a/src/dispatch/pool/grants.rs
+++ b/src/dispatch/pool/grants.rs
@@ -8,21 +8,21 @@
 use crate::dispatch::pool::COST_MAX;
 use crate::dispatch::pool::Estimate;
 use crate::dispatch::pool::Granted;
-use crate::dispatch::pool::Pool;
+use crate::dispatch::pool::PoolDispatcher;
 use crate::dispatch::pool::decision::Action;
 use crate::dispatch::pool::decision::Decision;
-use crate::dispatch::pool::decision::Why;
+use crate::dispatch::pool::decision::SelectionReason;
 use crate::dispatch::pool::waited;
 use crate::names::BoxName;
 use crate::names::ServiceName;
 use crate::names::WorkspaceName;
-use crate::peer::message::Digest;
-use crate::peer::message::Done;
+use crate::peer::message::CompletionReport;
 use crate::peer::message::Ending;
 use crate::peer::message::Grant;
+use crate::peer::message::GrantDigest;
 use crate::peer::message::GrantId;
 use crate::peer::message::Message;
-use crate::peer::message::Running;
+use crate::peer::message::RunningGrant;
 use crate::peer::message::TicketId;
 
 /// Weight of the newest grant in the average time between grants.
@@ -51,23 +51,28 @@
     others: Vec<GrantId>,
 }
 
-impl Pool {
+impl PoolDispatcher {
     /// Charges a request that outgrew what was charged for it.
-    pub fn progress(&mut self, id: GrantId, cover: u64) {
+    pub fn record_progress(&mut self, id: GrantId, charged_cost: u64) {
         let Some(granted) = self.grants.get_mut(&id) else { return };
-        let cover = cover.min(COST_MAX);
-        if cover <= granted.cover {
+        let charged_cost = charged_cost.min(COST_MAX);
+        if charged_cost <= granted.charged_cost {
             return;
         }
-        let more = cover - granted.cover;
-        granted.cover = cover;
+        let more = charged_cost - granted.charged_cost;
+        granted.charged_cost = charged_cost;
         let (workspace, service) = (granted.workspace.clone(), granted.service.clone());
         self.charge(&workspace, more as i64);
-        self.estimate_mut(&workspace, &service).outgrown(cover);
+        self.estimate_mut(&workspace, &service).outgrown(charged_cost);
     }
 
     /// Ends a grant: trues the charge up and gives the slot to the next.
-    pub fn done(&mut self, done: &Done, now: Duration, out: &mut Vec<Action>) {
+    pub fn handle_completion(
+        &mut self,
+        done: &CompletionReport,
+        now: Duration,
+        out: &mut Vec<Action>,
+    ) {
         if let Some(pull) = self.pulls.get_mut(&done.grant) {
             pull.early = Some(done.clone());
             return;
@@ -78,12 +83,12 @@
         if matches!(done.ending, Ending::Answered) {
             self.estimate_mut(&granted.workspace, &granted.service).ended(cost);
         }
-        self.charge(&granted.workspace, cost as i64 - granted.cover as i64);
-        self.fill(now, out);
+        self.charge(&granted.workspace, cost as i64 - granted.charged_cost as i64);
+        self.fill_slots(now, out);
     }
 
     /// Takes over grants that an earlier dispatcher gave.
-    pub fn adopt(&mut self, router: &BoxName, running: &[Running], now: Duration) {
+    pub fn adopt_grants(&mut self, router: &BoxName, running: &[RunningGrant], now: Duration) {
         for r in running {
             if self.grants.contains_key(&r.grant) {
                 continue;
@@ -95,7 +100,7 @@
                 workspace: r.workspace.clone(),
                 service: r.service.clone(),
                 upstream: r.upstream.clone(),
-                cover: r.cover.min(COST_MAX),
+                charged_cost: r.charged_cost.min(COST_MAX),
                 at: now,
             };
             self.start_grant(r.grant, granted);
@@ -103,7 +108,7 @@
     }
 
     /// Frees grants that their router doesn't use.
-    pub fn not_running(
+    pub fn release_unused(
         &mut self,
         router: &BoxName,
         grants: &[GrantId],
@@ -114,15 +119,15 @@
         for &id in grants {
             if let Some(granted) = self.end_grant(id, now) {
                 self.upstreams.release(&granted.upstream, Ending::Unused, now);
-                self.charge(&granted.workspace, -(granted.cover as i64));
+                self.charge(&granted.workspace, -(granted.charged_cost as i64));
             }
         }
-        self.fill(now, out);
+        self.fill_slots(now, out);
     }
 
     /// Frees the grants in a range that their router doesn't use, but those of which it may not
     /// know yet.
-    pub fn using(
+    pub fn release_except(
         &mut self,
         router: &BoxName,
         from: GrantId,
@@ -141,20 +146,20 @@
         let mut grants: Vec<GrantId> =
             self.grants.iter().filter(unused).map(|(&id, _)| id).collect();
         grants.sort();
-        self.not_running(router, &grants, now, out);
+        self.release_unused(router, &grants, now, out);
     }
 
     /// Notes that a router of this zone is gone, and tells the other zones.
-    pub fn lost_router(&mut self, router: &BoxName, now: Duration, out: &mut Vec<Action>) {
+    pub fn record_lost_router(&mut self, router: &BoxName, now: Duration, out: &mut Vec<Action>) {
         self.gone.retain(|(_, at)| now < *at + GONE_KEPT);
         if self.gone.iter().all(|(known, _)| known != router) {
             self.gone.push((router.clone(), now));
         }
-        self.router_gone(router, now, out);
+        self.forget_router(router, now, out);
     }
 
     /// Forgets the tickets and grants of a router that is gone.
-    pub fn router_gone(&mut self, router: &BoxName, now: Duration, out: &mut Vec<Action>) {
+    pub fn forget_router(&mut self, router: &BoxName, now: Duration, out: &mut Vec<Action>) {
         let tickets: Vec<TicketId> =
             self.queue.tickets().filter(|t| t.router == *router).map(|t| t.id).collect();
         for id in tickets {
@@ -167,7 +172,7 @@
                 self.upstreams.release(&granted.upstream, Ending::Cancelled, now);
             }
         }
-        self.fill(now, out);
+        self.fill_slots(now, out);
     }
 
     /// What a request of this workspace and service will likely cost, in the pool's unit.
@@ -180,7 +185,7 @@
     pub(super) fn grant(
         &mut self,
         workspace: &WorkspaceName,
-        why: Why,
+        why: SelectionReason,
         now: Duration,
         out: &mut Vec<Action>,
     ) {
@@ -199,13 +204,13 @@
             .take(ticket.prefix, ticket.avoid.as_ref(), now)
             .expect("a slot was seen to be free");
         self.since_patience = match why {
-            Why::Patience => 0,
+            SelectionReason::Patience => 0,
             _ => self.since_patience.saturating_add(1),
         };
         let virtual_time = self.ledger.virtual_time(workspace);
         self.virtual_time = self.virtual_time.max(self.ledger.known_time(workspace));
-        let cover = self.estimate(workspace, &ticket.service);
-        self.mean_cover += PACE_GAIN * (cover as f64 - self.mean_cover);
+        let charged_cost = self.estimate(workspace, &ticket.service);
+        self.mean_cover += PACE_GAIN * (charged_cost as f64 - self.mean_cover);
         out.push(Action::Decided(Decision {
             ticket: ticket.id,
             router: ticket.router.clone(),
@@ -218,7 +223,7 @@
             floor,
             waiting_workspaces,
             candidates,
-            estimate: cover,
+            estimate: charged_cost,
             waited_ms: waited(arrival, now),
         }));
         let id = self.new_grant();
@@ -228,11 +233,11 @@
             workspace: workspace.clone(),
             service: ticket.service,
             upstream,
-            cover,
+            charged_cost,
             at: now,
         };
         self.start_grant(id, granted);
-        self.charge(workspace, cover as i64);
+        self.charge(workspace, charged_cost as i64);
         self.note_waiting(workspace);
         self.send_grant(id, out);
     }
@@ -245,7 +250,7 @@
             ticket,
             upstream: granted.upstream.clone(),
             dispatcher: BoxName::none(),
-            cover: granted.cover,
+            charged_cost: granted.charged_cost,
         };
         out.push(Action::Send { to: granted.router.clone(), message: Message::Grant(grant) });
     }
@@ -293,7 +298,7 @@
         let silent: Vec<BoxName> = silent.map(|(router, _)| router.clone()).collect();
         for router in silent {
             self.unanswered.remove(&router);
-            self.router_gone(&router, now, out);
+            self.forget_router(&router, now, out);
         }
         for (to, message) in self.checks(now) {
             *self.unanswered.entry(to.clone()).or_default() += 1;
@@ -326,9 +331,9 @@
             }
             asked.others.sort();
             let own = asked.own.into_iter();
-            let d = asked.upto.map(|upto| Digest::new(first, upto, own));
-            let (p, g) = (self.policy.name.clone(), asked.others);
-            checks.push((to.clone(), Message::Check { p, g, d }));
+            let digest = asked.upto.map(|upto| GrantDigest::new(first, upto, own));
+            let (pool, grants) = (self.policy.name.clone(), asked.others);
+            checks.push((to.clone(), Message::GrantCheckRequest { pool, grants, digest }));
         }
         checks
     }
--- a/src/dispatch/pool/mod.rs
+++ b/src/dispatch/pool/mod.rs
@@ -14,18 +14,18 @@
 
 pub use crate::dispatch::pool::decision::Action;
 pub use crate::dispatch::pool::decision::Decision;
-pub use crate::dispatch::pool::decision::Waits;
-pub use crate::dispatch::pool::decision::Why;
+pub use crate::dispatch::pool::decision::SelectionReason;
+pub use crate::dispatch::pool::decision::WaitReason;
 
 use crate::config;
 use crate::config::Revision;
-use crate::dispatch::ledger::CellId;
 use crate::dispatch::ledger::Ledger;
 use crate::dispatch::ledger::PARTS;
+use crate::dispatch::ledger::ReplicaId;
 use crate::dispatch::ledger::VirtualTime;
 use crate::dispatch::pool::order::Choice;
 use crate::dispatch::queue::Queue;
-use crate::dispatch::remotes::Remotes;
+use crate::dispatch::remote_zones::Remotes;
 use crate::dispatch::upstreams::Upstreams;
 use crate::names::BoxName;
 use crate::names::PoolName;
@@ -33,7 +33,7 @@
 use crate::names::UpstreamName;
 use crate::names::WorkspaceName;
 use crate::names::ZoneName;
-use crate::peer::message::Done;
+use crate::peer::message::CompletionReport;
 use crate::peer::message::GrantId;
 use crate::peer::message::Ticket;
 use crate::peer::message::TicketId;
@@ -46,22 +46,26 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Tuning {
     /// How often dispatchers of different zones tell each other what changed.
-    pub exchange_every: Duration,
+    pub exchange_interval: Duration,
     /// Whether a dispatcher exchanges anything with other zones at all.
-    pub exchange: bool,
+    pub exchange_enabled: bool,
     /// Replaces the pool's own pull margin when set, in the pool's unit.
     pub pull_margin: Option<u32>,
 }
 
 impl Default for Tuning {
     fn default() -> Tuning {
-        Tuning { exchange_every: Duration::from_millis(500), exchange: true, pull_margin: None }
+        Tuning {
+            exchange_interval: Duration::from_millis(500),
+            exchange_enabled: true,
+            pull_margin: None,
+        }
     }
 }
 
 /// The dispatcher of one pool in one availability zone.
 #[derive(Debug)]
-pub struct Pool {
+pub struct PoolDispatcher {
     policy: config::Pool,
     zone: ZoneName,
     cfg: Arc<Revision>,
@@ -124,7 +128,7 @@
     workspace: WorkspaceName,
     service: ServiceName,
     upstream: UpstreamName,
-    cover: u64,
+    charged_cost: u64,
     at: Duration,
 }
 
@@ -134,26 +138,26 @@
     upstream: UpstreamName,
     at: Duration,
     overdue: bool,
-    early: Option<Done>,
+    early: Option<CompletionReport>,
 }
 
-impl Pool {
+impl PoolDispatcher {
     /// An empty dispatcher for the pool `name` in `zone`, run by the box that `cell` names.
     pub fn new(
         name: &PoolName,
         zone: &ZoneName,
-        cell: CellId,
+        replica: ReplicaId,
         cfg: Arc<Revision>,
         tuning: Tuning,
-    ) -> Option<Pool> {
+    ) -> Option<PoolDispatcher> {
         let policy = cfg.pool(name)?.clone();
-        let next_grant = util::id_base(&cell.name, cell.incarnation, "grant");
-        let mut pool = Pool {
+        let next_grant = util::id_base(&replica.name, replica.incarnation, "grant");
+        let mut pool = PoolDispatcher {
             policy,
             zone: zone.clone(),
             cfg: cfg.clone(),
             tuning,
-            ledger: Ledger::new(cell),
+            ledger: Ledger::new(replica),
             queue: Queue::default(),
             upstreams: Upstreams::default(),
             remotes: Remotes::default(),
@@ -192,7 +196,7 @@
         self.cfg = cfg.clone();
         self.mean_weight = mean_weight(cfg);
         self.upstreams.configure(cfg.upstreams(&self.policy.name, &self.zone));
-        self.fill(now, out);
+        self.fill_slots(now, out);
     }
 
     /// The pool's name.
@@ -242,7 +246,7 @@
         self.queue.push(ticket, at, now);
         self.park_if_full(&workspace);
         self.note_waiting(&workspace);
-        self.fill(now, out);
+        self.fill_slots(now, out);
     }
 
     /// Forgets a ticket that nobody waits for any more.
@@ -260,11 +264,11 @@
         self.expire(now);
         self.expire_pulls(now);
         self.check_grants(now, out);
-        self.fill(now, out);
+        self.fill_slots(now, out);
     }
 
     /// Fills free slots as long as there is work for them.
-    pub fn fill(&mut self, now: Duration, out: &mut Vec<Action>) {
+    pub fn fill_slots(&mut self, now: Duration, out: &mut Vec<Action>) {
         while self.upstreams.has_free() {
             match self.choose(now) {
                 None => return,
@@ -275,7 +279,7 @@
     }
 
     /// Free slots for which there is no work here.
-    pub fn idle(&self) -> u32 {
+    pub fn idle_slots(&self) -> u32 {
         if !self.queue.is_empty() {
             return 0;
         }
@@ -284,7 +288,7 @@
 
     /// The largest difference of service received, by weight, between two workspaces that wait
     /// here, in the pool's unit.
-    pub fn gap(&self) -> f64 {
+    pub fn service_gap(&self) -> f64 {
         let (Some((least, _)), Some((most, _))) = (self.queue.first(), self.queue.last()) else {
             return 0.0;
         };
@@ -292,15 +296,15 @@
     }
 
     /// Why a workspace that waits here isn't served now.
-    pub fn why_waits(&self, workspace: &WorkspaceName) -> Waits {
+    pub fn wait_reason(&self, workspace: &WorkspaceName) -> WaitReason {
         if self.is_full(workspace) {
             let running = self.running.get(workspace).copied().unwrap_or(0);
-            return Waits::RunningLimit { running };
+            return WaitReason::RunningLimit { running };
         }
         let first = self.queue.ahead_of(workspace);
         match self.upstreams.has_free() {
-            true => Waits::Turn { first },
-            false => Waits::Slot { first },
+            true => WaitReason::Turn { first },
+            false => WaitReason::Slot { first },
         }
     }
 
--- a/src/dispatch/pool/order.rs
+++ b/src/dispatch/pool/order.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use crate::dispatch::ledger::Entry;
+use crate::dispatch::ledger::CounterEntry;
 use crate::dispatch::ledger::PARTS;
 use crate::dispatch::ledger::VirtualTime;
-use crate::dispatch::pool::Pool;
-use crate::dispatch::pool::decision::Why;
+use crate::dispatch::pool::PoolDispatcher;
+use crate::dispatch::pool::decision::SelectionReason;
 use crate::dispatch::pool::parts;
 use crate::names::WorkspaceName;
 
@@ -21,11 +21,11 @@
 
 /// What a free slot goes to.
 pub(super) enum Choice {
-    Local(WorkspaceName, Why),
+    Local(WorkspaceName, SelectionReason),
     Remote(WorkspaceName),
 }
 
-impl Pool {
+impl PoolDispatcher {
     pub(super) fn choose(&mut self, now: Duration) -> Option<Choice> {
         let local = self.queue.first();
         if let Some(choice) = self.choose_patience(now) {
@@ -34,7 +34,7 @@
         if let Some((at, workspace)) = self.queue.first_urgent()
             && at < self.floor() + parts(u64::from(self.policy.urgent_lead))
         {
-            return Some(Choice::Local(workspace.clone(), Why::Urgent));
+            return Some(Choice::Local(workspace.clone(), SelectionReason::Urgent));
         }
         let remote = self.remotes.first();
         let margin = self.tuning.pull_margin.unwrap_or(self.policy.pull_margin);
@@ -46,10 +46,10 @@
                 if there + stale.max(0) + parts(u64::from(margin)) < at {
                     return Some(Choice::Remote(workspace.clone()));
                 }
-                Some(Choice::Local(local.clone(), Why::FurthestBehind))
+                Some(Choice::Local(local.clone(), SelectionReason::FurthestBehind))
             }
             (Some((_, workspace)), None) => {
-                Some(Choice::Local(workspace.clone(), Why::FurthestBehind))
+                Some(Choice::Local(workspace.clone(), SelectionReason::FurthestBehind))
             }
         }
     }
@@ -72,7 +72,7 @@
         if 2 * parts(u64::from(self.policy.debt_cap)) < lead {
             return None;
         }
-        Some(Choice::Local(workspace.clone(), Why::Patience))
+        Some(Choice::Local(workspace.clone(), SelectionReason::Patience))
     }
 
     /// What a request of this workspace costs, on average over the services it used.
@@ -140,8 +140,8 @@
         self.remotes.moved(workspace, at);
     }
 
-    pub(super) fn reorder(&mut self, entries: &[Entry]) {
-        for Entry(workspace, ..) in entries {
+    pub(super) fn reorder(&mut self, entries: &[CounterEntry]) {
+        for CounterEntry(workspace, ..) in entries {
             self.moved(workspace);
         }
     }
--- a/src/dispatch/remotes.rs
+++ b/src/dispatch/remote_zones.rs
@@ -6,12 +6,12 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::dispatch::ledger::CellId;
+use crate::dispatch::ledger::ReplicaId;
 use crate::dispatch::ledger::VirtualTime;
 use crate::names::BoxName;
 use crate::names::WorkspaceName;
 use crate::names::ZoneName;
-use crate::peer::message::Summary;
+use crate::peer::message::DispatcherReport;
 
 /// Silence after which a zone counts as cut off, and nothing is pulled from it.
 pub const CUT_AFTER: Duration = Duration::from_secs(5);
@@ -38,15 +38,15 @@
     /// The version of the own cell it was last told.
     pub told_version: u64,
     /// Free slots there that have no work.
-    pub idle: u32,
+    pub idle_slots: u32,
     /// For the box that would follow this one: the versions of other cells it was told.
-    pub relayed: FxHashMap<CellId, u64>,
+    pub relayed: FxHashMap<ReplicaId, u64>,
     /// All that the own cell had charged when it was last heard.
     pub charged_when_heard: VirtualTime,
     /// The idle slots it was last told of.
     pub told_idle: u32,
     /// The dispatcher's own cell, once it was heard.
-    pub cell: Option<CellId>,
+    pub replica: Option<ReplicaId>,
 }
 
 /// Where tickets of one workspace wait.
@@ -70,24 +70,24 @@
             heard: Duration::ZERO,
             told: None,
             told_version: 0,
-            idle: 0,
+            idle_slots: 0,
             relayed: FxHashMap::default(),
             charged_when_heard: 0,
             told_idle: 0,
-            cell: None,
+            replica: None,
         })
     }
 
     /// Takes in who sent a summary and what it acknowledges.
-    pub fn heard(&mut self, summary: &Summary, charged: VirtualTime, now: Duration) {
+    pub fn heard(&mut self, summary: &DispatcherReport, charged: VirtualTime, now: Duration) {
         let zone = self.meet(&summary.zone, &summary.dispatcher);
         zone.dispatcher = summary.dispatcher.clone();
         zone.heard = now;
-        zone.idle = summary.idle;
-        zone.acknowledged = summary.seen;
+        zone.idle_slots = summary.idle_slots;
+        zone.acknowledged = summary.merged_version;
         zone.charged_when_heard = charged;
-        if zone.cell.as_ref() != Some(&summary.cell) {
-            zone.cell = Some(summary.cell.clone());
+        if zone.replica.as_ref() != Some(&summary.replica) {
+            zone.replica = Some(summary.replica.clone());
             // It is new there, and wants to know everything soon.
             zone.told = None;
             self.forget_waiting(&summary.zone);
@@ -178,7 +178,7 @@
             .collect();
         for zone in &cut {
             self.forget_waiting(zone);
-            self.zones.get_mut(zone).expect("just listed").idle = 0;
+            self.zones.get_mut(zone).expect("just listed").idle_slots = 0;
         }
     }
 
--- a/src/dispatch/retry.rs
+++ b/src/dispatch/retry.rs
@@ -22,12 +22,12 @@
     }
 
     /// Notes a first try.
-    pub fn deposit(&mut self) {
+    pub fn record_request(&mut self) {
         self.saved = (self.saved + self.share).min(SAVED_MAX);
     }
 
     /// Takes one retry out of the budget; false when it is spent.
-    pub fn withdraw(&mut self) -> bool {
+    pub fn try_take(&mut self) -> bool {
         if self.saved < 1.0 {
             return false;
         }
--- a/src/dispatch/upstreams.rs
+++ b/src/dispatch/upstreams.rs
@@ -28,7 +28,7 @@
 
 /// What an upstream says of itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Report {
+pub struct UpstreamReport {
     /// Requests that run there, whoever sent them.
     pub running: u32,
     /// Whether it is about to stop.
@@ -37,7 +37,7 @@
 
 /// Why an upstream gets no work now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Aside {
+pub enum UnavailableReason {
     /// The configuration drains it.
     Draining,
     /// It says itself, or the box list says, that it leaves.
@@ -112,21 +112,21 @@
         if self.failures < FAILURES_MAX { free } else { free.min(1) }
     }
 
-    fn why_aside(&self) -> Option<Aside> {
+    fn why_aside(&self) -> Option<UnavailableReason> {
         if self.gone || self.draining {
-            return Some(Aside::Draining);
+            return Some(UnavailableReason::Draining);
         }
         if self.leaving || self.listed_leaving {
-            return Some(Aside::Leaving);
+            return Some(UnavailableReason::Leaving);
         }
         if self.backoff_until.is_some() {
-            return Some(Aside::Backoff);
+            return Some(UnavailableReason::Backoff);
         }
         if self.retry_at.is_some() || self.trial {
-            return Some(Aside::Failing);
+            return Some(UnavailableReason::Failing);
         }
         if self.slots <= self.running + self.foreign {
-            return Some(Aside::Full);
+            return Some(UnavailableReason::Full);
         }
         None
     }
@@ -158,8 +158,9 @@
 
     /// The number of slots of all upstreams that may get work.
     pub fn slots(&self) -> u32 {
-        let usable =
-            |u: &&Upstream| !matches!(u.why_aside(), Some(Aside::Draining | Aside::Leaving));
+        let usable = |u: &&Upstream| {
+            !matches!(u.why_aside(), Some(UnavailableReason::Draining | UnavailableReason::Leaving))
+        };
         self.all.iter().filter(usable).map(|u| u.slots).sum()
     }
 
@@ -174,7 +175,7 @@
     }
 
     /// Each upstream's name and why it gets nothing now, if it doesn't.
-    pub fn states(&self) -> impl Iterator<Item = (&UpstreamName, Option<Aside>)> {
+    pub fn states(&self) -> impl Iterator<Item = (&UpstreamName, Option<UnavailableReason>)> {
         self.all.iter().map(|u| (&u.name, u.why_aside()))
     }
 
@@ -231,7 +232,7 @@
 
     /// Takes in what an upstream reports. Its load lags, so only what exceeds the most that this
     /// dispatcher ran there lately counts as somebody else's.
-    pub fn report(&mut self, name: &str, report: Report, now: Duration) {
+    pub fn apply_report(&mut self, name: &str, report: UpstreamReport, now: Duration) {
         let Some(&i) = self.index.get(name) else { return };
         let before = self.all[i].free();
         let upstream = &mut self.all[i];
@@ -242,7 +243,7 @@
     }
 
     /// Takes in which upstreams the box list shows as leaving.
-    pub fn list_leaving(&mut self, leaving: &BTreeSet<BoxName>) {
+    pub fn set_listed_leaving(&mut self, leaving: &BTreeSet<BoxName>) {
         for i in 0..self.all.len() {
             let before = self.all[i].free();
             self.all[i].listed_leaving = leaving.contains(self.all[i].name.as_str());
@@ -273,7 +274,7 @@
 
     /// Takes in an upstream's word that it has put a prefix into its cache, or out of it. The word
     /// may be late or missing: it only moves a preference.
-    pub fn cache_event(&mut self, name: &UpstreamName, prefix: u64, stored: bool) {
+    pub fn record_cache_event(&mut self, name: &UpstreamName, prefix: u64, stored: bool) {
         if stored {
             self.remember(prefix, name);
         } else if self.prefixes.get(&prefix) == Some(name) {
--- a/src/node/admit.rs
+++ b/src/node/admit.rs
@@ -97,7 +97,7 @@
             return Err(refusal);
         }
         lane.waiting += 1;
-        self.budget(pool, 0).deposit();
+        self.budget(pool, 0).record_request();
         Ok(())
     }
 
@@ -140,7 +140,7 @@
     pub fn may_retry(&mut self, pool: &PoolName, percent: u32) -> bool {
         let budget = self.budget(pool, percent);
         budget.set_percent(percent);
-        budget.withdraw()
+        budget.try_take()
     }
 
     fn budget(&mut self, pool: &PoolName, percent: u32) -> &mut RetryBudget {
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -22,9 +22,9 @@
 use crate::config::Revision;
 use crate::dispatch::pool::Action;
 use crate::dispatch::pool::Decision;
-use crate::dispatch::pool::Pool;
+use crate::dispatch::pool::PoolDispatcher;
 use crate::dispatch::pool::Tuning;
-use crate::dispatch::upstreams::Report;
+use crate::dispatch::upstreams::UpstreamReport;
 use crate::names::BoxName;
 use crate::names::PoolName;
 use crate::names::UpstreamName;
@@ -32,10 +32,10 @@
 use crate::node::admit::Admission;
 use crate::node::wait::Unheard;
 use crate::node::wait::Waiting;
-use crate::peer::member::Gossip;
+use crate::peer::member::GossipSettings;
 use crate::peer::member::ListedBox;
 use crate::peer::member::Members;
-use crate::peer::message::Done;
+use crate::peer::message::CompletionReport;
 use crate::peer::message::Ending;
 use crate::peer::message::Grant;
 use crate::peer::message::Message;
@@ -63,7 +63,7 @@
     /// Send a message to another box.
     Send { to: BoxName, message: Message },
     /// Send a waiting request to this upstream now; `cover` of its cost is charged already.
-    Start { ticket: TicketId, upstream: UpstreamName, cover: u64 },
+    Start { ticket: TicketId, upstream: UpstreamName, charged_cost: u64 },
     /// A request that waits won't be served in time; tell its caller now.
     Refuse { ticket: TicketId, refusal: Refusal },
     /// Log and remember a decision of a dispatcher on this box.
@@ -92,7 +92,7 @@
     cfg: Arc<Revision>,
     members: Members,
     tuning: Tuning,
-    pools: BTreeMap<PoolName, Pool>,
+    pools: BTreeMap<PoolName, PoolDispatcher>,
     owners: BTreeMap<PoolName, BoxName>,
     live: Vec<BoxName>,
     /// Whether roles must be found anew though nobody came or went.
@@ -121,7 +121,7 @@
 
 impl Node {
     /// A node that knows nothing of the fleet yet.
-    pub fn new(id: Identity, tuning: Tuning, gossip: Gossip) -> Node {
+    pub fn new(id: Identity, tuning: Tuning, gossip: GossipSettings) -> Node {
         let members = Members::new(&id.name, &id.zone, id.incarnation, gossip);
         Node {
             members,
@@ -169,12 +169,12 @@
     }
 
     /// The dispatchers on this box.
-    pub fn pools(&self) -> impl Iterator<Item = &Pool> {
+    pub fn pools(&self) -> impl Iterator<Item = &PoolDispatcher> {
         self.pools.iter().filter(|(name, _)| self.is_owner(name)).map(|(_, p)| p)
     }
 
     /// A dispatcher on this box, if it has this pool's.
-    pub fn pool(&self, name: &str) -> Option<&Pool> {
+    pub fn pool(&self, name: &str) -> Option<&PoolDispatcher> {
         self.pools.get(name).filter(|_| self.is_owner(name))
     }
 
@@ -186,7 +186,7 @@
     /// The box that usually writes the claims of a shard; nothing when it is this one.
     pub fn claims_writer(&self, shard: u64, now: Duration) -> Option<BoxName> {
         let role = format!("claims/{shard}");
-        let elsewhere = self.members.elsewhere(&role);
+        let elsewhere = self.members.owners_in_other_zones(&role);
         let zones = elsewhere.iter().map(|(zone, _)| zone).chain([&self.id.zone]);
         let home = util::rendezvous(&role, zones)?;
         if *home == self.id.zone {
@@ -222,27 +222,31 @@
     /// the logarithm of the cost. Gives the cost from which on this needs to be called again.
     pub fn produced(&mut self, id: TicketId, cost: u64, now: Duration) -> u64 {
         let Some(running) = self.running.get_mut(&id) else { return cost };
-        if cost <= running.grant.cover * OUTGROWN {
-            return running.grant.cover * OUTGROWN;
+        if cost <= running.grant.charged_cost * OUTGROWN {
+            return running.grant.charged_cost * OUTGROWN;
         }
-        running.grant.cover = cost;
+        running.grant.charged_cost = cost;
         let message = Message::Progress {
-            p: running.ticket.pool.clone(),
-            g: running.grant.id,
-            e: running.grant.cover,
+            pool: running.ticket.pool.clone(),
+            grant: running.grant.id,
+            cost: running.grant.charged_cost,
         };
-        let (to, cover) = (running.grant.dispatcher.clone(), running.grant.cover);
+        let (to, charged_cost) = (running.grant.dispatcher.clone(), running.grant.charged_cost);
         self.send(to, message);
         self.settle(now);
-        cover * OUTGROWN
+        charged_cost * OUTGROWN
     }
 
     /// Ends a running request.
     pub fn finish(&mut self, id: TicketId, cost: u64, ending: Ending, now: Duration) {
         let Some(running) = self.running.remove(&id) else { return };
-        let done =
-            Done { pool: running.ticket.pool.clone(), grant: running.grant.id, cost, ending };
-        self.send(running.grant.dispatcher, Message::Done(done));
+        let done = CompletionReport {
+            pool: running.ticket.pool.clone(),
+            grant: running.grant.id,
+            cost,
+            ending,
+        };
+        self.send(running.grant.dispatcher, Message::CompletionReport(done));
         self.settle(now);
     }
 
@@ -262,11 +266,11 @@
 
     /// Takes over a newer box list.
     pub fn list(&mut self, boxes: &[ListedBox], now: Duration) {
-        self.members.list(boxes, now);
+        self.members.update_box_list(boxes, now);
         // Upstreams run on boxes, too; they are listed by their own names.
         self.listed_leaving = boxes.iter().filter(|b| b.leaving).map(|b| b.name.clone()).collect();
         for pool in self.pools.values_mut() {
-            pool.upstreams_mut().list_leaving(&self.listed_leaving);
+            pool.upstreams_mut().set_listed_leaving(&self.listed_leaving);
         }
         self.refresh_roles(now);
         self.settle(now);
@@ -292,11 +296,17 @@
     }
 
     /// Takes in what an upstream reports of itself.
-    pub fn report(&mut self, pool: &PoolName, upstream: &str, report: Report, now: Duration) {
+    pub fn report(
+        &mut self,
+        pool: &PoolName,
+        upstream: &str,
+        report: UpstreamReport,
+        now: Duration,
+    ) {
         let mut actions = Vec::new();
         if let Some(pool) = self.pools.get_mut(pool) {
-            pool.upstreams_mut().report(upstream, report, now);
-            pool.fill(now, &mut actions);
+            pool.upstreams_mut().apply_report(upstream, report, now);
+            pool.fill_slots(now, &mut actions);
         }
         self.perform(actions);
         self.settle(now);
@@ -311,13 +321,13 @@
         stored: bool,
     ) {
         if let Some(pool) = self.pools.get_mut(pool) {
-            pool.upstreams_mut().cache_event(upstream, prefix, stored);
+            pool.upstreams_mut().record_cache_event(upstream, prefix, stored);
         }
     }
 
     /// Notes that a box refuses connections.
     pub fn unreachable(&mut self, name: &BoxName, now: Duration) {
-        self.members.failed(name);
+        self.members.mark_unreachable(name);
         // Nothing listens there, so nothing runs there.
         self.forget_router(name, now);
         self.refresh_roles(now);
@@ -326,10 +336,13 @@
 
     /// Tells the zone that this box is about to stop, and gives its roles to others.
     pub fn leave(&mut self, now: Duration) {
-        let (t, boxes) = self.members.leave(now);
+        let (entries, boxes) = self.members.leave(now);
         for to in boxes {
-            let v = self.cfg.number;
-            self.out.push(Output::Send { to, message: Message::Heartbeat { t: t.clone(), v } });
+            let revision = self.cfg.number;
+            self.out.push(Output::Send {
+                to,
+                message: Message::Heartbeat { entries: entries.clone(), revision },
+            });
         }
         self.refresh_roles(now);
         self.settle(now);
@@ -347,10 +360,10 @@
                 continue;
             }
             pool.tick(now, &mut actions);
-            let mut others = self.members.elsewhere(name);
-            let successor = self.members.successor(name, now);
+            let mut others = self.members.owners_in_other_zones(name);
+            let successor = self.members.standby(name, now);
             others.extend(successor.map(|b| (self.id.zone.clone(), b.clone())));
-            pool.exchange(&others, now, &mut actions);
+            pool.send_reports(&others, now, &mut actions);
         }
         self.perform(actions);
         self.settle(now);
--- a/src/node/receive.rs
+++ b/src/node/receive.rs
@@ -7,79 +7,96 @@
 use crate::config::Catalog;
 use crate::config::Revision;
 use crate::dispatch::pool::Action;
-use crate::dispatch::pool::Pool;
+use crate::dispatch::pool::PoolDispatcher;
 use crate::names::BoxName;
 use crate::names::PoolName;
 use crate::node::Change;
 use crate::node::Node;
 use crate::node::Output;
 use crate::node::Running;
-use crate::peer::message::Beat;
-use crate::peer::message::Digest;
-use crate::peer::message::Done;
+use crate::peer::message::CompletionReport;
+use crate::peer::message::DispatcherReport;
 use crate::peer::message::Ending;
 use crate::peer::message::Grant;
+use crate::peer::message::GrantDigest;
 use crate::peer::message::GrantId;
+use crate::peer::message::HeartbeatEntry;
 use crate::peer::message::Message;
-use crate::peer::message::Pull;
-use crate::peer::message::Summary;
+use crate::peer::message::PullRequest;
 use crate::peer::message::Ticket;
 
 impl Node {
     pub(super) fn handle(&mut self, from: &BoxName, message: Message, now: Duration) {
         match message {
-            Message::Heartbeat { t, v } => self.handle_heartbeat(from, &t, v, now),
+            Message::Heartbeat { entries, revision } => {
+                self.handle_heartbeat(from, &entries, revision, now)
+            }
             Message::Probe {} => {
-                let (t, v) = (vec![self.members.own_beat().clone()], self.cfg.number);
-                self.send(from.clone(), Message::Heartbeat { t, v });
+                let (entries, revision) =
+                    (vec![self.members.own_heartbeat().clone()], self.cfg.number);
+                self.send(from.clone(), Message::Heartbeat { entries, revision });
             }
             Message::Ticket(ticket) => self.handle_ticket(from, ticket, now),
-            Message::Cancel { p, i } => {
-                if let Some(pool) = self.pools.get_mut(&p) {
-                    pool.cancel(i);
+            Message::Cancel { pool, ticket } => {
+                if let Some(pool) = self.pools.get_mut(&pool) {
+                    pool.cancel(ticket);
                 }
             }
             Message::Grant(grant) => self.handle_grant(from, grant, now),
-            Message::Progress { p, g, e } => {
-                if let Some(pool) = self.pools.get_mut(&p) {
-                    pool.progress(g, e);
+            Message::Progress { pool, grant, cost } => {
+                if let Some(pool) = self.pools.get_mut(&pool) {
+                    pool.record_progress(grant, cost);
                 }
             }
-            Message::Done(done) => self.handle_done(done, now),
-            Message::Running { p, b, r } => {
-                let router = if b.is_none() { from } else { &b };
-                self.with_pool(&p, |pool, _| pool.adopt(router, &r, now));
+            Message::CompletionReport(done) => self.handle_done(done, now),
+            Message::RunningGrants { pool, router, grants } => {
+                let router = if router.is_none() { from } else { &router };
+                self.with_pool(&pool, |pool, _| pool.adopt_grants(router, &grants, now));
+            }
+            Message::GrantCheckRequest { pool, grants, digest } => {
+                self.handle_check(from, pool, &grants, digest)
             }
-            Message::Check { p, g, d } => self.handle_check(from, p, &g, d),
-            Message::Using { p, f, u, g } => {
-                self.with_pool(&p, |pool, out| pool.using(from, f, u, &g, now, out));
+            Message::GrantsInUse { pool, first, last, grants } => {
+                self.with_pool(&pool, |pool, out| {
+                    pool.release_except(from, first, last, &grants, now, out)
+                });
             }
-            Message::NotRunning { p, g } => {
-                self.with_pool(&p, |pool, out| pool.not_running(from, &g, now, out));
+            Message::GrantsNotInUse { pool, grants } => {
+                self.with_pool(&pool, |pool, out| pool.release_unused(from, &grants, now, out));
             }
-            Message::Summary(summary) => self.handle_summary(from, *summary, now),
-            Message::Copied { p, z, c, t } => {
-                self.with_pool(&p, |pool, _| pool.copied(&z, &c, t));
+            Message::DispatcherReport(summary) => self.handle_summary(from, *summary, now),
+            Message::StandbyAck { pool, zone, replica, version } => {
+                self.with_pool(&pool, |pool, _| pool.record_standby_ack(&zone, &replica, version));
             }
-            Message::Pull(pull) => self.handle_pull(pull, now),
-            Message::Pulled(pulled) => {
-                self.with_pool(&pulled.pool.clone(), |pool, out| pool.pulled(pulled, now, out));
+            Message::PullRequest(pull) => self.handle_pull(pull, now),
+            Message::PullResponse(pulled) => {
+                self.with_pool(&pulled.pool.clone(), |pool, out| {
+                    pool.handle_pull_response(pulled, now, out)
+                });
             }
             // Claims need the store; the process handles them.
-            Message::Claim(_) | Message::Claimed { .. } => {}
-            Message::WantConfiguration { v } => self.handle_want(from, v),
-            Message::Configuration { v, c } => self.handle_configuration(from, v, *c, now),
+            Message::ClaimRequest(_) | Message::ClaimResponse { .. } => {}
+            Message::ConfigurationRequest { revision } => self.handle_want(from, revision),
+            Message::Configuration { revision, catalog } => {
+                self.handle_configuration(from, revision, *catalog, now)
+            }
         }
     }
 
-    fn handle_heartbeat(&mut self, from: &BoxName, table: &[Beat], revision: u64, now: Duration) {
-        self.members.hear(table, now);
-        for beat in table {
-            self.note_incarnation(&beat.name, now);
+    fn handle_heartbeat(
+        &mut self,
+        from: &BoxName,
+        entries: &[HeartbeatEntry],
+        revision: u64,
+        now: Duration,
+    ) {
+        self.members.receive(entries, now);
+        for entry in entries {
+            self.note_incarnation(&entry.name, now);
         }
         if self.cfg.number < revision {
-            let v = self.cfg.number;
-            self.send(from.clone(), Message::WantConfiguration { v });
+            let revision = self.cfg.number;
+            self.send(from.clone(), Message::ConfigurationRequest { revision });
         }
         self.refresh_roles(now);
     }
@@ -111,8 +128,8 @@
         if let Some(waiting) = self.waiting.remove(&grant.ticket) {
             let ticket = waiting.ticket;
             self.admission.granted(&ticket.workspace, &ticket.pool, now);
-            let (upstream, cover) = (grant.upstream.clone(), grant.cover);
-            let start = Output::Start { ticket: ticket.id, upstream, cover };
+            let (upstream, charged_cost) = (grant.upstream.clone(), grant.charged_cost);
+            let start = Output::Start { ticket: ticket.id, upstream, charged_cost };
             self.running.insert(ticket.id, Running { ticket, grant });
             self.out.push(start);
             return;
@@ -122,46 +139,49 @@
         }
         // A second grant for the same ticket, or one that came too late.
         let Some(pool) = self.pool_of(&grant) else { return };
-        let done = Done { pool, grant: grant.id, cost: 0, ending: Ending::Unused };
-        self.send(grant.dispatcher, Message::Done(done));
+        let done = CompletionReport { pool, grant: grant.id, cost: 0, ending: Ending::Unused };
+        self.send(grant.dispatcher, Message::CompletionReport(done));
     }
 
-    fn handle_done(&mut self, done: Done, now: Duration) {
+    fn handle_done(&mut self, done: CompletionReport, now: Duration) {
         if self.pools.contains_key(&done.pool) {
-            self.with_pool(&done.pool.clone(), |pool, out| pool.done(&done, now, out));
+            self.with_pool(&done.pool.clone(), |pool, out| pool.handle_completion(&done, now, out));
             return;
         }
         // The role was handed over, and the sender doesn't know yet.
         if let Some(owner) = self.owners.get(&done.pool).cloned()
             && owner != self.id.name
         {
-            self.send(owner, Message::Done(done));
+            self.send(owner, Message::CompletionReport(done));
         }
     }
 
     fn handle_check(
         &mut self,
         from: &BoxName,
-        p: PoolName,
+        pool: PoolName,
         grants: &[GrantId],
-        digest: Option<Digest>,
+        digest: Option<GrantDigest>,
     ) {
         let used: FxHashSet<GrantId> = self.running.values().map(|r| r.grant.id).collect();
         if let Some(theirs) = digest {
-            let (f, u) = (theirs.from, theirs.upto);
-            if theirs != Digest::new(f, u, used.iter().copied()) {
-                let mut g: Vec<GrantId> =
+            let (first, last) = (theirs.first, theirs.last);
+            if theirs != GrantDigest::new(first, last, used.iter().copied()) {
+                let mut grants: Vec<GrantId> =
                     used.iter().copied().filter(|g| theirs.covers(*g)).collect();
-                g.sort();
-                self.send(from.clone(), Message::Using { p: p.clone(), f, u, g });
+                grants.sort();
+                self.send(
+                    from.clone(),
+                    Message::GrantsInUse { pool: pool.clone(), first, last, grants },
+                );
             }
         }
-        let g: Vec<GrantId> = grants.iter().copied().filter(|id| !used.contains(id)).collect();
+        let grants: Vec<GrantId> = grants.iter().copied().filter(|id| !used.contains(id)).collect();
         // Sent even when empty: it tells that this router lives.
-        self.send(from.clone(), Message::NotRunning { p, g });
+        self.send(from.clone(), Message::GrantsNotInUse { pool, grants });
     }
 
-    fn handle_summary(&mut self, from: &BoxName, summary: Summary, now: Duration) {
+    fn handle_summary(&mut self, from: &BoxName, summary: DispatcherReport, now: Duration) {
         // What another box tells in this one's name would have it ask itself for work.
         if summary.dispatcher == self.id.name {
             return;
@@ -172,43 +192,45 @@
             if let Some(owner) = self.owners.get(&summary.pool).cloned()
                 && !summary.forwarded
             {
-                let forwarded = Summary { forwarded: true, ..summary };
-                self.send(owner, Message::Summary(Box::new(forwarded)));
+                let forwarded = DispatcherReport { forwarded: true, ..summary };
+                self.send(owner, Message::DispatcherReport(Box::new(forwarded)));
             }
             return;
         }
         let name = summary.pool.clone();
         let Some(pool) = self.pool_mut(&name) else { return };
         let mut actions = Vec::new();
-        pool.summary(&summary, now, &mut actions);
+        pool.handle_report(&summary, now, &mut actions);
         self.perform(actions);
         if here && !is_owner {
-            let copied = Message::Copied {
-                p: summary.pool,
-                z: summary.zone,
-                c: summary.cell,
-                t: summary.upto,
+            let ack = Message::StandbyAck {
+                pool: summary.pool,
+                zone: summary.zone,
+                replica: summary.replica,
+                version: summary.version,
             };
-            self.send(from.clone(), copied);
+            self.send(from.clone(), ack);
         }
     }
 
-    fn handle_pull(&mut self, pull: Pull, now: Duration) {
+    fn handle_pull(&mut self, pull: PullRequest, now: Duration) {
         if self.is_owner(&pull.pool) {
-            self.with_pool(&pull.pool.clone(), |pool, out| pool.pull(&pull, now, out));
+            self.with_pool(&pull.pool.clone(), |pool, out| {
+                pool.handle_pull_request(&pull, now, out)
+            });
             return;
         }
         if let Some(owner) = self.owners.get(&pull.pool).cloned()
             && !pull.forwarded
         {
-            self.send(owner, Message::Pull(Pull { forwarded: true, ..pull }));
+            self.send(owner, Message::PullRequest(PullRequest { forwarded: true, ..pull }));
         }
     }
 
     fn handle_want(&mut self, from: &BoxName, revision: u64) {
         if revision < self.cfg.number {
-            let c = Box::new(self.cfg.catalog.clone());
-            self.send(from.clone(), Message::Configuration { v: self.cfg.number, c });
+            let catalog = Box::new(self.cfg.catalog.clone());
+            self.send(from.clone(), Message::Configuration { revision: self.cfg.number, catalog });
         }
     }
 
@@ -230,7 +252,11 @@
         }
     }
 
-    fn with_pool(&mut self, name: &PoolName, f: impl FnOnce(&mut Pool, &mut Vec<Action>)) {
+    fn with_pool(
+        &mut self,
+        name: &PoolName,
+        f: impl FnOnce(&mut PoolDispatcher, &mut Vec<Action>),
+    ) {
         let mut actions = Vec::new();
         if let Some(pool) = self.pools.get_mut(name) {
             f(pool, &mut actions);
--- a/src/node/roles.rs
+++ b/src/node/roles.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
-use crate::dispatch::ledger::CellId;
-use crate::dispatch::pool::Pool;
+use crate::dispatch::ledger::ReplicaId;
+use crate::dispatch::pool::PoolDispatcher;
 use crate::names::BoxName;
 use crate::names::PoolName;
 use crate::node::Change;
 use crate::node::Node;
 use crate::node::Output;
 use crate::peer::message::Message;
-use crate::peer::message::Running;
+use crate::peer::message::RunningGrant;
 use crate::peer::message::Ticket;
 
 /// Every so many heartbeats one also goes to another zone, so that news of a configuration gets
@@ -20,19 +20,19 @@
 impl Node {
     /// Sends the heartbeats and probes that are due.
     pub(super) fn beat(&mut self, now: Duration) {
-        for name in self.members.to_probe(now) {
+        for name in self.members.take_due_probes(now) {
             self.send(name, Message::Probe {});
         }
-        let Some((t, to)) = self.members.beat(now, &mut self.rng) else { return };
+        let Some((entries, to)) = self.members.next_heartbeat(now, &mut self.rng) else { return };
         self.beats += 1;
-        let v = self.cfg.number;
+        let revision = self.cfg.number;
         for name in to {
-            self.send(name, Message::Heartbeat { t: t.clone(), v });
+            self.send(name, Message::Heartbeat { entries: entries.clone(), revision });
         }
         if self.beats.is_multiple_of(ABROAD_EVERY)
-            && let Some(name) = self.members.anyone_abroad(&mut self.rng)
+            && let Some(name) = self.members.random_box_in_other_zone(&mut self.rng)
         {
-            self.send(name, Message::Heartbeat { t: Vec::new(), v });
+            self.send(name, Message::Heartbeat { entries: Vec::new(), revision });
         }
     }
 
@@ -57,12 +57,13 @@
     }
 
     /// The dispatcher or the copy of a pool on this box, made when it is first needed.
-    pub(super) fn pool_mut(&mut self, name: &PoolName) -> Option<&mut Pool> {
+    pub(super) fn pool_mut(&mut self, name: &PoolName) -> Option<&mut PoolDispatcher> {
         if !self.pools.contains_key(name) {
-            let cell = CellId { name: self.id.name.clone(), incarnation: self.next_cell };
+            let cell = ReplicaId { name: self.id.name.clone(), incarnation: self.next_cell };
             self.next_cell += 1;
-            let mut pool = Pool::new(name, &self.id.zone, cell, self.cfg.clone(), self.tuning)?;
-            pool.upstreams_mut().list_leaving(&self.listed_leaving);
+            let mut pool =
+                PoolDispatcher::new(name, &self.id.zone, cell, self.cfg.clone(), self.tuning)?;
+            pool.upstreams_mut().set_listed_leaving(&self.listed_leaving);
             self.pools.insert(name.clone(), pool);
         }
         self.pools.get_mut(name)
@@ -82,12 +83,12 @@
             self.out.push(Output::Changed(change));
         }
         if was_mine && let Some(old) = self.pools.remove(pool) {
-            for message in old.hand_over(now) {
+            for message in old.handover_messages(now) {
                 self.send(owner.clone(), message);
             }
         }
         if mine && let Some(pool) = self.pool_mut(pool) {
-            pool.take_over(now);
+            pool.start_dispatching(now);
         }
         if let Some(before) = before {
             self.hand_grants_over(pool, &before, owner);
@@ -97,22 +98,25 @@
 
     /// Tells a new dispatcher of the grants that its predecessor gave to this router.
     fn hand_grants_over(&mut self, pool: &PoolName, before: &BoxName, owner: &BoxName) {
-        let mut r = Vec::new();
+        let mut grants = Vec::new();
         for running in self.running.values_mut() {
             if running.ticket.pool == *pool && running.grant.dispatcher == *before {
                 running.grant.dispatcher = owner.clone();
-                r.push(Running {
+                grants.push(RunningGrant {
                     grant: running.grant.id,
                     workspace: running.ticket.workspace.clone(),
                     service: running.ticket.service.clone(),
                     upstream: running.grant.upstream.clone(),
-                    cover: running.grant.cover,
+                    charged_cost: running.grant.charged_cost,
                 });
             }
         }
-        r.sort_by_key(|r| r.grant);
-        if !r.is_empty() {
-            self.send(owner.clone(), Message::Running { p: pool.clone(), b: BoxName::none(), r });
+        grants.sort_by_key(|r| r.grant);
+        if !grants.is_empty() {
+            self.send(
+                owner.clone(),
+                Message::RunningGrants { pool: pool.clone(), router: BoxName::none(), grants },
+            );
         }
     }
 
@@ -146,7 +150,7 @@
                 self.out.push(Output::Changed(Change::Member { name, live: true }));
             }
         }
-        for name in self.members.departed(now) {
+        for name in self.members.take_dead(now) {
             self.forget_router(&name, now);
         }
         changed
@@ -165,7 +169,7 @@
     pub(super) fn forget_router(&mut self, name: &BoxName, now: Duration) {
         let mut actions = Vec::new();
         for pool in self.pools.values_mut() {
-            pool.lost_router(name, now, &mut actions);
+            pool.record_lost_router(name, now, &mut actions);
         }
         self.perform(actions);
     }
--- a/src/node/wait.rs
+++ b/src/node/wait.rs
@@ -85,7 +85,7 @@
             }
         }
         for message in messages {
-            let matters = matches!(message, Message::Done(_) | Message::Grant(_));
+            let matters = matches!(message, Message::CompletionReport(_) | Message::Grant(_));
             if matters && self.unheard.len() < UNHEARD_MAX {
                 self.unheard.push_back(Unheard { at, to: name.clone(), message });
             }
@@ -98,7 +98,7 @@
         self.admission.leave(&waiting.ticket.workspace, &waiting.ticket.pool);
         let pool = waiting.ticket.pool;
         if let Some(owner) = self.owners.get(&pool).cloned() {
-            self.send(owner, Message::Cancel { p: pool, i: id });
+            self.send(owner, Message::Cancel { pool, ticket: id });
         }
         true
     }
@@ -164,7 +164,7 @@
         while self.unheard.front().is_some_and(|u| u.at <= now) {
             let unheard = self.unheard.pop_front().expect("just seen");
             let to = match &unheard.message {
-                Message::Done(done) => self.dispatcher_now(&unheard.to, &done.pool),
+                Message::CompletionReport(done) => self.dispatcher_now(&unheard.to, &done.pool),
                 _ => unheard.to,
             };
             self.send(to, unheard.message);
@@ -174,7 +174,7 @@
     /// Who should hear what a dispatcher didn't: itself, or in this zone whoever followed it.
     fn dispatcher_now(&self, before: &BoxName, pool: &str) -> BoxName {
         match self.owners.get(pool) {
-            Some(owner) if self.members.is_of_zone(before) => owner.clone(),
+            Some(owner) if self.members.is_in_own_zone(before) => owner.clone(),
             _ => before.clone(),
         }
     }
--- a/src/operator/fleet.rs
+++ b/src/operator/fleet.rs
@@ -12,7 +12,7 @@
 use crate::config::settings;
 use crate::config::settings::Secret;
 use crate::names::BoxName;
-use crate::peer::link;
+use crate::peer::connection;
 use crate::peer::member::ListedBox;
 use crate::peer::server;
 use crate::peer::traffic::Traffic;
@@ -83,8 +83,8 @@
     secret: &Secret,
     method: &str,
     argument: Option<String>,
-) -> Result<T, link::Error> {
-    let client = link::connect(listed.peer, secret, &Arc::new(Traffic::default())).await?;
+) -> Result<T, connection::Error> {
+    let client = connection::connect(listed.peer, secret, &Arc::new(Traffic::default())).await?;
     let answer = match argument {
         Some(argument) => client.request(method, rpc_params![argument]).await,
         None => client.request(method, rpc_params![]).await,
--- a/src/peer/link.rs
+++ b/src/peer/connection.rs
@@ -53,7 +53,7 @@
 const REST: Duration = Duration::from_millis(200);
 
 /// What the links tell the rest of the process.
-pub trait Inbox: Send + Sync + 'static {
+pub trait ConnectionHandler: Send + Sync + 'static {
     /// Messages came from a box.
     fn receive(&self, from: &BoxName, messages: Vec<Message>);
 
@@ -61,7 +61,7 @@
     fn unreachable(&self, name: &BoxName);
 
     /// These messages to a box were likely lost.
-    fn lost(&self, name: &BoxName, messages: Vec<Message>);
+    fn messages_lost(&self, name: &BoxName, messages: Vec<Message>);
 
     /// Where a box's peer port is.
     fn address(&self, name: &BoxName) -> Option<SocketAddr>;
@@ -85,7 +85,7 @@
 }
 
 /// The links of one router to all others.
-pub struct Links {
+pub struct PeerConnections {
     me: BoxName,
     secret: Secret,
     traffic: Arc<Traffic>,
@@ -93,14 +93,14 @@
     queues: Mutex<HashMap<BoxName, mpsc::Sender<Message>>>,
 }
 
-impl Links {
+impl PeerConnections {
     /// No links yet; they are made when something is sent, by any thread.
     ///
     /// # Panics
     ///
     /// Outside of a runtime.
-    pub fn new(me: &BoxName, secret: &Secret, traffic: &Arc<Traffic>) -> Links {
-        Links {
+    pub fn new(me: &BoxName, secret: &Secret, traffic: &Arc<Traffic>) -> PeerConnections {
+        PeerConnections {
             me: me.clone(),
             secret: secret.clone(),
             traffic: traffic.clone(),
@@ -111,7 +111,7 @@
 
     /// Sends a message soon, or drops it when too many wait. Doesn't block. `inbox` hears what
     /// comes back.
-    pub fn send(&self, to: &BoxName, message: Message, inbox: &Arc<dyn Inbox>) {
+    pub fn send(&self, to: &BoxName, message: Message, inbox: &Arc<dyn ConnectionHandler>) {
         let mut queues = self.queues.lock().expect("no panic under lock");
         let queue = queues.entry(to.clone()).or_insert_with(|| self.open(to, inbox));
         if queue.try_send(message).is_err() {
@@ -119,9 +119,9 @@
         }
     }
 
-    fn open(&self, to: &BoxName, inbox: &Arc<dyn Inbox>) -> mpsc::Sender<Message> {
+    fn open(&self, to: &BoxName, inbox: &Arc<dyn ConnectionHandler>) -> mpsc::Sender<Message> {
         let (tx, rx) = mpsc::channel(QUEUE_MAX);
-        let link = Link {
+        let link = PeerConnection {
             me: self.me.clone(),
             peer: to.clone(),
             secret: self.secret.clone(),
@@ -157,16 +157,16 @@
 }
 
 /// The link to one peer.
-struct Link {
+struct PeerConnection {
     me: BoxName,
     peer: BoxName,
     secret: Secret,
     traffic: Arc<Traffic>,
-    inbox: Arc<dyn Inbox>,
+    inbox: Arc<dyn ConnectionHandler>,
     client: Option<(SocketAddr, Arc<WsClient>)>,
 }
 
-impl Link {
+impl PeerConnection {
     async fn run(mut self, mut rx: mpsc::Receiver<Message>) {
         let calls = Arc::new(Semaphore::new(CALLS_MAX));
         let (failed, mut failures) = mpsc::channel::<Error>(CALLS_MAX);
@@ -202,7 +202,7 @@
             Ok(client) => client,
             Err(e) => {
                 self.traffic.messages_lost.fetch_add(count, Ordering::Relaxed);
-                self.inbox.lost(&self.peer, messages);
+                self.inbox.messages_lost(&self.peer, messages);
                 // There is room: one failure at a time is reported from here.
                 let _ = failed.try_send(e);
                 return;
@@ -223,7 +223,7 @@
                 }
                 Err(e) => {
                     traffic.messages_lost.fetch_add(count, Ordering::Relaxed);
-                    inbox.lost(&peer, envelope.1);
+                    inbox.messages_lost(&peer, envelope.1);
                     // When more fail than fit, the link rests all the same.
                     let _ = failed.try_send(e);
                 }
@@ -255,7 +255,7 @@
             stale.push(message);
         }
         self.traffic.messages_lost.fetch_add(stale.len() as u64, Ordering::Relaxed);
-        self.inbox.lost(&self.peer, stale);
+        self.inbox.messages_lost(&self.peer, stale);
     }
 }
 
--- a/src/peer/member.rs
+++ b/src/peer/member.rs
@@ -18,7 +18,7 @@
 
 use crate::names::BoxName;
 use crate::names::ZoneName;
-use crate::peer::message::Beat;
+use crate::peer::message::HeartbeatEntry;
 use crate::util;
 
 /// A box counts as departed after this many times the silence that makes it suspected.
@@ -26,9 +26,9 @@
 
 /// How membership behaves; the benches vary it.
 #[derive(Clone, Copy, Debug)]
-pub struct Gossip {
+pub struct GossipSettings {
     /// Time between heartbeats.
-    pub every: Duration,
+    pub interval: Duration,
     /// Boxes told at each heartbeat.
     pub fanout: usize,
     /// Silence after which a box is probed.
@@ -37,10 +37,10 @@
     pub suspect_after: Duration,
 }
 
-impl Default for Gossip {
-    fn default() -> Gossip {
-        Gossip {
-            every: Duration::from_millis(1000),
+impl Default for GossipSettings {
+    fn default() -> GossipSettings {
+        GossipSettings {
+            interval: Duration::from_millis(1000),
             fanout: 2,
             probe_after: Duration::from_millis(4000),
             suspect_after: Duration::from_millis(5000),
@@ -67,16 +67,16 @@
 pub struct Members {
     me: BoxName,
     zone: ZoneName,
-    gossip: Gossip,
+    gossip: GossipSettings,
     listed: BTreeMap<BoxName, ListedBox>,
     heard: BTreeMap<BoxName, Heard>,
-    own: Beat,
+    own: HeartbeatEntry,
     next: Duration,
 }
 
 #[derive(Debug)]
 struct Heard {
-    beat: Beat,
+    beat: HeartbeatEntry,
     at: Duration,
     /// Whether it was asked for a sign of life since.
     probed: bool,
@@ -85,7 +85,7 @@
 }
 
 impl Heard {
-    fn new(beat: &Beat, now: Duration) -> Heard {
+    fn new(beat: &HeartbeatEntry, now: Duration) -> Heard {
         let beat = beat.clone();
         Heard { beat, at: now, probed: false, failed: false, departed: false }
     }
@@ -93,21 +93,21 @@
 
 impl Members {
     /// Knows only the own box.
-    pub fn new(me: &BoxName, zone: &ZoneName, incarnation: u64, gossip: Gossip) -> Members {
+    pub fn new(me: &BoxName, zone: &ZoneName, incarnation: u64, gossip: GossipSettings) -> Members {
         Members {
             me: me.clone(),
             zone: zone.clone(),
             gossip,
             listed: BTreeMap::new(),
             heard: BTreeMap::new(),
-            own: Beat { name: me.clone(), incarnation, beat: 0, leaving: false },
+            own: HeartbeatEntry { name: me.clone(), incarnation, counter: 0, leaving: false },
             next: Duration::ZERO,
         }
     }
 
     /// Takes over a newer box list. Boxes that are gone from it are forgotten unless they still
     /// give signs of life: the list lags.
-    pub fn list(&mut self, boxes: &[ListedBox], now: Duration) {
+    pub fn update_box_list(&mut self, boxes: &[ListedBox], now: Duration) {
         let alive: Vec<BoxName> = self.live(now).cloned().collect();
         let fresh: BTreeMap<_, _> = boxes.iter().map(|b| (b.name.clone(), b.clone())).collect();
         // A list that doesn't name this box is older than this box: it only adds.
@@ -138,13 +138,13 @@
     }
 
     /// The box that would have the role `key` if its owner were gone.
-    pub fn successor(&self, key: &str, now: Duration) -> Option<&BoxName> {
+    pub fn standby(&self, key: &str, now: Duration) -> Option<&BoxName> {
         let owner = self.owner(key, now);
         util::rendezvous(key, self.live(now).filter(|name| *name != owner))
     }
 
     /// For each other zone, the box that likely has the role `key` there, by the box list alone.
-    pub fn elsewhere(&self, key: &str) -> Vec<(ZoneName, BoxName)> {
+    pub fn owners_in_other_zones(&self, key: &str) -> Vec<(ZoneName, BoxName)> {
         let mut zones: BTreeMap<&ZoneName, Vec<&BoxName>> = BTreeMap::new();
         for listed in self.listed.values().filter(|b| b.zone != self.zone && !b.leaving) {
             zones.entry(&listed.zone).or_default().push(&listed.name);
@@ -157,16 +157,20 @@
     }
 
     /// The signs of life to send now, and to whom. Empty between heartbeats.
-    pub fn beat(&mut self, now: Duration, rng: &mut SmallRng) -> Option<(Vec<Beat>, Vec<BoxName>)> {
+    pub fn next_heartbeat(
+        &mut self,
+        now: Duration,
+        rng: &mut SmallRng,
+    ) -> Option<(Vec<HeartbeatEntry>, Vec<BoxName>)> {
         if now < self.next {
             return None;
         }
         // Some jitter keeps the boxes of a zone from beating in step.
-        let jitter = rng.random_range(0..=self.gossip.every.as_millis() as u64 / 10);
-        self.next = now + self.gossip.every + Duration::from_millis(jitter);
-        self.own.beat += 1;
+        let jitter = rng.random_range(0..=self.gossip.interval.as_millis() as u64 / 10);
+        self.next = now + self.gossip.interval + Duration::from_millis(jitter);
+        self.own.counter += 1;
         // The first one goes to all, so that a box that comes back gets its roles at once.
-        let fanout = if self.own.beat == 1 { usize::MAX } else { self.gossip.fanout };
+        let fanout = if self.own.counter == 1 { usize::MAX } else { self.gossip.fanout };
         let fanout = fanout.min(self.listed.len());
         let to = self.zone_peers().choose_multiple(rng, fanout);
         Some((self.table(now), to))
@@ -174,7 +178,7 @@
 
     /// Boxes that haven't been heard for so long that they are to be asked now, each once per
     /// silence.
-    pub fn to_probe(&mut self, now: Duration) -> Vec<BoxName> {
+    pub fn take_due_probes(&mut self, now: Duration) -> Vec<BoxName> {
         let mut names = Vec::new();
         for (name, heard) in &mut self.heard {
             let silent = heard.at + self.gossip.probe_after <= now;
@@ -187,14 +191,14 @@
     }
 
     /// The own sign of life, for whoever asks.
-    pub fn own_beat(&self) -> &Beat {
+    pub fn own_heartbeat(&self) -> &HeartbeatEntry {
         &self.own
     }
 
     /// Tells everybody in the zone that this box is about to stop.
-    pub fn leave(&mut self, now: Duration) -> (Vec<Beat>, Vec<BoxName>) {
+    pub fn leave(&mut self, now: Duration) -> (Vec<HeartbeatEntry>, Vec<BoxName>) {
         self.own.leaving = true;
-        self.own.beat += 1;
+        self.own.counter += 1;
         (self.table(now), self.zone_peers().collect())
     }
 
@@ -204,10 +208,10 @@
     }
 
     /// Takes in signs of life. Older ones than known change nothing.
-    pub fn hear(&mut self, table: &[Beat], now: Duration) {
+    pub fn receive(&mut self, table: &[HeartbeatEntry], now: Duration) {
         for beat in table.iter().filter(|b| b.name != self.me) {
             let fresher = self.heard.get(&beat.name).is_none_or(|known| {
-                (known.beat.incarnation, known.beat.beat) < (beat.incarnation, beat.beat)
+                (known.beat.incarnation, known.beat.counter) < (beat.incarnation, beat.counter)
             });
             if fresher {
                 self.heard.insert(beat.name.clone(), Heard::new(beat, now));
@@ -216,21 +220,21 @@
     }
 
     /// Notes that a box refuses connections: it is suspected until its next sign of life.
-    pub fn failed(&mut self, name: &str) {
+    pub fn mark_unreachable(&mut self, name: &str) {
         if let Some(heard) = self.heard.get_mut(name) {
             heard.failed = true;
         }
     }
 
     /// Any box of another zone.
-    pub fn anyone_abroad(&self, rng: &mut SmallRng) -> Option<BoxName> {
+    pub fn random_box_in_other_zone(&self, rng: &mut SmallRng) -> Option<BoxName> {
         let abroad = |b: &&ListedBox| b.zone != self.zone && !b.leaving;
         self.listed.values().filter(abroad).choose(rng).map(|b| b.name.clone())
     }
 
     /// Boxes that have been silent for so long that what they held counts as lost. Each is told
     /// once per silence.
-    pub fn departed(&mut self, now: Duration) -> Vec<BoxName> {
+    pub fn take_dead(&mut self, now: Duration) -> Vec<BoxName> {
         let after = self.gossip.suspect_after * DEPARTED_FACTOR;
         let mut names = Vec::new();
         for (name, heard) in &mut self.heard {
@@ -243,7 +247,7 @@
     }
 
     /// Whether a box is of the own zone.
-    pub fn is_of_zone(&self, name: &str) -> bool {
+    pub fn is_in_own_zone(&self, name: &str) -> bool {
         self.listed.get(name).is_some_and(|b| b.zone == self.zone)
     }
 
@@ -262,7 +266,7 @@
     }
 
     /// Only boxes that were heard lately are passed on, lest a dead one's last beat circulates.
-    fn table(&self, now: Duration) -> Vec<Beat> {
+    fn table(&self, now: Duration) -> Vec<HeartbeatEntry> {
         let fresh = |h: &&Heard| now < h.at + self.gossip.suspect_after;
         let others = self.heard.values().filter(fresh).map(|h| h.beat.clone());
         std::iter::once(self.own.clone()).chain(others).collect()
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -9,11 +9,11 @@
 use serde_tuple::Serialize_tuple;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::claims::Claim;
-use crate::claims::Verdict;
+use crate::claims::ClaimOutcome;
+use crate::claims::ClaimRequest;
 use crate::config::Catalog;
-use crate::dispatch::ledger::CellId;
-use crate::dispatch::ledger::Entry;
+use crate::dispatch::ledger::CounterEntry;
+use crate::dispatch::ledger::ReplicaId;
 use crate::names::BoxName;
 use crate::names::PoolName;
 use crate::names::ServiceName;
@@ -93,28 +93,32 @@
     /// Where to send it.
     pub upstream: UpstreamName,
     /// Cost that is charged already, in the pool's unit.
-    pub cover: u64,
+    pub charged_cost: u64,
     /// The dispatcher that wants to hear how it went; on the wire none for the sender.
     pub dispatcher: BoxName,
 }
 
 /// Grants in a few bytes: how many there are from one to another, and a sum of their hashes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
-pub struct Digest {
+pub struct GrantDigest {
     /// The first that is covered.
-    pub from: GrantId,
+    pub first: GrantId,
     /// The last that is covered.
-    pub upto: GrantId,
+    pub last: GrantId,
     /// How many there are.
     pub count: u32,
     /// What tells them from as many others, but for one time in four billion.
     pub sum: u32,
 }
 
-impl Digest {
+impl GrantDigest {
     /// The digest of those of `grants` that are in the range.
-    pub fn new(from: GrantId, upto: GrantId, grants: impl Iterator<Item = GrantId>) -> Digest {
-        let mut digest = Digest { from, upto, count: 0, sum: 0 };
+    pub fn new(
+        first: GrantId,
+        last: GrantId,
+        grants: impl Iterator<Item = GrantId>,
+    ) -> GrantDigest {
+        let mut digest = GrantDigest { first, last, count: 0, sum: 0 };
         for grant in grants {
             if digest.covers(grant) {
                 digest.count += 1;
@@ -126,7 +130,7 @@
 
     /// Whether a grant is in the range.
     pub fn covers(&self, grant: GrantId) -> bool {
-        (self.from..=self.upto).contains(&grant)
+        (self.first..=self.last).contains(&grant)
     }
 }
 
@@ -152,7 +156,7 @@
 
 /// The end of a grant.
 #[derive(Clone, Debug, PartialEq, Serialize_tuple, Deserialize_tuple)]
-pub struct Done {
+pub struct CompletionReport {
     /// The pool of the grant.
     pub pool: PoolName,
     /// Which grant.
@@ -165,7 +169,7 @@
 
 /// A grant in use, as a router reports it to a dispatcher that may not know it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Running {
+pub struct RunningGrant {
     /// Which grant.
     #[serde(rename = "g")]
     pub grant: GrantId,
@@ -180,25 +184,25 @@
     pub upstream: UpstreamName,
     /// Cost that is charged already.
     #[serde(rename = "e")]
-    pub cover: u64,
+    pub charged_cost: u64,
 }
 
 /// One line of a heartbeat: the freshest sign of life known of a box.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
-pub struct Beat {
+pub struct HeartbeatEntry {
     /// Whose.
     pub name: BoxName,
     /// Which start of that box.
     pub incarnation: u64,
     /// Counter that the box raises with every heartbeat.
-    pub beat: u64,
+    pub counter: u64,
     /// Whether the box is about to stop.
     pub leaving: bool,
 }
 
 /// What dispatchers of one pool tell each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Summary {
+pub struct DispatcherReport {
     /// Which pool.
     #[serde(rename = "p")]
     pub pool: PoolName,
@@ -210,28 +214,28 @@
     pub dispatcher: BoxName,
     /// The sender's own cell.
     #[serde(rename = "c")]
-    pub cell: CellId,
+    pub replica: ReplicaId,
     /// Version of the sender's cell that this brings the receiver to.
     #[serde(rename = "t")]
-    pub upto: u64,
+    pub version: u64,
     /// Version of the receiver's cell that the sender has merged.
     #[serde(rename = "k")]
-    pub seen: u64,
+    pub merged_version: u64,
     /// Virtual time of the sender's last grant.
     #[serde(rename = "v")]
     pub virtual_time: i64,
     /// Free slots that the sender has no work for.
     #[serde(rename = "n", default, skip_serializing_if = "is_none_free")]
-    pub idle: u32,
+    pub idle_slots: u32,
     /// Routers of the sender's zone that were found to be gone since the receiver was last told.
     #[serde(rename = "g", default, skip_serializing_if = "Vec::is_empty")]
-    pub gone: Vec<BoxName>,
+    pub lost_routers: Vec<BoxName>,
     /// Entries of the sender's cell that changed since the receiver's `seen`.
     #[serde(rename = "e", default, skip_serializing_if = "Vec::is_empty")]
-    pub entries: Vec<Entry>,
+    pub entries: Vec<CounterEntry>,
     /// Cells of other dispatchers, for a receiver that knows nothing yet.
     #[serde(rename = "o", default, skip_serializing_if = "Vec::is_empty")]
-    pub others: Vec<OtherCell>,
+    pub relayed: Vec<RelayedCounters>,
     /// Whether another box already passed this on.
     #[serde(rename = "f", default, skip_serializing_if = "is_false")]
     pub forwarded: bool,
@@ -239,21 +243,21 @@
 
 /// A copy of another dispatcher's cell.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct OtherCell {
+pub struct RelayedCounters {
     /// Whose.
     #[serde(rename = "c")]
-    pub cell: CellId,
+    pub replica: ReplicaId,
     /// Its version.
     #[serde(rename = "t")]
-    pub upto: u64,
+    pub version: u64,
     /// All its entries.
     #[serde(rename = "e")]
-    pub entries: Vec<Entry>,
+    pub entries: Vec<CounterEntry>,
 }
 
 /// A dispatcher with a free slot asks another zone's dispatcher for a waiting ticket.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Pull {
+pub struct PullRequest {
     /// Which pool.
     #[serde(rename = "p")]
     pub pool: PoolName,
@@ -271,7 +275,7 @@
     pub dispatcher: BoxName,
     /// Whether any workspace's ticket will do, since the asker has nothing of its own.
     #[serde(rename = "a", default, skip_serializing_if = "is_false")]
-    pub any: bool,
+    pub any_workspace: bool,
     /// Whether another box already passed this on.
     #[serde(rename = "f", default, skip_serializing_if = "is_false")]
     pub forwarded: bool,
@@ -279,7 +283,7 @@
 
 /// The answer to a pull.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Pulled {
+pub struct PullResponse {
     /// Which pool.
     #[serde(rename = "p")]
     pub pool: PoolName,
@@ -294,15 +298,15 @@
     pub zone: ZoneName,
     /// The ticket that took the offer; none when nothing waits there any more.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
-    pub taken: Option<Taken>,
+    pub ticket: Option<PulledTicket>,
     /// How many tickets of that workspace still wait there.
     #[serde(rename = "n")]
-    pub left: u32,
+    pub still_waiting: u32,
 }
 
 /// The ticket that took an offered grant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Taken {
+pub struct PulledTicket {
     /// Which ticket.
     #[serde(rename = "i")]
     pub ticket: TicketId,
@@ -317,7 +321,7 @@
     pub service: ServiceName,
     /// Cost that the granting dispatcher charges now.
     #[serde(rename = "e")]
-    pub cover: u64,
+    pub charged_cost: u64,
 }
 
 /// One message between routers.
@@ -325,7 +329,12 @@
 pub enum Message {
     /// Signs of life of a zone's boxes, and the revision of the sender's configuration.
     #[serde(rename = "H")]
-    Heartbeat { t: Vec<Beat>, v: u64 },
+    Heartbeat {
+        #[serde(rename = "t")]
+        entries: Vec<HeartbeatEntry>,
+        #[serde(rename = "v")]
+        revision: u64,
+    },
     /// Ask for a sign of life, since none was heard for long.
     #[serde(rename = "B")]
     Probe {},
@@ -334,65 +343,116 @@
     Ticket(Ticket),
     /// Forget a ticket.
     #[serde(rename = "C")]
-    Cancel { p: PoolName, i: TicketId },
+    Cancel {
+        #[serde(rename = "p")]
+        pool: PoolName,
+        #[serde(rename = "i")]
+        ticket: TicketId,
+    },
     /// A ticket may run.
     #[serde(rename = "G")]
     Grant(Grant),
     /// A request outgrew what was charged for it.
     #[serde(rename = "P")]
-    Progress { p: PoolName, g: GrantId, e: u64 },
+    Progress {
+        #[serde(rename = "p")]
+        pool: PoolName,
+        #[serde(rename = "g")]
+        grant: GrantId,
+        #[serde(rename = "e")]
+        cost: u64,
+    },
     /// A grant has ended.
     #[serde(rename = "D")]
-    Done(Done),
+    CompletionReport(CompletionReport),
     /// Grants of one pool that a router uses (on the wire none for the sender) and that the
     /// receiver inherits.
     #[serde(rename = "R")]
-    Running {
-        p: PoolName,
-        #[serde(default = "BoxName::none", skip_serializing_if = "BoxName::is_none")]
-        b: BoxName,
-        r: Vec<Running>,
+    RunningGrants {
+        #[serde(rename = "p")]
+        pool: PoolName,
+        #[serde(rename = "b", default = "BoxName::none", skip_serializing_if = "BoxName::is_none")]
+        router: BoxName,
+        #[serde(rename = "r")]
+        grants: Vec<RunningGrant>,
     },
     /// Asks which of these grants the receiver still uses, and whether it uses just those that the
     /// digest tells.
     #[serde(rename = "K")]
-    Check {
-        p: PoolName,
-        #[serde(default, skip_serializing_if = "Vec::is_empty")]
-        g: Vec<GrantId>,
-        #[serde(default, skip_serializing_if = "Option::is_none")]
-        d: Option<Digest>,
+    GrantCheckRequest {
+        #[serde(rename = "p")]
+        pool: PoolName,
+        #[serde(rename = "g", default, skip_serializing_if = "Vec::is_empty")]
+        grants: Vec<GrantId>,
+        #[serde(rename = "d", default, skip_serializing_if = "Option::is_none")]
+        digest: Option<GrantDigest>,
     },
     /// The digest told others: these are the grants from `f` to `u` that the sender uses.
     #[serde(rename = "U")]
-    Using { p: PoolName, f: GrantId, u: GrantId, g: Vec<GrantId> },
+    GrantsInUse {
+        #[serde(rename = "p")]
+        pool: PoolName,
+        #[serde(rename = "f")]
+        first: GrantId,
+        #[serde(rename = "u")]
+        last: GrantId,
+        #[serde(rename = "g")]
+        grants: Vec<GrantId>,
+    },
     /// These grants aren't used (any more).
     #[serde(rename = "X")]
-    NotRunning { p: PoolName, g: Vec<GrantId> },
+    GrantsNotInUse {
+        #[serde(rename = "p")]
+        pool: PoolName,
+        #[serde(rename = "g")]
+        grants: Vec<GrantId>,
+    },
     /// State of a pool, from dispatcher to dispatcher.
     #[serde(rename = "S")]
-    Summary(Box<Summary>),
+    DispatcherReport(Box<DispatcherReport>),
     /// The sender, which would follow the receiver, has a copy of its cell at version `t`.
     #[serde(rename = "Y")]
-    Copied { p: PoolName, z: ZoneName, c: CellId, t: u64 },
+    StandbyAck {
+        #[serde(rename = "p")]
+        pool: PoolName,
+        #[serde(rename = "z")]
+        zone: ZoneName,
+        #[serde(rename = "c")]
+        replica: ReplicaId,
+        #[serde(rename = "t")]
+        version: u64,
+    },
     /// Ask for a ticket.
     #[serde(rename = "L")]
-    Pull(Pull),
+    PullRequest(PullRequest),
     /// Answer to a pull.
     #[serde(rename = "Q")]
-    Pulled(Pulled),
+    PullResponse(PullResponse),
     /// Claim a key; the receiver writes for many.
     #[serde(rename = "M")]
-    Claim(Claim),
+    ClaimRequest(ClaimRequest),
     /// The verdict on the claim of an attempt.
     #[serde(rename = "N")]
-    Claimed { a: u64, v: Verdict },
+    ClaimResponse {
+        #[serde(rename = "a")]
+        attempt: u64,
+        #[serde(rename = "v")]
+        outcome: ClaimOutcome,
+    },
     /// Ask for the configuration, since the receiver has a newer one.
     #[serde(rename = "W")]
-    WantConfiguration { v: u64 },
+    ConfigurationRequest {
+        #[serde(rename = "v")]
+        revision: u64,
+    },
     /// The sender's configuration.
     #[serde(rename = "V")]
-    Configuration { v: u64, c: Box<Catalog> },
+    Configuration {
+        #[serde(rename = "v")]
+        revision: u64,
+        #[serde(rename = "c")]
+        catalog: Box<Catalog>,
+    },
 }
 
 /// What one call between routers carries: the sending box, and the messages in order.
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,6 +1,6 @@
 //! How the routers of a fleet talk: messages, membership and links.
 
-pub mod link;
+pub mod connection;
 pub mod member;
 pub mod message;
 pub mod server;
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -26,7 +26,7 @@
 
 use crate::config::settings::Secret;
 use crate::names::BoxName;
-use crate::peer::link::METHOD;
+use crate::peer::connection::METHOD;
 use crate::peer::message::Envelope;
 use crate::peer::message::Message;
 use crate::peer::traffic::Counted;
@@ -53,17 +53,17 @@
 const HOLD: Duration = Duration::from_secs(1);
 
 /// The answer to a call.
-pub enum Answer {
+pub enum CallResponse {
     /// There is something to say, or nothing is expected.
-    Now(Vec<Message>),
+    Ready(Vec<Message>),
     /// There may be something to say soon.
-    Later(oneshot::Receiver<Vec<Message>>),
+    Pending(oneshot::Receiver<Vec<Message>>),
 }
 
 /// Takes in calls of peers.
-pub trait Handler: Send + Sync + 'static {
+pub trait CallHandler: Send + Sync + 'static {
     /// Handles messages; gives those that are for the caller.
-    fn call(&self, from: &BoxName, messages: Vec<Message>) -> Answer;
+    fn call(&self, from: &BoxName, messages: Vec<Message>) -> CallResponse;
 
     /// Answers why a request was placed as it was, as far as this box knows.
     fn explain(&self, request: &str) -> Explanation;
@@ -76,7 +76,7 @@
 pub async fn serve(
     listener: TcpListener,
     secret: Secret,
-    handler: Arc<dyn Handler>,
+    handler: Arc<dyn CallHandler>,
     traffic: Arc<Traffic>,
 ) -> io::Result<()> {
     let methods = methods(handler, &traffic);
@@ -129,7 +129,7 @@
     let _ = serve_with_graceful_shutdown(stream, service, stopped).await;
 }
 
-fn methods(handler: Arc<dyn Handler>, traffic: &Arc<Traffic>) -> Methods {
+fn methods(handler: Arc<dyn CallHandler>, traffic: &Arc<Traffic>) -> Methods {
     let mut module = RpcModule::new((handler, traffic.clone()));
     module
         .register_async_method(METHOD, |params, cx, _| async move {
@@ -138,8 +138,8 @@
             let count = messages.len() as u64;
             traffic.messages_in.fetch_add(count, Ordering::Relaxed);
             let answer = match handler.call(&from, messages) {
-                Answer::Now(answer) => answer,
-                Answer::Later(rx) => {
+                CallResponse::Ready(answer) => answer,
+                CallResponse::Pending(rx) => {
                     timeout(HOLD, rx).await.map_or(Vec::new(), Result::unwrap_or_default)
                 }
             };
--- a/src/router/answer.rs
+++ b/src/router/answer.rs
@@ -14,7 +14,7 @@
 use http_body_util::combinators::BoxBody;
 use serde::Serialize;
 
-use crate::claims::KeyFault;
+use crate::claims::KeyError;
 use crate::node::Refusal;
 use crate::router::ask::Fault;
 use crate::web::BodyFault;
@@ -117,7 +117,7 @@
             Cause::Bad(Fault::NoService) => "no-service",
             Cause::Bad(Fault::NotAllowed) => "not-allowed",
             Cause::Bad(Fault::Header(..)) => "bad-header",
-            Cause::Bad(Fault::Key(KeyFault::Old)) => "key-too-old",
+            Cause::Bad(Fault::Key(KeyError::TooOld)) => "key-too-old",
             Cause::Bad(Fault::Key(_)) => "bad-key",
             Cause::DuplicateRan => "duplicate-ran",
             Cause::DuplicateElsewhere => "duplicate-elsewhere",
@@ -144,7 +144,7 @@
             Cause::Bad(Fault::Unauthorized) => StatusCode::UNAUTHORIZED,
             Cause::Bad(Fault::NoWorkspace | Fault::NotAllowed) => StatusCode::FORBIDDEN,
             Cause::Bad(Fault::NoService) | Cause::NoPath => StatusCode::NOT_FOUND,
-            Cause::Bad(Fault::Key(KeyFault::Old)) => StatusCode::GONE,
+            Cause::Bad(Fault::Key(KeyError::TooOld)) => StatusCode::GONE,
             Cause::Bad(Fault::Header(..) | Fault::Key(_)) => StatusCode::BAD_REQUEST,
             Cause::DuplicateRan | Cause::DuplicateElsewhere => StatusCode::CONFLICT,
             Cause::Method => StatusCode::METHOD_NOT_ALLOWED,
@@ -170,7 +170,7 @@
             | Cause::TooLate
             | Cause::DuplicateElsewhere
             | Cause::NoClaim { first: false }
-            | Cause::Bad(Fault::Key(KeyFault::Old)) => Outcome::Unknown,
+            | Cause::Bad(Fault::Key(KeyError::TooOld)) => Outcome::Unknown,
             Cause::DuplicateRan => Outcome::Ran,
             _ => Outcome::NotRun,
         }
--- a/src/router/ask.rs
+++ b/src/router/ask.rs
@@ -13,8 +13,8 @@
 use subtle::ConstantTimeEq;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::claims::Key;
-use crate::claims::KeyFault;
+use crate::claims::IdempotencyKey;
+use crate::claims::KeyError;
 use crate::config::Revision;
 use crate::config::Unit;
 use crate::config::settings::Limits;
@@ -70,7 +70,7 @@
     /// How long the caller waits for the answer to begin.
     pub deadline: Duration,
     /// What to claim before it is sent, for one that must not be repeated and carries a key.
-    pub key: Option<Key>,
+    pub key: Option<IdempotencyKey>,
     /// Whether it may be sent to an upstream more than once.
     pub repeatable: bool,
     /// Whether the caller says that it has not sent this key before.
@@ -101,7 +101,7 @@
     Header(HeaderName, &'static str),
     /// The key of a request that must not be repeated isn't one that can be claimed.
     #[error("idempotency-key: {0}")]
-    Key(#[from] KeyFault),
+    Key(#[from] KeyError),
 }
 
 /// Reads what is asked of `service`.
@@ -119,7 +119,7 @@
     let pool = cfg.pool(&service.pool).ok_or(Fault::NoService)?;
     let repeatable = repeatable(headers)?.unwrap_or(service.repeatable);
     let key = key(headers)?.filter(|_| !repeatable);
-    let key = key.map(|k| Key::new(&workspace, k, SystemTime::now())).transpose()?;
+    let key = key.map(|k| IdempotencyKey::new(&workspace, k, SystemTime::now())).transpose()?;
     Ok(Ask {
         workspace,
         service: service.name.clone(),
--- a/src/router/flow.rs
+++ b/src/router/flow.rs
@@ -17,9 +17,9 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
+use crate::claims::ClaimOutcome;
 use crate::claims::Claims;
-use crate::claims::Key;
-use crate::claims::Verdict;
+use crate::claims::IdempotencyKey;
 use crate::config::settings::Limits;
 use crate::names::BoxName;
 use crate::names::ServiceName;
@@ -138,16 +138,16 @@
         let (tx, rx) = oneshot::channel();
         let taker = claims.clone();
         tokio::spawn(async move {
-            let result = taker.take(key, rand::random::<u64>() >> 1).await;
+            let result = taker.acquire(key, rand::random::<u64>() >> 1).await;
             if let Err(Ok(attempt)) = tx.send(result) {
-                taker.settle(key, attempt, false);
+                taker.resolve(key, attempt, false);
             }
         });
-        let result = rx.await.unwrap_or(Err(Verdict::Unavailable));
+        let result = rx.await.unwrap_or(Err(ClaimOutcome::Unavailable));
         let attempt = result.map_err(|v| match v {
-            Verdict::Ran => Cause::DuplicateRan,
-            Verdict::Elsewhere => Cause::DuplicateElsewhere,
-            Verdict::Taken | Verdict::Unavailable | Verdict::Full => unavailable,
+            ClaimOutcome::Ran => Cause::DuplicateRan,
+            ClaimOutcome::HeldByOther => Cause::DuplicateElsewhere,
+            ClaimOutcome::Acquired | ClaimOutcome::Unavailable | ClaimOutcome::Full => unavailable,
         })?;
         self.claimed = Some(Claimed { claims: claims.clone(), key, attempt, sent: false });
         Ok(())
@@ -289,7 +289,7 @@
             return self.failed(true, format!("the upstream refused with {status}"));
         }
         if let Some(claimed) = self.claimed.take() {
-            claimed.claims.settle(claimed.key, claimed.attempt, true);
+            claimed.claims.resolve(claimed.key, claimed.attempt, true);
         }
         let length =
             headers.get(header::CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.parse().ok());
@@ -422,7 +422,7 @@
 /// A key that this request holds. Dropped before any byte of the request has left, it is released.
 struct Claimed {
     claims: Arc<Claims>,
-    key: Key,
+    key: IdempotencyKey,
     attempt: u64,
     sent: bool,
 }
@@ -430,7 +430,7 @@
 impl Drop for Claimed {
     fn drop(&mut self) {
         if !self.sent {
-            self.claims.settle(self.key, self.attempt, false);
+            self.claims.resolve(self.key, self.attempt, false);
         }
     }
 }
--- a/src/router/health.rs
+++ b/src/router/health.rs
@@ -9,7 +9,7 @@
 use ureq::Agent;
 
 use crate::config::Upstream;
-use crate::dispatch::upstreams::Report;
+use crate::dispatch::upstreams::UpstreamReport;
 use crate::names::PoolName;
 use crate::names::UpstreamName;
 use crate::node::Node;
@@ -80,7 +80,7 @@
     let Ok(mut resp) = agent.get(format!("http://{}/load", target.addr)).call() else { return };
     let Ok(text) = resp.body_mut().read_to_string() else { return };
     let Ok(load) = serde_json::from_str::<Load>(&text) else { return };
-    let report = Report { running: load.running, leaving: load.leaving };
+    let report = UpstreamReport { running: load.running, leaving: load.leaving };
     hub.with(|node, now| {
         node.report(&target.pool, &target.name, report, now);
         for event in &load.events {
--- a/src/router/hub.rs
+++ b/src/router/hub.rs
@@ -17,13 +17,13 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use crate::claims::Claim;
+use crate::claims::ClaimOp;
+use crate::claims::ClaimRequest;
+use crate::claims::ClaimTransport;
 use crate::claims::Claims;
-use crate::claims::Courier;
-use crate::claims::Op;
 use crate::config::Revision;
 use crate::dispatch::pool::Decision;
-use crate::dispatch::pool::Pool;
+use crate::dispatch::pool::PoolDispatcher;
 use crate::metrics::Metrics;
 use crate::names::BoxName;
 use crate::names::PoolName;
@@ -33,14 +33,14 @@
 use crate::node::Node;
 use crate::node::Output;
 use crate::node::Refusal;
-use crate::peer::link::Inbox;
-use crate::peer::link::Links;
+use crate::peer::connection::ConnectionHandler;
+use crate::peer::connection::PeerConnections;
 use crate::peer::message::Ending;
 use crate::peer::message::Message;
 use crate::peer::message::Ticket;
 use crate::peer::message::TicketId;
-use crate::peer::server::Answer;
-use crate::peer::server::Handler;
+use crate::peer::server::CallHandler;
+use crate::peer::server::CallResponse;
 use crate::platform::Objects;
 use crate::router::records::Records;
 use crate::status::Explanation;
@@ -61,7 +61,7 @@
     /// Where to send the request.
     pub upstream: UpstreamName,
     /// Cost charged already, in the pool's unit.
-    pub cover: u64,
+    pub charged_cost: u64,
 }
 
 /// What becomes of a request that waits.
@@ -71,7 +71,7 @@
 pub struct Hub {
     inner: Mutex<Inner>,
     epoch: Instant,
-    links: Links,
+    links: PeerConnections,
     records: Records,
     metrics: Metrics,
     log: Logger,
@@ -88,7 +88,7 @@
 
 impl Hub {
     /// A hub around `node`.
-    pub fn new(node: Node, links: Links, metrics: Metrics, log: Logger) -> Arc<Hub> {
+    pub fn new(node: Node, links: PeerConnections, metrics: Metrics, log: Logger) -> Arc<Hub> {
         Arc::new_cyclic(|this| Hub {
             inner: Mutex::new(Inner { node, starts: HashMap::new(), held: HashMap::new() }),
             epoch: Instant::now(),
@@ -205,8 +205,8 @@
             match output {
                 Output::Send { to, message } if Some(&to) == caller => answer.push(message),
                 Output::Send { to, message } => self.send(inner, &to, message),
-                Output::Start { ticket, upstream, cover } => {
-                    place(inner, ticket, Ok(Start { upstream, cover }));
+                Output::Start { ticket, upstream, charged_cost } => {
+                    place(inner, ticket, Ok(Start { upstream, charged_cost }));
                 }
                 Output::Refuse { ticket, refusal } => place(inner, ticket, Err(refusal)),
                 Output::Decided(decision) => self.decided(decision),
@@ -228,7 +228,7 @@
         }
         let Some(message) = messages.pop() else { return };
         if let Some(this) = self.this.upgrade() {
-            let inbox: Arc<dyn Inbox> = this;
+            let inbox: Arc<dyn ConnectionHandler> = this;
             self.links.send(to, message, &inbox);
         }
     }
@@ -280,15 +280,15 @@
 /// Carries claims over the links.
 struct HubCourier(Weak<Hub>);
 
-impl Courier for HubCourier {
+impl ClaimTransport for HubCourier {
     fn writer_of(&self, shard: u64) -> Option<BoxName> {
         self.0.upgrade()?.read(|node, now| node.claims_writer(shard, now))
     }
 
-    fn send(&self, to: &BoxName, claim: Claim) {
+    fn send(&self, to: &BoxName, claim: ClaimRequest) {
         if let Some(hub) = self.0.upgrade() {
             let mut inner = hub.inner.lock().expect("no panic under lock");
-            hub.send(&mut inner, to, Message::Claim(claim));
+            hub.send(&mut inner, to, Message::ClaimRequest(claim));
         }
     }
 }
@@ -300,27 +300,29 @@
         let mut others = Vec::with_capacity(messages.len());
         for message in messages {
             match message {
-                Message::Claim(claim) => self.claim(claims, from, claim),
-                Message::Claimed { a, v } => claims.answered(a, v),
+                Message::ClaimRequest(claim) => self.claim(claims, from, claim),
+                Message::ClaimResponse { attempt, outcome } => {
+                    claims.handle_response(attempt, outcome)
+                }
                 other => others.push(other),
             }
         }
         others
     }
 
-    fn claim(&self, claims: &Claims, from: &BoxName, claim: Claim) {
-        let (this, from, a) = (self.this.clone(), from.clone(), claim.attempt);
-        let wants = claim.op == Op::Take;
-        claims.asked(claim, move |v| {
+    fn claim(&self, claims: &Claims, from: &BoxName, claim: ClaimRequest) {
+        let (this, from, attempt) = (self.this.clone(), from.clone(), claim.attempt);
+        let wants = claim.op == ClaimOp::Acquire;
+        claims.handle_request(claim, move |outcome| {
             if let Some(hub) = this.upgrade().filter(|_| wants) {
                 let mut inner = hub.inner.lock().expect("no panic under lock");
-                hub.send(&mut inner, &from, Message::Claimed { a, v });
+                hub.send(&mut inner, &from, Message::ClaimResponse { attempt, outcome });
             }
         });
     }
 }
 
-impl Inbox for Hub {
+impl ConnectionHandler for Hub {
     fn receive(&self, from: &BoxName, messages: Vec<Message>) {
         let messages = self.sift(from, messages);
         self.with(|node, now| node.receive(from, messages, now));
@@ -330,7 +332,7 @@
         self.with(|node, now| node.unreachable(name, now));
     }
 
-    fn lost(&self, name: &BoxName, messages: Vec<Message>) {
+    fn messages_lost(&self, name: &BoxName, messages: Vec<Message>) {
         self.with(|node, now| node.lost(name, messages, now));
     }
 
@@ -339,24 +341,24 @@
     }
 }
 
-impl Handler for Hub {
-    fn call(&self, from: &BoxName, messages: Vec<Message>) -> Answer {
+impl CallHandler for Hub {
+    fn call(&self, from: &BoxName, messages: Vec<Message>) -> CallResponse {
         let messages = self.sift(from, messages);
         let expects = messages.iter().any(|m| matches!(m, Message::Ticket(_)));
         let mut inner = self.inner.lock().expect("no panic under lock");
         inner.node.receive(from, messages, self.now());
         let answer = self.act(&mut inner, Some(from));
         if !expects || !answer.is_empty() {
-            return Answer::Now(answer);
+            return CallResponse::Ready(answer);
         }
         let (tx, rx) = oneshot::channel();
         let held = inner.held.entry(from.clone()).or_default();
         held.retain(|tx| !tx.is_closed());
         if HELD_MAX <= held.len() {
-            return Answer::Now(answer);
+            return CallResponse::Ready(answer);
         }
         held.push_back(tx);
-        Answer::Later(rx)
+        CallResponse::Pending(rx)
     }
 
     fn explain(&self, request: &str) -> Explanation {
@@ -390,12 +392,12 @@
     }
 }
 
-fn pool_status(pool: &Pool) -> PoolStatus {
+fn pool_status(pool: &PoolDispatcher) -> PoolStatus {
     let status = |w: &WorkspaceName| WorkspaceStatus {
         workspace: w.clone(),
         waiting: pool.queue().waiting(w),
         virtual_time: pool.ledger().virtual_time(w),
-        why: pool.why_waits(w),
+        why: pool.wait_reason(w),
     };
     let mut workspaces: Vec<WorkspaceStatus> = pool.queue().workspaces().map(status).collect();
     workspaces.sort_by_key(|w| w.virtual_time);
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -29,8 +29,8 @@
 use crate::metrics::Metrics;
 use crate::node::Identity;
 use crate::node::Node;
-use crate::peer::link::Links;
-use crate::peer::member::Gossip;
+use crate::peer::connection::PeerConnections;
+use crate::peer::member::GossipSettings;
 use crate::peer::server;
 use crate::peer::traffic::Traffic;
 use crate::platform;
@@ -121,8 +121,8 @@
         zone: cfg.identity.zone.clone(),
         incarnation: util::new_incarnation(),
     };
-    let links = Links::new(&id.name, &cfg.secret, traffic);
-    let node = Node::new(id, Tuning::default(), Gossip::default());
+    let links = PeerConnections::new(&id.name, &cfg.secret, traffic);
+    let node = Node::new(id, Tuning::default(), GossipSettings::default());
     let hub = Hub::new(node, links, metrics.clone(), log);
     hub.with(|node, now| node.list(&cfg.seeds, now));
     hub
@@ -198,7 +198,7 @@
     metrics.count("frostdyke_claim_writes", move || hub.claims().map_or(0, |c| c.writes()));
     let hub = service.hub.clone();
     metrics.gauge("frostdyke_claims_down", move || {
-        let down = hub.claims().is_some_and(|c| c.is_down());
+        let down = hub.claims().is_some_and(|c| c.is_store_down());
         vec![(f64::from(u8::from(down)), Vec::new())]
     });
     let hub = service.hub.clone();
@@ -224,7 +224,7 @@
             ("running", running),
             ("slots", slots),
             ("utilisation", if slots == 0.0 { 0.0 } else { running / slots }),
-            ("gap", pool.gap()),
+            ("gap", pool.service_gap()),
         ];
         for (what, value) in shown {
             let labels =
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -52,7 +52,7 @@
             hub: hub.clone(),
             id,
             upstream: start.upstream,
-            next_report: start.cover,
+            next_report: start.charged_cost,
             meter: meter::new(ask.unit),
             labels: [
                 KeyValue::new("workspace", ask.workspace.to_string()),
--- a/src/status.rs
+++ b/src/status.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use crate::dispatch::pool::Decision;
-use crate::dispatch::pool::Waits;
+use crate::dispatch::pool::WaitReason;
 use crate::names::BoxName;
 use crate::names::PoolName;
 use crate::names::ServiceName;
@@ -63,7 +63,7 @@
     /// Its virtual time, in thousandths of the pool's unit.
     pub virtual_time: i64,
     /// Why its first ticket isn't served now.
-    pub why: Waits,
+    pub why: WaitReason,
 }
 
 /// An upstream, and why it gets nothing if it doesn't.
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -11,7 +11,7 @@
 use frostdyke::node::Identity;
 use frostdyke::node::Node;
 use frostdyke::node::Output;
-use frostdyke::peer::member::Gossip;
+use frostdyke::peer::member::GossipSettings;
 use frostdyke::peer::message::Class;
 use frostdyke::peer::message::Ending;
 use frostdyke::peer::message::Ticket;
@@ -24,7 +24,7 @@
 /// A box alone in its zone, before an engine with one slot.
 fn node() -> Node {
     let id = Identity { name: "box-1".into(), zone: "here".into(), incarnation: 1 };
-    let mut node = Node::new(id, Tuning::default(), Gossip::default());
+    let mut node = Node::new(id, Tuning::default(), GossipSettings::default());
     let engine = catalog::upstream("e1", "here", 1);
     let cfg = catalog::catalog(vec![catalog::workspace("a", 1)], vec![engine]);
     node.configure(Revision::new(1, cfg).expect("it is valid"), Duration::ZERO);
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -11,19 +11,19 @@
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
 
-use frostdyke::claims::Claim;
+use frostdyke::claims::ClaimObject;
+use frostdyke::claims::ClaimOp;
+use frostdyke::claims::ClaimOutcome;
+use frostdyke::claims::ClaimRequest;
+use frostdyke::claims::ClaimTransport;
 use frostdyke::claims::Claims;
-use frostdyke::claims::Courier;
-use frostdyke::claims::Key;
-use frostdyke::claims::KeyFault;
-use frostdyke::claims::Op;
-use frostdyke::claims::Place;
+use frostdyke::claims::IdempotencyKey;
+use frostdyke::claims::KeyError;
 use frostdyke::claims::RING;
 use frostdyke::claims::SKEW;
-use frostdyke::claims::Verdict;
 use frostdyke::claims::WINDOW;
-use frostdyke::claims::book::Book;
-use frostdyke::claims::book::RECORDS_MAX;
+use frostdyke::claims::records::ClaimRecords;
+use frostdyke::claims::records::RECORDS_MAX;
 use frostdyke::names::BoxName;
 use frostdyke::platform::Error;
 use frostdyke::platform::Object;
@@ -94,12 +94,12 @@
 /// Every box believes that it writes every shard.
 struct Alone;
 
-impl Courier for Alone {
+impl ClaimTransport for Alone {
     fn writer_of(&self, _: u64) -> Option<BoxName> {
         None
     }
 
-    fn send(&self, _: &BoxName, _: Claim) {}
+    fn send(&self, _: &BoxName, _: ClaimRequest) {}
 }
 
 /// Another box writes every shard, and what it answers comes too late or not at all.
@@ -107,17 +107,17 @@
     store: Arc<Store>,
 }
 
-impl Courier for Unanswered {
+impl ClaimTransport for Unanswered {
     fn writer_of(&self, _: u64) -> Option<BoxName> {
         Some(BoxName::from("writer"))
     }
 
-    fn send(&self, _: &BoxName, claim: Claim) {
-        let name = Place::of(&claim).expect("it names a key").object();
+    fn send(&self, _: &BoxName, claim: ClaimRequest) {
+        let name = ClaimObject::for_request(&claim).expect("it names a key").object();
         let object = self.store.get(&name).expect("the store is well");
-        let mut book = object
-            .as_ref()
-            .map_or_else(Book::default, |o| serde_json::from_slice(&o.value).expect("a book"));
+        let mut book = object.as_ref().map_or_else(ClaimRecords::default, |o| {
+            serde_json::from_slice(&o.value).expect("a book")
+        });
         book.apply(&claim, claim.made);
         let value = serde_json::to_vec(&book).expect("it serializes");
         let version = object.map_or(0, |o| o.version);
@@ -128,13 +128,13 @@
 
 struct LosesReleases(Unanswered);
 
-impl Courier for LosesReleases {
+impl ClaimTransport for LosesReleases {
     fn writer_of(&self, shard: u64) -> Option<BoxName> {
         self.0.writer_of(shard)
     }
 
-    fn send(&self, to: &BoxName, claim: Claim) {
-        if claim.op != Op::Release {
+    fn send(&self, to: &BoxName, claim: ClaimRequest) {
+        if claim.op != ClaimOp::Release {
             self.0.send(to, claim);
         }
     }
@@ -148,28 +148,28 @@
     Uuid::now_v7().to_string()
 }
 
-fn key(text: &str) -> Key {
-    Key::new("alpha", text, SystemTime::now()).expect("a new key")
+fn key(text: &str) -> IdempotencyKey {
+    IdempotencyKey::new("alpha", text, SystemTime::now()).expect("a new key")
 }
 
 #[tokio::test]
 async fn of_four_writers_of_a_shard_one_gets_each_key() {
     let store = Arc::new(Store::default());
     let writers: Vec<Arc<Claims>> = (0..4).map(|_| claims(&store)).collect();
-    let keys: Vec<Key> = (0..40).map(|_| key(&new_key())).collect();
+    let keys: Vec<IdempotencyKey> = (0..40).map(|_| key(&new_key())).collect();
     let mut tasks = tokio::task::JoinSet::new();
     for (w, writer) in writers.iter().enumerate() {
         for (k, &key) in keys.iter().enumerate() {
             let writer = writer.clone();
             let attempt = (w * keys.len() + k) as u64;
-            tasks.spawn(async move { (k, writer.take(key, attempt).await) });
+            tasks.spawn(async move { (k, writer.acquire(key, attempt).await) });
         }
     }
     let mut taken = vec![0; keys.len()];
     for (k, result) in tasks.join_all().await {
         match result {
             Ok(_) => taken[k] += 1,
-            Err(verdict) => assert_eq!(verdict, Verdict::Elsewhere),
+            Err(verdict) => assert_eq!(verdict, ClaimOutcome::HeldByOther),
         }
     }
     assert_eq!(taken, vec![1; keys.len()]);
@@ -186,9 +186,9 @@
     let asks = Claims::new(store.clone(), Box::new(courier));
     let others = claims(&store);
     let key = key(&new_key());
-    let taken = asks.take(key, 7).await;
+    let taken = asks.acquire(key, 7).await;
     assert!(taken.is_ok_and(|attempt| attempt != 7), "{taken:?}");
-    assert_eq!(others.take(key, 8).await, Err(Verdict::Elsewhere));
+    assert_eq!(others.acquire(key, 8).await, Err(ClaimOutcome::HeldByOther));
 }
 
 /// The release of the attempt that was given up must not free the key that its successor has.
@@ -198,10 +198,10 @@
     let courier = LosesReleases(Unanswered { store: store.clone() });
     let asks = Claims::new(store.clone(), Box::new(courier));
     let key = key(&new_key());
-    assert!(asks.take(key, 7).await.is_ok());
+    assert!(asks.acquire(key, 7).await.is_ok());
     let late = Claims::new(store.clone(), Box::new(Unanswered { store: store.clone() }));
-    late.settle(key, 7, false);
-    assert_eq!(claims(&store).take(key, 8).await, Err(Verdict::Elsewhere));
+    late.resolve(key, 7, false);
+    assert_eq!(claims(&store).acquire(key, 8).await, Err(ClaimOutcome::HeldByOther));
 }
 
 /// Nobody waits for a store that is known to be out of reach, though a probe hangs in it.
@@ -210,38 +210,38 @@
     let store = Arc::new(Store::default());
     let claims = claims(&store);
     store.set(Mood::Down);
-    assert_eq!(claims.take(key(&new_key()), 1).await, Err(Verdict::Unavailable));
+    assert_eq!(claims.acquire(key(&new_key()), 1).await, Err(ClaimOutcome::Unavailable));
     store.set(Mood::Hangs);
     while store.calls.load(Ordering::SeqCst) == 0 {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     for attempt in 2..50 {
-        assert_eq!(claims.take(key(&new_key()), attempt).await, Err(Verdict::Unavailable));
+        assert_eq!(claims.acquire(key(&new_key()), attempt).await, Err(ClaimOutcome::Unavailable));
     }
     store.set(Mood::Well);
     let back = key(&new_key());
-    while claims.take(back, 100).await.is_err() {
+    while claims.acquire(back, 100).await.is_err() {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    assert!(!claims.is_down());
+    assert!(!claims.is_store_down());
 }
 
 #[test]
 fn keys_that_cant_be_judged_are_refused() {
     let now = SystemTime::now();
     let v4 = Uuid::new_v4().to_string();
-    assert_eq!(Key::new("a", &v4, now), Err(KeyFault::Kind));
-    assert_eq!(Key::new("a", "theft-alarm-7", now), Err(KeyFault::Kind));
+    assert_eq!(IdempotencyKey::new("a", &v4, now), Err(KeyError::NotUuidV7));
+    assert_eq!(IdempotencyKey::new("a", "theft-alarm-7", now), Err(KeyError::NotUuidV7));
     let key = new_key();
     let later = now + WINDOW + Duration::from_secs(2);
-    assert_eq!(Key::new("a", &key, later), Err(KeyFault::Old));
+    assert_eq!(IdempotencyKey::new("a", &key, later), Err(KeyError::TooOld));
     let earlier = now - SKEW - Duration::from_secs(2);
-    assert_eq!(Key::new("a", &key, earlier), Err(KeyFault::Future));
-    assert_ne!(Key::new("a", &key, now), Key::new("b", &key, now));
+    assert_eq!(IdempotencyKey::new("a", &key, earlier), Err(KeyError::MadeInFuture));
+    assert_ne!(IdempotencyKey::new("a", &key, now), IdempotencyKey::new("b", &key, now));
 }
 
-fn claim(attempt: u64, op: Op, made: u64) -> Claim {
-    Claim { key: "abc".to_owned(), made, attempt, op }
+fn claim(attempt: u64, op: ClaimOp, made: u64) -> ClaimRequest {
+    ClaimRequest { key: "abc".to_owned(), made, attempt, op }
 }
 
 /// A record is forgotten only when every router, whatever its clock within the skew, would refuse
@@ -249,51 +249,60 @@
 #[test]
 fn a_record_outlives_its_key() {
     let made = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_secs();
-    let mut book = Book::default();
-    assert_eq!(book.apply(&claim(1, Op::Take, made), made), Verdict::Taken);
+    let mut book = ClaimRecords::default();
+    assert_eq!(book.apply(&claim(1, ClaimOp::Acquire, made), made), ClaimOutcome::Acquired);
     let refused = made + WINDOW.as_secs() + SKEW.as_secs();
-    assert_eq!(book.apply(&claim(2, Op::Take, made), refused), Verdict::Elsewhere);
+    assert_eq!(book.apply(&claim(2, ClaimOp::Acquire, made), refused), ClaimOutcome::HeldByOther);
     // The next keys in the same object, of a caller whose clock is ahead of the oldest router's
     // by all that is allowed, come when the key is refused everywhere.
     let minute = made / 60;
-    let next = Claim { key: "def".to_owned(), ..claim(3, Op::Take, (minute + RING) * 60) };
+    let next =
+        ClaimRequest { key: "def".to_owned(), ..claim(3, ClaimOp::Acquire, (minute + RING) * 60) };
     let earliest = next.made - SKEW.as_secs();
     assert!(refused + SKEW.as_secs() < earliest);
-    let again = Claim { made: next.made, ..claim(3, Op::Take, 0) };
-    assert_eq!(Place::of(&again), Place::of(&claim(1, Op::Take, made)), "the ring has come round");
-    assert_eq!(book.apply(&next, earliest), Verdict::Taken);
+    let again = ClaimRequest { made: next.made, ..claim(3, ClaimOp::Acquire, 0) };
+    assert_eq!(
+        ClaimObject::for_request(&again),
+        ClaimObject::for_request(&claim(1, ClaimOp::Acquire, made)),
+        "the ring has come round"
+    );
+    assert_eq!(book.apply(&next, earliest), ClaimOutcome::Acquired);
     assert_eq!(book.records.len(), 1, "the old one is forgotten");
     // Nobody can bring it back, either, nor what is here now: not even with a clock that stands.
-    assert_eq!(book.apply(&claim(4, Op::Take, made), earliest), Verdict::Elsewhere);
-    assert_eq!(book.apply(&claim(5, Op::Take, made), made), Verdict::Elsewhere);
+    assert_eq!(book.apply(&claim(4, ClaimOp::Acquire, made), earliest), ClaimOutcome::HeldByOther);
+    assert_eq!(book.apply(&claim(5, ClaimOp::Acquire, made), made), ClaimOutcome::HeldByOther);
     assert_eq!(book.records.len(), 1);
 }
 
 #[test]
 fn only_the_attempt_that_has_a_key_can_release_it() {
-    let mut book = Book::default();
-    assert_eq!(book.apply(&claim(1, Op::Take, 100), 100), Verdict::Taken);
-    book.apply(&claim(2, Op::Release, 100), 100);
-    assert_eq!(book.apply(&claim(2, Op::Take, 100), 100), Verdict::Elsewhere);
-    assert_eq!(book.apply(&claim(1, Op::Take, 100), 100), Verdict::Taken, "told again");
-    book.apply(&claim(1, Op::Release, 100), 100);
-    assert_eq!(book.apply(&claim(2, Op::Take, 100), 100), Verdict::Taken);
+    let mut book = ClaimRecords::default();
+    assert_eq!(book.apply(&claim(1, ClaimOp::Acquire, 100), 100), ClaimOutcome::Acquired);
+    book.apply(&claim(2, ClaimOp::Release, 100), 100);
+    assert_eq!(book.apply(&claim(2, ClaimOp::Acquire, 100), 100), ClaimOutcome::HeldByOther);
+    assert_eq!(
+        book.apply(&claim(1, ClaimOp::Acquire, 100), 100),
+        ClaimOutcome::Acquired,
+        "told again"
+    );
+    book.apply(&claim(1, ClaimOp::Release, 100), 100);
+    assert_eq!(book.apply(&claim(2, ClaimOp::Acquire, 100), 100), ClaimOutcome::Acquired);
 }
 
 #[test]
 fn a_full_shard_stays_below_a_megabyte() {
-    let mut book = Book::default();
+    let mut book = ClaimRecords::default();
     let now = 1_790_000_000;
-    let filler = |n: usize| Claim {
+    let filler = |n: usize| ClaimRequest {
         key: format!("{:032x}", u128::MAX - n as u128),
         made: now,
         attempt: u64::MAX - n as u64,
-        op: Op::Take,
+        op: ClaimOp::Acquire,
     };
     for n in 0..RECORDS_MAX {
-        assert_eq!(book.apply(&filler(n), now), Verdict::Taken);
+        assert_eq!(book.apply(&filler(n), now), ClaimOutcome::Acquired);
     }
-    assert_eq!(book.apply(&filler(RECORDS_MAX), now), Verdict::Full);
+    assert_eq!(book.apply(&filler(RECORDS_MAX), now), ClaimOutcome::Full);
     let size = serde_json::to_vec(&book).expect("it serializes").len();
     assert!(size < 1 << 20, "it has {size} bytes");
 }
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -6,23 +6,23 @@
 use std::time::Duration;
 
 use frostdyke::config::Revision;
-use frostdyke::dispatch::ledger::CellId;
-use frostdyke::dispatch::ledger::Entry;
+use frostdyke::dispatch::ledger::CounterEntry;
+use frostdyke::dispatch::ledger::ReplicaId;
 use frostdyke::dispatch::pool::Action;
-use frostdyke::dispatch::pool::Pool;
+use frostdyke::dispatch::pool::PoolDispatcher;
 use frostdyke::dispatch::pool::Tuning;
-use frostdyke::dispatch::pool::Waits;
-use frostdyke::dispatch::upstreams::Report;
+use frostdyke::dispatch::pool::WaitReason;
+use frostdyke::dispatch::upstreams::UpstreamReport;
 use frostdyke::peer::message::Class;
-use frostdyke::peer::message::Digest;
-use frostdyke::peer::message::Done;
+use frostdyke::peer::message::CompletionReport;
+use frostdyke::peer::message::DispatcherReport;
 use frostdyke::peer::message::Ending;
 use frostdyke::peer::message::Grant;
+use frostdyke::peer::message::GrantDigest;
 use frostdyke::peer::message::GrantId;
 use frostdyke::peer::message::Message;
-use frostdyke::peer::message::Pull;
-use frostdyke::peer::message::Pulled;
-use frostdyke::peer::message::Summary;
+use frostdyke::peer::message::PullRequest;
+use frostdyke::peer::message::PullResponse;
 use frostdyke::peer::message::Ticket;
 use frostdyke::peer::message::TicketId;
 use util::catalog;
@@ -41,10 +41,11 @@
     Arc::new(Revision::new(1, configuration).expect("it is valid"))
 }
 
-fn pool(slots: u32) -> Pool {
-    let cell = CellId { name: "box-1".into(), incarnation: 1 };
+fn pool(slots: u32) -> PoolDispatcher {
+    let cell = ReplicaId { name: "box-1".into(), incarnation: 1 };
     let cfg = configuration(slots);
-    Pool::new(&"llm".into(), &"here".into(), cell, cfg, Tuning::default()).expect("it is there")
+    PoolDispatcher::new(&"llm".into(), &"here".into(), cell, cfg, Tuning::default())
+        .expect("it is there")
 }
 
 fn ticket(id: u64, workspace: &str, class: Class) -> Ticket {
@@ -63,19 +64,19 @@
 }
 
 /// What another zone's dispatcher tells: entries, and that it has merged all of this one's.
-fn summary(upto: u64, entries: Vec<Entry>) -> Summary {
-    Summary {
+fn summary(version: u64, entries: Vec<CounterEntry>) -> DispatcherReport {
+    DispatcherReport {
         pool: "llm".into(),
         zone: "there".into(),
         dispatcher: "box-9".into(),
-        cell: CellId { name: "box-9".into(), incarnation: 1 },
-        upto,
-        seen: 0,
+        replica: ReplicaId { name: "box-9".into(), incarnation: 1 },
+        version,
+        merged_version: 0,
         virtual_time: 0,
-        idle: 0,
-        gone: Vec::new(),
+        idle_slots: 0,
+        lost_routers: Vec::new(),
         entries,
-        others: Vec::new(),
+        relayed: Vec::new(),
         forwarded: false,
     }
 }
@@ -92,14 +93,18 @@
     grants(out).iter().map(|g| g.ticket.0).collect()
 }
 
-fn end(pool: &mut Pool, grant: GrantId, cost: u64, ending: Ending) -> Vec<Action> {
+fn end(pool: &mut PoolDispatcher, grant: GrantId, cost: u64, ending: Ending) -> Vec<Action> {
     let mut out = Vec::new();
-    pool.done(&Done { pool: "llm".into(), grant, cost, ending }, NOW, &mut out);
+    pool.handle_completion(
+        &CompletionReport { pool: "llm".into(), grant, cost, ending },
+        NOW,
+        &mut out,
+    );
     out
 }
 
 /// Ends one grant after the other, and gives the tickets in the order in which they were granted.
-fn served(pool: &mut Pool, out: &[Action]) -> Vec<u64> {
+fn served(pool: &mut PoolDispatcher, out: &[Action]) -> Vec<u64> {
     let mut order = Vec::new();
     let mut next = grants(out).pop();
     while let Some(grant) = next {
@@ -181,8 +186,8 @@
     for id in 1..=9 {
         pool.submit(ticket(id, "a", Class::Normal), NOW, &mut out);
     }
-    let entries = vec![Entry("b".into(), -50_000, 0, 4)];
-    pool.summary(&summary(1, entries), NOW, &mut out);
+    let entries = vec![CounterEntry("b".into(), -50_000, 0, 4)];
+    pool.handle_report(&summary(1, entries), NOW, &mut out);
     pool.submit(ticket(10, "b", Class::Normal), NOW, &mut out);
     assert_eq!(pool.ledger().virtual_time("b"), -50_000);
 }
@@ -194,17 +199,17 @@
     let mut pool = pool(1);
     let mut out = Vec::new();
     pool.submit(ticket(1, "a", Class::Normal), NOW, &mut out);
-    pool.summary(&summary(1, vec![Entry("a".into(), 0, 0, 4)]), NOW, &mut out);
+    pool.handle_report(&summary(1, vec![CounterEntry("a".into(), 0, 0, 4)]), NOW, &mut out);
     pool.submit(ticket(2, "a", Class::Normal), NOW, &mut out);
     pool.submit(ticket(3, "b", Class::Normal), NOW, &mut out);
     pool.submit(ticket(4, "a", Class::Normal), NOW, &mut out);
     // The estimate of 100 was far too high, so the charge goes down, here and by assumption there.
     let grant = grants(&out)[0].id;
     end(&mut pool, grant, 1, Ending::Answered);
-    let mut other = summary(1, vec![Entry("b".into(), 5_000_000, 0, 4)]);
+    let mut other = summary(1, vec![CounterEntry("b".into(), 5_000_000, 0, 4)]);
     other.zone = "elsewhere".into();
-    other.cell.name = "box-5".into();
-    pool.summary(&other, NOW, &mut out);
+    other.replica.name = "box-5".into();
+    pool.handle_report(&other, NOW, &mut out);
     assert!(4_000_000 <= pool.ledger().known_time("a"));
 }
 
@@ -214,16 +219,16 @@
 fn an_answer_from_an_unheard_zone_is_no_work() {
     let mut pool = pool(1);
     let mut out = Vec::new();
-    let pulled = Pulled {
+    let pulled = PullResponse {
         pool: "llm".into(),
         grant: GrantId(77),
         workspace: "a".into(),
         zone: "there".into(),
-        taken: None,
-        left: 3,
+        ticket: None,
+        still_waiting: 3,
     };
-    pool.pulled(pulled, NOW, &mut out);
-    pool.fill(NOW, &mut out);
+    pool.handle_pull_response(pulled, NOW, &mut out);
+    pool.fill_slots(NOW, &mut out);
     assert!(out.is_empty());
 }
 
@@ -234,17 +239,17 @@
     for id in 1..=3 {
         pool.submit(ticket(id, "a", Class::Normal), NOW, &mut out);
     }
-    let pull = Pull {
+    let pull = PullRequest {
         pool: "llm".into(),
         workspace: "a".into(),
         grant: GrantId(77),
         upstream: "far".into(),
         dispatcher: "box-9".into(),
-        any: false,
+        any_workspace: false,
         forwarded: false,
     };
-    pool.pull(&pull, NOW, &mut out);
-    pool.pull(&pull, NOW, &mut out);
+    pool.handle_pull_request(&pull, NOW, &mut out);
+    pool.handle_pull_request(&pull, NOW, &mut out);
     assert_eq!(pool.queue().waiting("a"), 1);
 }
 
@@ -252,11 +257,11 @@
 fn merging_a_summary_twice_or_late_changes_nothing() {
     let mut pool = pool(1);
     let mut out = Vec::new();
-    let old = summary(1, vec![Entry("a".into(), 10_000, 0, 1)]);
-    let new = summary(2, vec![Entry("a".into(), 30_000, 0, 1)]);
-    pool.summary(&new, NOW, &mut out);
-    pool.summary(&new, NOW, &mut out);
-    pool.summary(&old, NOW, &mut out);
+    let old = summary(1, vec![CounterEntry("a".into(), 10_000, 0, 1)]);
+    let new = summary(2, vec![CounterEntry("a".into(), 30_000, 0, 1)]);
+    pool.handle_report(&new, NOW, &mut out);
+    pool.handle_report(&new, NOW, &mut out);
+    pool.handle_report(&old, NOW, &mut out);
     assert_eq!(pool.ledger().known_time("a"), 30_000);
 }
 
@@ -311,7 +316,7 @@
 fn an_upstream_that_leaves_gets_nothing() {
     let mut pool = pool(8);
     let mut out = Vec::new();
-    pool.upstreams_mut().report("e1", Report { running: 0, leaving: true }, NOW);
+    pool.upstreams_mut().apply_report("e1", UpstreamReport { running: 0, leaving: true }, NOW);
     pool.submit(ticket(1, "a", Class::Normal), NOW, &mut out);
     assert_eq!(granted(&out), [0_u64; 0]);
 }
@@ -324,7 +329,7 @@
     for id in 1..=4 {
         pool.submit(ticket(id, "a", Class::Normal), NOW, &mut out);
     }
-    pool.upstreams_mut().report("e1", Report { running: 6, leaving: false }, NOW);
+    pool.upstreams_mut().apply_report("e1", UpstreamReport { running: 6, leaving: false }, NOW);
     out.clear();
     for id in 5..=9 {
         pool.submit(ticket(id, "a", Class::Normal), NOW, &mut out);
@@ -344,11 +349,13 @@
 }
 
 /// The checks that a dispatcher sends at `now`.
-fn checks(pool: &mut Pool, now: Duration) -> Vec<(Vec<GrantId>, Option<Digest>)> {
+fn checks(pool: &mut PoolDispatcher, now: Duration) -> Vec<(Vec<GrantId>, Option<GrantDigest>)> {
     let mut out = Vec::new();
     pool.tick(now, &mut out);
     let check = |action| match action {
-        Action::Send { message: Message::Check { g, d, .. }, .. } => Some((g, d)),
+        Action::Send { message: Message::GrantCheckRequest { grants, digest, .. }, .. } => {
+            Some((grants, digest))
+        }
         _ => None,
     };
     out.into_iter().filter_map(check).collect()
@@ -366,11 +373,11 @@
     let (listed, digest) = checks(&mut pool, later).pop().expect("it asks");
     let digest = digest.expect("the grants are its own");
     assert!(listed.is_empty());
-    assert_eq!(digest, Digest::new(digest.from, digest.upto, ids.iter().copied()));
+    assert_eq!(digest, GrantDigest::new(digest.first, digest.last, ids.iter().copied()));
     // The router has lost one of them.
     let used = [ids[0], ids[2]];
-    assert_ne!(digest, Digest::new(digest.from, digest.upto, used.into_iter()));
-    pool.using(&"box-1".into(), digest.from, digest.upto, &used, later, &mut out);
+    assert_ne!(digest, GrantDigest::new(digest.first, digest.last, used.into_iter()));
+    pool.release_except(&"box-1".into(), digest.first, digest.last, &used, later, &mut out);
     assert_eq!(pool.upstreams().running(), 2);
 }
 
@@ -383,7 +390,7 @@
     let later = NOW + Duration::from_secs(6);
     pool.submit(ticket(2, "a", Class::Normal), later, &mut out);
     let ids: Vec<GrantId> = grants(&out).iter().map(|g| g.id).collect();
-    pool.using(&"box-1".into(), GrantId(0), ids[1], &[], later, &mut out);
+    pool.release_except(&"box-1".into(), GrantId(0), ids[1], &[], later, &mut out);
     assert_eq!(pool.upstreams().running(), 1);
 }
 
@@ -395,6 +402,6 @@
     pool.submit(ticket(2, "b", Class::Normal), NOW, &mut out);
     pool.submit(ticket(3, "a", Class::Normal), NOW, &mut out);
     // The first one was charged, so the other workspace is next.
-    assert_eq!(pool.why_waits(&"b".into()), Waits::Slot { first: 0 });
-    assert_eq!(pool.why_waits(&"a".into()), Waits::Slot { first: 1 });
+    assert_eq!(pool.wait_reason(&"b".into()), WaitReason::Slot { first: 0 });
+    assert_eq!(pool.wait_reason(&"a".into()), WaitReason::Slot { first: 1 });
 }
--- a/tests/holds_at_most_once.rs
+++ b/tests/holds_at_most_once.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use std::time::SystemTime;
 
-use frostdyke::claims::Key;
+use frostdyke::claims::IdempotencyKey;
 use frostdyke_standin::hold::Hold;
 use frostdyke_standin::platform;
 use frostdyke_standin::service;
@@ -268,7 +268,8 @@
 /// A key whose claims are usually written by the box of this zone.
 fn key_written_in(zone: &str) -> String {
     let home = |key: &str| {
-        let shard = Key::new("alpha", key, SystemTime::now()).expect("a new key").shard();
+        let shard =
+            IdempotencyKey::new("alpha", key, SystemTime::now()).expect("a new key").shard();
         frostdyke::util::rendezvous(&format!("claims/{shard}"), ["zone-0", "zone-1"].into_iter())
     };
     std::iter::repeat_with(new_key).find(|key| home(key) == Some(zone)).expect("endless")
--- a/tests/holds_configuration.rs
+++ b/tests/holds_configuration.rs
@@ -12,7 +12,7 @@
 use frostdyke::operator::intent;
 use frostdyke::operator::intent::Intent;
 use frostdyke::operator::plan;
-use frostdyke::peer::member::Gossip;
+use frostdyke::peer::member::GossipSettings;
 use frostdyke::peer::message::Message;
 use frostdyke::platform::client::Client;
 use frostdyke_standin::platform::Faults;
@@ -139,7 +139,7 @@
 
 fn node() -> Node {
     let id = Identity { name: "box-1".into(), zone: "zone".into(), incarnation: 1 };
-    Node::new(id, Tuning::default(), Gossip::default())
+    Node::new(id, Tuning::default(), GossipSettings::default())
 }
 
 fn named(name: &str) -> Catalog {
@@ -153,7 +153,7 @@
     let revision = |n, name| Revision::new(n, named(name)).expect("it is valid");
     node.configure(revision(7, "new"), SECOND);
     node.configure(revision(6, "old"), SECOND);
-    let stale = Message::Configuration { v: 5, c: Box::new(named("older")) };
+    let stale = Message::Configuration { revision: 5, catalog: Box::new(named("older")) };
     node.receive(&"box-2".into(), vec![stale], SECOND);
     assert_eq!(node.configuration().number, 7);
     assert!(node.configuration().workspace("new").is_some());
--- a/tests/links.rs
+++ b/tests/links.rs
@@ -10,12 +10,12 @@
 
 use frostdyke::config::settings::Secret;
 use frostdyke::names::BoxName;
-use frostdyke::peer::link::Inbox;
-use frostdyke::peer::link::Links;
+use frostdyke::peer::connection::ConnectionHandler;
+use frostdyke::peer::connection::PeerConnections;
 use frostdyke::peer::message::Message;
 use frostdyke::peer::server;
-use frostdyke::peer::server::Answer;
-use frostdyke::peer::server::Handler;
+use frostdyke::peer::server::CallHandler;
+use frostdyke::peer::server::CallResponse;
 use frostdyke::peer::traffic::Traffic;
 use frostdyke::status::Explanation;
 use frostdyke::status::Status;
@@ -29,14 +29,14 @@
     lost: Mutex<Vec<Message>>,
 }
 
-impl Inbox for Ear {
+impl ConnectionHandler for Ear {
     fn receive(&self, _: &BoxName, messages: Vec<Message>) {
         self.received.lock().expect("no panic").extend(messages);
     }
 
     fn unreachable(&self, _: &BoxName) {}
 
-    fn lost(&self, _: &BoxName, messages: Vec<Message>) {
+    fn messages_lost(&self, _: &BoxName, messages: Vec<Message>) {
         self.lost.lock().expect("no panic").extend(messages);
     }
 
@@ -48,9 +48,9 @@
 /// Sends everything back.
 struct Echo;
 
-impl Handler for Echo {
-    fn call(&self, _: &BoxName, messages: Vec<Message>) -> Answer {
-        Answer::Now(messages)
+impl CallHandler for Echo {
+    fn call(&self, _: &BoxName, messages: Vec<Message>) -> CallResponse {
+        CallResponse::Ready(messages)
     }
 
     fn explain(&self, _: &str) -> Explanation {
@@ -75,7 +75,7 @@
 }
 
 fn message() -> Message {
-    Message::Heartbeat { t: Vec::new(), v: 7 }
+    Message::Heartbeat { entries: Vec::new(), revision: 7 }
 }
 
 async fn until(mut condition: impl FnMut() -> bool) {
@@ -94,8 +94,8 @@
 async fn any_thread_may_send_first() {
     let ear = ear(start_server("s").await);
     let traffic = Arc::new(Traffic::default());
-    let links = Links::new(&"box-1".into(), &Secret::from("s"), &traffic);
-    let inbox: Arc<dyn Inbox> = ear.clone();
+    let links = PeerConnections::new(&"box-1".into(), &Secret::from("s"), &traffic);
+    let inbox: Arc<dyn ConnectionHandler> = ear.clone();
     let sent = thread::spawn(move || links.send(&"box-2".into(), message(), &inbox)).join();
     assert!(sent.is_ok(), "the thread panicked");
     until(|| *ear.received.lock().expect("no panic") == [message()]).await;
@@ -105,8 +105,8 @@
 async fn who_has_another_secret_gets_nowhere() {
     let ear = ear(start_server("right").await);
     let traffic = Arc::new(Traffic::default());
-    let links = Links::new(&"box-1".into(), &Secret::from("wrong"), &traffic);
-    let inbox: Arc<dyn Inbox> = ear.clone();
+    let links = PeerConnections::new(&"box-1".into(), &Secret::from("wrong"), &traffic);
+    let inbox: Arc<dyn ConnectionHandler> = ear.clone();
     links.send(&"box-2".into(), message(), &inbox);
     until(|| *ear.lost.lock().expect("no panic") == [message()]).await;
     assert!(ear.received.lock().expect("no panic").is_empty());
--- a/tests/strangers.rs
+++ b/tests/strangers.rs
@@ -5,27 +5,27 @@
 use std::time::Duration;
 
 use frostdyke::config::Revision;
-use frostdyke::dispatch::ledger::CellId;
-use frostdyke::dispatch::ledger::Entry;
+use frostdyke::dispatch::ledger::CounterEntry;
+use frostdyke::dispatch::ledger::ReplicaId;
 use frostdyke::dispatch::pool::Tuning;
 use frostdyke::node::Identity;
 use frostdyke::node::Node;
-use frostdyke::peer::member::Gossip;
-use frostdyke::peer::message::Beat;
+use frostdyke::peer::member::GossipSettings;
 use frostdyke::peer::message::Class;
-use frostdyke::peer::message::Digest;
-use frostdyke::peer::message::Done;
+use frostdyke::peer::message::CompletionReport;
+use frostdyke::peer::message::DispatcherReport;
 use frostdyke::peer::message::Ending;
 use frostdyke::peer::message::Envelope;
 use frostdyke::peer::message::Grant;
+use frostdyke::peer::message::GrantDigest;
 use frostdyke::peer::message::GrantId;
+use frostdyke::peer::message::HeartbeatEntry;
 use frostdyke::peer::message::Message;
-use frostdyke::peer::message::OtherCell;
-use frostdyke::peer::message::Pull;
-use frostdyke::peer::message::Pulled;
-use frostdyke::peer::message::Running;
-use frostdyke::peer::message::Summary;
-use frostdyke::peer::message::Taken;
+use frostdyke::peer::message::PullRequest;
+use frostdyke::peer::message::PullResponse;
+use frostdyke::peer::message::PulledTicket;
+use frostdyke::peer::message::RelayedCounters;
+use frostdyke::peer::message::RunningGrant;
 use frostdyke::peer::message::Ticket;
 use frostdyke::peer::message::TicketId;
 use proptest::prelude::*;
@@ -51,13 +51,15 @@
     prop_oneof![0..500_u64, Just(u64::MAX), Just(1 << 62), any::<u64>()]
 }
 
-fn cell() -> impl Strategy<Value = CellId> {
-    (name("box"), 0..3_u64).prop_map(|(b, incarnation)| CellId { name: (&*b).into(), incarnation })
+fn cell() -> impl Strategy<Value = ReplicaId> {
+    (name("box"), 0..3_u64)
+        .prop_map(|(b, incarnation)| ReplicaId { name: (&*b).into(), incarnation })
 }
 
-fn entries() -> impl Strategy<Value = Vec<Entry>> {
+fn entries() -> impl Strategy<Value = Vec<CounterEntry>> {
     let entry = (name("workspace"), amount(), amount(), any::<u32>());
-    let entry = entry.prop_map(|(w, charged, offset, n)| Entry((&*w).into(), charged, offset, n));
+    let entry =
+        entry.prop_map(|(w, charged, offset, n)| CounterEntry((&*w).into(), charged, offset, n));
     prop::collection::vec(entry, 0..4)
 }
 
@@ -88,77 +90,91 @@
     ]
 }
 
-fn running() -> impl Strategy<Value = Running> {
-    (id(), name("workspace"), name("engine"), cost()).prop_map(|(g, w, u, cover)| Running {
-        grant: GrantId(g),
-        workspace: (&*w).into(),
-        service: "assist".into(),
-        upstream: (&*u).into(),
-        cover,
+fn running() -> impl Strategy<Value = RunningGrant> {
+    (id(), name("workspace"), name("engine"), cost()).prop_map(|(g, w, u, charged_cost)| {
+        RunningGrant {
+            grant: GrantId(g),
+            workspace: (&*w).into(),
+            service: "assist".into(),
+            upstream: (&*u).into(),
+            charged_cost,
+        }
     })
 }
 
-fn summary() -> impl Strategy<Value = Summary> {
+fn summary() -> impl Strategy<Value = DispatcherReport> {
     let other = (cell(), id(), entries());
-    let other = other.prop_map(|(cell, upto, entries)| OtherCell { cell, upto, entries });
+    let other =
+        other.prop_map(|(replica, version, entries)| RelayedCounters { replica, version, entries });
     let others = prop::collection::vec(other, 0..3);
     (name("zone"), name("box"), cell(), (id(), id()), amount(), any::<u32>(), entries(), others)
-        .prop_map(|(zone, b, cell, (upto, seen), virtual_time, idle, entries, others)| Summary {
-            pool: "llm".into(),
-            zone: (&*zone).into(),
-            dispatcher: (&*b).into(),
-            cell,
-            upto,
-            seen,
-            virtual_time,
-            idle,
-            gone: vec![(&*b).into()],
-            entries,
-            others,
-            forwarded: false,
-        })
+        .prop_map(
+            |(
+                zone,
+                b,
+                replica,
+                (version, merged_version),
+                virtual_time,
+                idle_slots,
+                entries,
+                relayed,
+            )| DispatcherReport {
+                pool: "llm".into(),
+                zone: (&*zone).into(),
+                dispatcher: (&*b).into(),
+                replica,
+                version,
+                merged_version,
+                virtual_time,
+                idle_slots,
+                lost_routers: vec![(&*b).into()],
+                entries,
+                relayed,
+                forwarded: false,
+            },
+        )
 }
 
-fn pull() -> impl Strategy<Value = Pull> {
+fn pull() -> impl Strategy<Value = PullRequest> {
     (name("workspace"), id(), name("engine"), name("box"), any::<bool>()).prop_map(
-        |(w, g, u, b, any)| Pull {
+        |(w, g, u, b, any_workspace)| PullRequest {
             pool: "llm".into(),
             workspace: (&*w).into(),
             grant: GrantId(g),
             upstream: (&*u).into(),
             dispatcher: (&*b).into(),
-            any,
+            any_workspace,
             forwarded: false,
         },
     )
 }
 
-fn pulled() -> impl Strategy<Value = Pulled> {
-    let taken = (id(), name("box"), name("workspace"), cost()).prop_map(|(t, b, w, cover)| Taken {
-        ticket: TicketId(t),
-        router: (&*b).into(),
-        workspace: (&*w).into(),
-        service: "assist".into(),
-        cover,
-    });
+fn pulled() -> impl Strategy<Value = PullResponse> {
+    let taken =
+        (id(), name("box"), name("workspace"), cost()).prop_map(|(t, b, w, charged_cost)| {
+            PulledTicket {
+                ticket: TicketId(t),
+                router: (&*b).into(),
+                workspace: (&*w).into(),
+                service: "assist".into(),
+                charged_cost,
+            }
+        });
     (id(), name("workspace"), name("zone"), prop::option::of(taken), any::<u32>()).prop_map(
-        |(g, w, z, taken, left)| Pulled {
+        |(g, w, z, ticket, still_waiting)| PullResponse {
             pool: "llm".into(),
             grant: GrantId(g),
             workspace: (&*w).into(),
             zone: (&*z).into(),
-            taken,
-            left,
+            ticket,
+            still_waiting,
         },
     )
 }
 
-fn beat() -> impl Strategy<Value = Beat> {
-    (name("box"), id(), id(), any::<bool>()).prop_map(|(b, incarnation, beat, leaving)| Beat {
-        name: (&*b).into(),
-        incarnation,
-        beat,
-        leaving,
+fn beat() -> impl Strategy<Value = HeartbeatEntry> {
+    (name("box"), id(), id(), any::<bool>()).prop_map(|(b, incarnation, counter, leaving)| {
+        HeartbeatEntry { name: (&*b).into(), incarnation, counter, leaving }
     })
 }
 
@@ -166,43 +182,58 @@
     let grants = || prop::collection::vec(id().prop_map(GrantId), 0..4);
     let p = || "llm".into();
     prop_oneof![
-        (prop::collection::vec(beat(), 0..4), id()).prop_map(|(t, v)| Message::Heartbeat { t, v }),
+        (prop::collection::vec(beat(), 0..4), id())
+            .prop_map(|(entries, revision)| Message::Heartbeat { entries, revision }),
         ticket().prop_map(Message::Ticket),
-        id().prop_map(move |i| Message::Cancel { p: p(), i: TicketId(i) }),
-        (id(), id(), name("engine"), cost(), name("box")).prop_map(|(g, t, u, cover, b)| {
+        id().prop_map(move |i| Message::Cancel { pool: p(), ticket: TicketId(i) }),
+        (id(), id(), name("engine"), cost(), name("box")).prop_map(|(g, t, u, charged_cost, b)| {
             Message::Grant(Grant {
                 id: GrantId(g),
                 ticket: TicketId(t),
                 upstream: (&*u).into(),
-                cover,
+                charged_cost,
                 dispatcher: (&*b).into(),
             })
         }),
-        (id(), cost()).prop_map(move |(g, e)| Message::Progress { p: p(), g: GrantId(g), e }),
+        (id(), cost()).prop_map(move |(g, cost)| Message::Progress {
+            pool: p(),
+            grant: GrantId(g),
+            cost
+        }),
         (id(), cost(), ending()).prop_map(move |(g, cost, ending)| {
-            Message::Done(Done { pool: p(), grant: GrantId(g), cost, ending })
+            Message::CompletionReport(CompletionReport {
+                pool: p(),
+                grant: GrantId(g),
+                cost,
+                ending,
+            })
         }),
-        (name("box"), prop::collection::vec(running(), 0..4))
-            .prop_map(move |(b, r)| Message::Running { p: p(), b: (&*b).into(), r }),
-        (grants(), id(), id(), any::<u32>()).prop_map(move |(g, from, upto, sum)| {
-            let (from, upto) = (GrantId(from), GrantId(upto));
-            Message::Check { p: p(), g, d: Some(Digest { from, upto, count: 1, sum }) }
+        (name("box"), prop::collection::vec(running(), 0..4)).prop_map(move |(b, grants)| {
+            Message::RunningGrants { pool: p(), router: (&*b).into(), grants }
         }),
-        (grants(), id(), id()).prop_map(move |(g, f, u)| {
-            Message::Using { p: p(), f: GrantId(f), u: GrantId(u), g }
+        (grants(), id(), id(), any::<u32>()).prop_map(move |(grants, first, last, sum)| {
+            let (first, last) = (GrantId(first), GrantId(last));
+            Message::GrantCheckRequest {
+                pool: p(),
+                grants,
+                digest: Some(GrantDigest { first, last, count: 1, sum }),
+            }
+        }),
+        (grants(), id(), id()).prop_map(move |(grants, f, u)| {
+            Message::GrantsInUse { pool: p(), first: GrantId(f), last: GrantId(u), grants }
         }),
         Just(Message::Probe {}),
-        grants().prop_map(move |g| Message::NotRunning { p: p(), g }),
-        summary().prop_map(|s| Message::Summary(Box::new(s))),
-        (name("zone"), cell(), id()).prop_map(move |(z, c, t)| Message::Copied {
-            p: p(),
-            z: (&*z).into(),
-            c,
-            t
+        grants().prop_map(move |grants| Message::GrantsNotInUse { pool: p(), grants }),
+        summary().prop_map(|s| Message::DispatcherReport(Box::new(s))),
+        (name("zone"), cell(), id()).prop_map(move |(z, replica, version)| Message::StandbyAck {
+            pool: p(),
+            zone: (&*z).into(),
+            replica,
+            version
         }),
-        pull().prop_map(Message::Pull),
-        pulled().prop_map(Message::Pulled),
-        id().prop_map(|v| Message::WantConfiguration { v }),
+        pull().prop_map(Message::PullRequest),
+        pulled().prop_map(Message::PullResponse),
+        id().prop_map(|revision| Message::ConfigurationRequest { revision }),
     ]
 }
 
@@ -213,7 +244,7 @@
         ..util::rig::Setup::default()
     };
     let id = Identity { name: "box-0".into(), zone: "zone-0".into(), incarnation: 1 };
-    let mut node = Node::new(id, Tuning::default(), Gossip::default());
+    let mut node = Node::new(id, Tuning::default(), GossipSettings::default());
     let catalog = util::rig::configuration(&setup);
     node.list(&util::rig::listed(&setup), Duration::ZERO);
     node.configure(Revision::new(1, catalog).expect("a valid configuration"), Duration::ZERO);
--- a/tests/util/mod.rs
+++ b/tests/util/mod.rs
@@ -42,5 +42,5 @@
 /// The bound of docs/DESIGN.md: twice the largest request, and what the fleet serves in one
 /// exchange interval.
 pub fn bound(setup: &Setup) -> f64 {
-    2.0 * LARGEST + rate(setup) * setup.tuning.exchange_every.as_secs_f64()
+    2.0 * LARGEST + rate(setup) * setup.tuning.exchange_interval.as_secs_f64()
 }
--- a/tests/util/rig.rs
+++ b/tests/util/rig.rs
@@ -15,7 +15,7 @@
 use frostdyke::config::Revision;
 use frostdyke::config::Workspace;
 use frostdyke::dispatch::pool::Tuning;
-use frostdyke::dispatch::upstreams::Report;
+use frostdyke::dispatch::upstreams::UpstreamReport;
 use frostdyke::names::BoxName;
 use frostdyke::names::UpstreamName;
 use frostdyke::names::WorkspaceName;
@@ -23,7 +23,7 @@
 use frostdyke::node::Identity;
 use frostdyke::node::Node;
 use frostdyke::node::Output;
-use frostdyke::peer::member::Gossip;
+use frostdyke::peer::member::GossipSettings;
 use frostdyke::peer::member::ListedBox;
 use frostdyke::peer::message::Class;
 use frostdyke::peer::message::Ending;
@@ -62,7 +62,7 @@
     pub token: Duration,
     pub workspaces: Vec<Traffic>,
     pub tuning: Tuning,
-    pub gossip: Gossip,
+    pub gossip: GossipSettings,
     pub in_zone: Duration,
     pub across: Duration,
     /// First come, first served: the dispatchers don't learn whose a ticket is.
@@ -81,7 +81,7 @@
             token: Duration::from_millis(5),
             workspaces: Vec::new(),
             tuning: Tuning::default(),
-            gossip: Gossip::default(),
+            gossip: GossipSettings::default(),
             in_zone: Duration::from_micros(200),
             across: Duration::from_micros(500),
             fifo: false,
@@ -140,7 +140,7 @@
     Arrive { workspace: usize, place: usize },
     Finish { run: usize },
     Progress { run: usize },
-    Report(usize),
+    UpstreamReport(usize),
     Sample,
 }
 
@@ -319,7 +319,7 @@
         // Boxes don't start, and so don't tick, at the same moment.
         let offset = Duration::from_micros(self.rng.random_range(0..10_000));
         self.at(self.now + offset, Event::Tick(i));
-        self.at(self.now + REPORT + offset, Event::Report(i));
+        self.at(self.now + REPORT + offset, Event::UpstreamReport(i));
         self.flush(i);
     }
 
@@ -371,7 +371,7 @@
 
     fn handle(&mut self, event: Event) {
         let target = match &event {
-            Event::Tick(i) | Event::Report(i) => Some(*i),
+            Event::Tick(i) | Event::UpstreamReport(i) => Some(*i),
             Event::Deliver { to: i, .. } | Event::Lose { from: i, .. } => Some(*i),
             Event::Finish { run } | Event::Progress { run } => Some(self.runs[*run].router),
             Event::Arrive { .. } | Event::Sample => None,
@@ -389,7 +389,7 @@
             Event::Arrive { workspace, place } => self.arrive(workspace, place),
             Event::Finish { run } => self.finish(run),
             Event::Progress { run } => self.progress(run),
-            Event::Report(i) => self.report(i),
+            Event::UpstreamReport(i) => self.report(i),
             Event::Sample => self.sample(),
         }
     }
@@ -708,7 +708,7 @@
                 engine.history.pop_front();
             }
             let running = engine.history.front().map_or(0, |h| h.1);
-            reports.push((engine.name.clone(), Report { running, leaving: false }));
+            reports.push((engine.name.clone(), UpstreamReport { running, leaving: false }));
         }
         let member = &mut self.members[i];
         if let Some(node) = member.node.as_mut() {
@@ -716,7 +716,7 @@
                 node.report(&POOL.into(), &name, report, now - member.started);
             }
             self.flush(i);
-            self.at(now + REPORT, Event::Report(i));
+            self.at(now + REPORT, Event::UpstreamReport(i));
         }
     }
 
