--- a/src/node/admission.rs
+++ b/src/node/admission.rs
@@ -99,7 +99,7 @@
             return Err(refusal);
         }
         queue.waiting += 1;
-        self.budget(pool, 0).deposit();
+        self.budget(pool, 0).record_request();
         Ok(())
     }
 
@@ -142,7 +142,7 @@
     pub fn try_take_retry(&mut self, pool: &PoolName, percent: u32) -> bool {
         let budget = self.budget(pool, percent);
         budget.set_percent(percent);
-        budget.withdraw()
+        budget.try_take()
     }
 
     fn budget(&mut self, pool: &PoolName, percent: u32) -> &mut RetryBudget {
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -18,24 +18,23 @@
 use rustc_hash::FxHashMap;
 
 pub use crate::node::admission::Refusal;
-
 use crate::config::Revision;
 use crate::dispatch::pool::Action;
 use crate::dispatch::pool::Decision;
-use crate::dispatch::pool::Pool;
+use crate::dispatch::pool::PoolDispatcher;
 use crate::dispatch::pool::Tuning;
-use crate::dispatch::upstreams::Report;
+use crate::dispatch::upstreams::UpstreamReport;
 use crate::names::BoxName;
 use crate::names::PoolName;
 use crate::names::UpstreamName;
 use crate::names::ZoneName;
 use crate::node::admission::Admission;
-use crate::node::waiting::UndeliveredMessage;
 use crate::node::waiting::WaitingRequest;
-use crate::peer::member::Gossip;
+use crate::node::waiting::UndeliveredMessage;
+use crate::peer::member::GossipSettings;
 use crate::peer::member::ListedBox;
 use crate::peer::member::Members;
-use crate::peer::message::Done;
+use crate::peer::message::CompletionReport;
 use crate::peer::message::Ending;
 use crate::peer::message::Grant;
 use crate::peer::message::Message;
@@ -64,7 +63,7 @@
     /// Send a message to another box.
     Send { to: BoxName, message: Message },
     /// Send a waiting request to this upstream; `cover` of its cost is charged already.
-    Start { ticket: TicketId, upstream: UpstreamName, cover: u64 },
+    Start { ticket: TicketId, upstream: UpstreamName, charged_cost: u64 },
     /// Refuse a waiting request that cannot be served within its deadline.
     Refuse { ticket: TicketId, refusal: Refusal },
     /// Log and record a decision of a dispatcher on this box.
@@ -94,7 +93,7 @@
     cfg: Arc<Revision>,
     members: Members,
     tuning: Tuning,
-    pools: BTreeMap<PoolName, Pool>,
+    pools: BTreeMap<PoolName, PoolDispatcher>,
     /// The dispatching box of each pool in this zone.
     dispatchers: BTreeMap<PoolName, BoxName>,
     live_boxes: Vec<BoxName>,
@@ -125,7 +124,7 @@
 
 impl Node {
     /// Creates a node without configuration or box list.
-    pub fn new(id: Identity, tuning: Tuning, gossip: Gossip) -> Node {
+    pub fn new(id: Identity, tuning: Tuning, gossip: GossipSettings) -> Node {
         let members = Members::new(&id.name, &id.zone, id.incarnation, gossip);
         Node {
             members,
@@ -172,12 +171,12 @@
     }
 
     /// The dispatchers that run on this box.
-    pub fn pools(&self) -> impl Iterator<Item = &Pool> {
+    pub fn pools(&self) -> impl Iterator<Item = &PoolDispatcher> {
         self.pools.iter().filter(|(name, _)| self.is_dispatcher(name)).map(|(_, p)| p)
     }
 
     /// The dispatcher of a pool, if it runs on this box.
-    pub fn pool(&self, name: &str) -> Option<&Pool> {
+    pub fn pool(&self, name: &str) -> Option<&PoolDispatcher> {
         self.pools.get(name).filter(|_| self.is_dispatcher(name))
     }
 
@@ -189,7 +188,7 @@
     /// The box that usually writes the claims of a shard; `None` if it is this one.
     pub fn claims_writer(&self, shard: u64, now: Duration) -> Option<BoxName> {
         let role = format!("claims/{shard}");
-        let elsewhere = self.members.elsewhere(&role);
+        let elsewhere = self.members.owners_in_other_zones(&role);
         let zones = elsewhere.iter().map(|(zone, _)| zone).chain([&self.identity.zone]);
         let home = util::rendezvous(&role, zones)?;
         if *home == self.identity.zone {
@@ -224,27 +223,31 @@
     /// with the logarithm of the cost. Returns the cost above which this must be called again.
     pub fn record_progress(&mut self, id: TicketId, cost: u64, now: Duration) -> u64 {
         let Some(running) = self.running.get_mut(&id) else { return cost };
-        if cost <= running.grant.cover * PROGRESS_FACTOR {
-            return running.grant.cover * PROGRESS_FACTOR;
+        if cost <= running.grant.charged_cost * PROGRESS_FACTOR {
+            return running.grant.charged_cost * PROGRESS_FACTOR;
         }
-        running.grant.cover = cost;
+        running.grant.charged_cost = cost;
         let message = Message::Progress {
-            p: running.ticket.pool.clone(),
-            g: running.grant.id,
-            e: running.grant.cover,
+            pool: running.ticket.pool.clone(),
+            grant: running.grant.id,
+            cost: running.grant.charged_cost,
         };
-        let (to, cover) = (running.grant.dispatcher.clone(), running.grant.cover);
+        let (to, charged_cost) = (running.grant.dispatcher.clone(), running.grant.charged_cost);
         self.send(to, message);
         self.deliver_loopback(now);
-        cover * PROGRESS_FACTOR
+        charged_cost * PROGRESS_FACTOR
     }
 
     /// Ends a running request.
     pub fn finish(&mut self, id: TicketId, cost: u64, ending: Ending, now: Duration) {
         let Some(running) = self.running.remove(&id) else { return };
-        let done =
-            Done { pool: running.ticket.pool.clone(), grant: running.grant.id, cost, ending };
-        self.send(running.grant.dispatcher, Message::Done(done));
+        let done = CompletionReport {
+            pool: running.ticket.pool.clone(),
+            grant: running.grant.id,
+            cost,
+            ending,
+        };
+        self.send(running.grant.dispatcher, Message::CompletionReport(done));
         self.deliver_loopback(now);
     }
 
@@ -264,11 +267,11 @@
 
     /// Applies a newer box list.
     pub fn set_box_list(&mut self, boxes: &[ListedBox], now: Duration) {
-        self.members.list(boxes, now);
+        self.members.update_box_list(boxes, now);
         // Upstreams are in the box list, too, under their own names.
         self.leaving_boxes = boxes.iter().filter(|b| b.leaving).map(|b| b.name.clone()).collect();
         for pool in self.pools.values_mut() {
-            pool.upstreams_mut().list_leaving(&self.leaving_boxes);
+            pool.upstreams_mut().set_listed_leaving(&self.leaving_boxes);
         }
         self.refresh_roles(now);
         self.deliver_loopback(now);
@@ -299,13 +302,13 @@
         &mut self,
         pool: &PoolName,
         upstream: &str,
-        report: Report,
+        report: UpstreamReport,
         now: Duration,
     ) {
         let mut actions = Vec::new();
         if let Some(pool) = self.pools.get_mut(pool) {
-            pool.upstreams_mut().report(upstream, report, now);
-            pool.fill(now, &mut actions);
+            pool.upstreams_mut().apply_report(upstream, report, now);
+            pool.fill_slots(now, &mut actions);
         }
         self.perform(actions);
         self.deliver_loopback(now);
@@ -320,13 +323,13 @@
         stored: bool,
     ) {
         if let Some(pool) = self.pools.get_mut(pool) {
-            pool.upstreams_mut().cache_event(upstream, prefix, stored);
+            pool.upstreams_mut().record_cache_event(upstream, prefix, stored);
         }
     }
 
     /// Records that a box refuses connections.
     pub fn mark_unreachable(&mut self, name: &BoxName, now: Duration) {
-        self.members.failed(name);
+        self.members.mark_unreachable(name);
         // No process listens there, so none of its requests run.
         self.release_router(name, now);
         self.refresh_roles(now);
@@ -335,10 +338,13 @@
 
     /// Announces to the zone that this box is about to stop, and hands over its roles.
     pub fn leave(&mut self, now: Duration) {
-        let (t, boxes) = self.members.leave(now);
+        let (entries, boxes) = self.members.leave(now);
         for to in boxes {
-            let v = self.cfg.number;
-            self.outputs.push(Output::Send { to, message: Message::Heartbeat { t: t.clone(), v } });
+            let revision = self.cfg.number;
+            self.outputs.push(Output::Send {
+                to,
+                message: Message::Heartbeat { entries: entries.clone(), revision },
+            });
         }
         self.refresh_roles(now);
         self.deliver_loopback(now);
@@ -356,10 +362,10 @@
                 continue;
             }
             pool.tick(now, &mut actions);
-            let mut others = self.members.elsewhere(name);
-            let successor = self.members.successor(name, now);
+            let mut others = self.members.owners_in_other_zones(name);
+            let successor = self.members.standby(name, now);
             others.extend(successor.map(|b| (self.identity.zone.clone(), b.clone())));
-            pool.exchange(&others, now, &mut actions);
+            pool.send_reports(&others, now, &mut actions);
         }
         self.perform(actions);
         self.deliver_loopback(now);
--- a/src/node/roles.rs
+++ b/src/node/roles.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
-use crate::dispatch::ledger::CellId;
-use crate::dispatch::pool::Pool;
+use crate::dispatch::ledger::ReplicaId;
+use crate::dispatch::pool::PoolDispatcher;
 use crate::names::BoxName;
 use crate::names::PoolName;
 use crate::node::Change;
 use crate::node::Node;
 use crate::node::Output;
 use crate::peer::message::Message;
-use crate::peer::message::Running;
+use crate::peer::message::RunningGrant;
 use crate::peer::message::Ticket;
 
 /// One in this many heartbeats also goes to another zone, so that a configuration spreads there
@@ -20,19 +20,19 @@
 impl Node {
     /// Sends the heartbeats and probes that are due.
     pub(super) fn send_heartbeats(&mut self, now: Duration) {
-        for name in self.members.to_probe(now) {
+        for name in self.members.take_due_probes(now) {
             self.send(name, Message::Probe {});
         }
-        let Some((t, to)) = self.members.beat(now, &mut self.rng) else { return };
+        let Some((entries, to)) = self.members.next_heartbeat(now, &mut self.rng) else { return };
         self.heartbeat_count += 1;
-        let v = self.cfg.number;
+        let revision = self.cfg.number;
         for name in to {
-            self.send(name, Message::Heartbeat { t: t.clone(), v });
+            self.send(name, Message::Heartbeat { entries: entries.clone(), revision });
         }
         if self.heartbeat_count.is_multiple_of(HEARTBEATS_PER_OTHER_ZONE)
-            && let Some(name) = self.members.anyone_abroad(&mut self.rng)
+            && let Some(name) = self.members.random_box_in_other_zone(&mut self.rng)
         {
-            self.send(name, Message::Heartbeat { t: Vec::new(), v });
+            self.send(name, Message::Heartbeat { entries: Vec::new(), revision });
         }
     }
 
@@ -57,16 +57,16 @@
     }
 
     /// The dispatcher or standby copy of a pool on this box, created on first use.
-    pub(super) fn pool_or_insert(&mut self, name: &PoolName) -> Option<&mut Pool> {
+    pub(super) fn pool_or_insert(&mut self, name: &PoolName) -> Option<&mut PoolDispatcher> {
         if !self.pools.contains_key(name) {
-            let cell = CellId {
+            let cell = ReplicaId {
                 name: self.identity.name.clone(),
                 incarnation: self.next_replica_incarnation,
             };
             self.next_replica_incarnation += 1;
             let mut pool =
-                Pool::new(name, &self.identity.zone, cell, self.cfg.clone(), self.tuning)?;
-            pool.upstreams_mut().list_leaving(&self.leaving_boxes);
+                PoolDispatcher::new(name, &self.identity.zone, cell, self.cfg.clone(), self.tuning)?;
+            pool.upstreams_mut().set_listed_leaving(&self.leaving_boxes);
             self.pools.insert(name.clone(), pool);
         }
         self.pools.get_mut(name)
@@ -87,12 +87,12 @@
             self.outputs.push(Output::LogChange(change));
         }
         if was_local && let Some(old) = self.pools.remove(pool) {
-            for message in old.hand_over(now) {
+            for message in old.handover_messages(now) {
                 self.send(dispatcher.clone(), message);
             }
         }
         if is_local && let Some(pool) = self.pool_or_insert(pool) {
-            pool.take_over(now);
+            pool.start_dispatching(now);
         }
         if let Some(previous) = previous {
             self.transfer_grants(pool, &previous, dispatcher);
@@ -102,24 +102,24 @@
 
     /// Reports to a new dispatcher the grants that its predecessor gave to this router.
     fn transfer_grants(&mut self, pool: &PoolName, previous: &BoxName, dispatcher: &BoxName) {
-        let mut r = Vec::new();
+        let mut grants = Vec::new();
         for running in self.running.values_mut() {
             if running.ticket.pool == *pool && running.grant.dispatcher == *previous {
                 running.grant.dispatcher = dispatcher.clone();
-                r.push(Running {
+                grants.push(RunningGrant {
                     grant: running.grant.id,
                     workspace: running.ticket.workspace.clone(),
                     service: running.ticket.service.clone(),
                     upstream: running.grant.upstream.clone(),
-                    cover: running.grant.cover,
+                    charged_cost: running.grant.charged_cost,
                 });
             }
         }
-        r.sort_by_key(|r| r.grant);
-        if !r.is_empty() {
+        grants.sort_by_key(|r| r.grant);
+        if !grants.is_empty() {
             self.send(
                 dispatcher.clone(),
-                Message::Running { p: pool.clone(), b: BoxName::none(), r },
+                Message::RunningGrants { pool: pool.clone(), router: BoxName::none(), grants },
             );
         }
     }
@@ -155,7 +155,7 @@
                 self.outputs.push(Output::LogChange(Change::Member { name, live: true }));
             }
         }
-        for name in self.members.departed(now) {
+        for name in self.members.take_dead(now) {
             self.release_router(&name, now);
         }
         changed
@@ -175,7 +175,7 @@
     pub(super) fn release_router(&mut self, name: &BoxName, now: Duration) {
         let mut actions = Vec::new();
         for pool in self.pools.values_mut() {
-            pool.lost_router(name, now, &mut actions);
+            pool.record_lost_router(name, now, &mut actions);
         }
         self.perform(actions);
     }
--- a/src/node/waiting.rs
+++ b/src/node/waiting.rs
@@ -86,7 +86,7 @@
             }
         }
         for message in messages {
-            let resend = matches!(message, Message::Done(_) | Message::Grant(_));
+            let resend = matches!(message, Message::CompletionReport(_) | Message::Grant(_));
             if resend && self.undelivered.len() < UNDELIVERED_MAX {
                 self.undelivered.push_back(UndeliveredMessage { at, to: name.clone(), message });
             }
@@ -99,7 +99,7 @@
         self.admission.remove(&waiting.ticket.workspace, &waiting.ticket.pool);
         let pool = waiting.ticket.pool;
         if let Some(dispatcher) = self.dispatchers.get(&pool).cloned() {
-            self.send(dispatcher, Message::Cancel { p: pool, i: id });
+            self.send(dispatcher, Message::Cancel { pool, ticket: id });
         }
         true
     }
@@ -167,7 +167,7 @@
         while self.undelivered.front().is_some_and(|u| u.at <= now) {
             let undelivered = self.undelivered.pop_front().expect("just seen");
             let to = match &undelivered.message {
-                Message::Done(done) => self.current_dispatcher(&undelivered.to, &done.pool),
+                Message::CompletionReport(done) => self.current_dispatcher(&undelivered.to, &done.pool),
                 _ => undelivered.to,
             };
             self.send(to, undelivered.message);
@@ -178,7 +178,7 @@
     /// pool's current dispatcher.
     fn current_dispatcher(&self, previous: &BoxName, pool: &str) -> BoxName {
         match self.dispatchers.get(pool) {
-            Some(dispatcher) if self.members.is_of_zone(previous) => dispatcher.clone(),
+            Some(dispatcher) if self.members.is_in_own_zone(previous) => dispatcher.clone(),
             _ => previous.clone(),
         }
     }
--- a/src/router/refusal.rs
+++ b/src/router/refusal.rs
@@ -14,7 +14,7 @@
 use http_body_util::combinators::BoxBody;
 use serde::Serialize;
 
-use crate::claims::KeyFault;
+use crate::claims::KeyError;
 use crate::node::Refusal;
 use crate::router::service_request::InvalidRequest;
 use crate::web::BodyFault;
@@ -117,7 +117,7 @@
             Cause::Bad(InvalidRequest::NoService) => "no-service",
             Cause::Bad(InvalidRequest::NotAllowed) => "not-allowed",
             Cause::Bad(InvalidRequest::Header(..)) => "bad-header",
-            Cause::Bad(InvalidRequest::Key(KeyFault::Old)) => "key-too-old",
+            Cause::Bad(InvalidRequest::Key(KeyError::TooOld)) => "key-too-old",
             Cause::Bad(InvalidRequest::Key(_)) => "bad-key",
             Cause::DuplicateRan => "duplicate-ran",
             Cause::DuplicateElsewhere => "duplicate-elsewhere",
@@ -146,7 +146,7 @@
                 StatusCode::FORBIDDEN
             }
             Cause::Bad(InvalidRequest::NoService) | Cause::NoPath => StatusCode::NOT_FOUND,
-            Cause::Bad(InvalidRequest::Key(KeyFault::Old)) => StatusCode::GONE,
+            Cause::Bad(InvalidRequest::Key(KeyError::TooOld)) => StatusCode::GONE,
             Cause::Bad(InvalidRequest::Header(..) | InvalidRequest::Key(_)) => {
                 StatusCode::BAD_REQUEST
             }
@@ -174,7 +174,7 @@
             | Cause::TooLate
             | Cause::DuplicateElsewhere
             | Cause::NoClaim { first: false }
-            | Cause::Bad(InvalidRequest::Key(KeyFault::Old)) => Outcome::Unknown,
+            | Cause::Bad(InvalidRequest::Key(KeyError::TooOld)) => Outcome::Unknown,
             Cause::DuplicateRan => Outcome::Ran,
             _ => Outcome::NotRun,
         }
