--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -14,7 +14,7 @@
 use std::time::Instant;
 
 use fleet::Judge;
-use frostdyke::config::Revision;
+use frostdyke::config::CatalogRevision;
 use frostdyke::peer::member::Gossip;
 use frostdyke::peer::member::ListedBox;
 use frostdyke::peer::member::Members;
@@ -108,7 +108,7 @@
     let text = serde_json::to_vec(&pool::configuration(workspaces, upstreams)).expect("it is");
     let micros = micros(20, || {
         let catalog = serde_json::from_slice(&text).expect("it reads back");
-        Revision::new(1, catalog).expect("it is valid");
+        CatalogRevision::new(1, catalog).expect("it is valid");
     });
     println!("change.bytes.{workspaces}-workspaces.{upstreams}-upstreams {}", text.len());
     println!("change.micros.{workspaces}-workspaces.{upstreams}-upstreams {micros:.0}");
--- a/benches/capacity/pool.rs
+++ b/benches/capacity/pool.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use frostdyke::config::Catalog;
-use frostdyke::config::Revision;
+use frostdyke::config::CatalogRevision;
 use frostdyke::config::Workspace;
 use frostdyke::dispatch::ledger::CellId;
 use frostdyke::dispatch::pool::Action;
@@ -44,7 +44,7 @@
 
 impl Backlog {
     pub fn new(workspaces: usize, engines: usize) -> Backlog {
-        let cfg = Revision::new(1, configuration(workspaces, engines)).expect("it is valid");
+        let cfg = CatalogRevision::new(1, configuration(workspaces, engines)).expect("it is valid");
         let cell = CellId { name: "box".into(), incarnation: 1 };
         let tuning = Tuning::default();
         let pool = Pool::new(&"llm".into(), &"zone".into(), cell, Arc::new(cfg), tuning);
--- a/benches/operations.rs
+++ b/benches/operations.rs
@@ -249,9 +249,9 @@
 /// How long after now an engine got its last new request, looking for `span`.
 fn last_new(engine: &engine::Engine, span: Duration) -> Duration {
     let begun = Instant::now();
-    let (mut known, mut last) = (engine.ran().len(), Duration::ZERO);
+    let (mut known, mut last) = (engine.run_counts().len(), Duration::ZERO);
     while begun.elapsed() < span {
-        let now = engine.ran().len();
+        let now = engine.run_counts().len();
         if now != known {
             (known, last) = (now, begun.elapsed());
         }
--- a/src/bin/controller.rs
+++ b/src/bin/controller.rs
@@ -10,5 +10,5 @@
 
 fn main() -> ExitCode {
     let opts = cli::options().descr(USAGE).run();
-    cli::run(opts.check, || settings::controller(&opts.settings), controller::run)
+    cli::run(opts.check, || settings::read_controller(&opts.settings), controller::run)
 }
--- a/src/bin/operator.rs
+++ b/src/bin/operator.rs
@@ -11,5 +11,5 @@
 
 fn main() -> ExitCode {
     let opts = cli::options().descr(USAGE).run();
-    cli::run(opts.check, || settings::operator(&opts.settings), operator::run)
+    cli::run(opts.check, || settings::read_operator(&opts.settings), operator::run)
 }
--- a/src/bin/router.rs
+++ b/src/bin/router.rs
@@ -10,5 +10,5 @@
 
 fn main() -> ExitCode {
     let opts = cli::options().descr(USAGE).run();
-    cli::run(opts.check, || settings::router(&opts.settings), router::run)
+    cli::run(opts.check, || settings::read_router(&opts.settings), router::run)
 }
--- a/src/claims/mod.rs
+++ b/src/claims/mod.rs
@@ -28,7 +28,7 @@
 
 use crate::claims::writer::Writer;
 use crate::names::BoxName;
-use crate::platform::Objects;
+use crate::platform::ObjectStore;
 
 /// Parts of the keys, each usually written by one box.
 pub const SHARDS: u64 = 4;
@@ -168,7 +168,7 @@
 
 impl Claims {
     /// Claims that are written to `objects` here, or through `courier` elsewhere.
-    pub fn new(objects: Arc<dyn Objects>, courier: Box<dyn Courier>) -> Arc<Claims> {
+    pub fn new(objects: Arc<dyn ObjectStore>, courier: Box<dyn Courier>) -> Arc<Claims> {
         let pending = Mutex::default();
         Arc::new(Claims { writer: Writer::start(objects), courier, pending })
     }
--- a/src/claims/writer.rs
+++ b/src/claims/writer.rs
@@ -22,7 +22,7 @@
 use crate::claims::book::Book;
 use crate::claims::unix;
 use crate::platform::Error;
-use crate::platform::Objects;
+use crate::platform::ObjectStore;
 
 /// Claims that may wait for the writer; more are told that the store can't be reached.
 const QUEUE_MAX: usize = 8192;
@@ -79,7 +79,7 @@
 
 impl Writer {
     /// Starts the thread; it ends when the writer is dropped.
-    pub fn start(objects: Arc<dyn Objects>) -> Writer {
+    pub fn start(objects: Arc<dyn ObjectStore>) -> Writer {
         let (tx, rx) = channel::bounded(QUEUE_MAX);
         let writes = Arc::new(AtomicU64::new(0));
         let down = Arc::new(AtomicBool::new(false));
@@ -122,7 +122,7 @@
 }
 
 struct Job {
-    objects: Arc<dyn Objects>,
+    objects: Arc<dyn ObjectStore>,
     rx: Receiver<Pending>,
     writes: Arc<AtomicU64>,
     down: Arc<AtomicBool>,
--- a/src/config/catalog.rs
+++ b/src/config/catalog.rs
@@ -17,16 +17,16 @@
 use crate::names::ZoneName;
 
 /// The name of the configuration object in the platform's Object API.
-pub const OBJECT: &str = "frostdyke/configuration";
+pub const CONFIGURATION_OBJECT: &str = "frostdyke/configuration";
 
 /// Stands in a path for the request's id.
-pub const REQUEST: &str = "{request}";
+pub const REQUEST_PLACEHOLDER: &str = "{request}";
 
 /// Stands in a path for the number of events passed on.
-pub const FROM: &str = "{from}";
+pub const FROM_PLACEHOLDER: &str = "{from}";
 
 /// Longest name of anything in the configuration, in bytes.
-pub const NAME_MAX: usize = 64;
+pub const NAME_MAX_BYTES: usize = 64;
 
 /// The whole configuration at one revision.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -211,7 +211,7 @@
 
 /// A configuration at its revision, with the indexes that lookups need.
 #[derive(Clone, Debug, Default)]
-pub struct Revision {
+pub struct CatalogRevision {
     /// The object's version; 0 when none was read yet.
     pub number: u64,
     /// What was accepted.
@@ -222,9 +222,9 @@
     upstreams: FxHashMap<UpstreamName, usize>,
 }
 
-impl Revision {
+impl CatalogRevision {
     /// Indexes a configuration that was read at object version `number`.
-    pub fn new(number: u64, catalog: Catalog) -> Result<Revision, Vec<Fault>> {
+    pub fn new(number: u64, catalog: Catalog) -> Result<CatalogRevision, Vec<Fault>> {
         let faults = check(&catalog);
         if !faults.is_empty() {
             return Err(faults);
@@ -236,7 +236,7 @@
         let pools = catalog.pools.iter().enumerate().map(|(i, p)| (p.name.clone(), i)).collect();
         let upstreams =
             catalog.upstreams.iter().enumerate().map(|(i, u)| (u.name.clone(), i)).collect();
-        Ok(Revision { number, catalog, services, workspaces, pools, upstreams })
+        Ok(CatalogRevision { number, catalog, services, workspaces, pools, upstreams })
     }
 
     /// Looks up a service.
@@ -313,7 +313,8 @@
             faults.push(fault(format!("services[{i}].path"), "must start with '/'"));
         }
         let resumes = |p: &String| {
-            p.starts_with('/') && [REQUEST, FROM].iter().all(|place| p.contains(place))
+            p.starts_with('/')
+                && [REQUEST_PLACEHOLDER, FROM_PLACEHOLDER].iter().all(|place| p.contains(place))
         };
         if !service.resume.as_ref().is_none_or(resumes) {
             let reason = "must start with '/' and hold {request} and {from}";
@@ -350,7 +351,7 @@
     for (i, name) in names.enumerate() {
         let field = format!("{kind}[{i}].name");
         let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-        if name.is_empty() || NAME_MAX < name.len() || !name.chars().all(plain) {
+        if name.is_empty() || NAME_MAX_BYTES < name.len() || !name.chars().all(plain) {
             faults.push(fault(field, "must be 1 to 64 letters, digits, '-', '_' or '.'"));
         } else if !seen.insert(name) {
             faults.push(fault(field, "stands twice"));
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -5,10 +5,10 @@
 
 pub use catalog::Applied;
 pub use catalog::Catalog;
+pub use catalog::CatalogRevision;
 pub use catalog::EngineState;
 pub use catalog::Fault;
 pub use catalog::Pool;
-pub use catalog::Revision;
 pub use catalog::Service;
 pub use catalog::Unit;
 pub use catalog::Upstream;
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug)]
 pub struct Router {
     /// `[box]`: who this is.
-    pub identity: Box,
+    pub identity: Identity,
     /// `[listen] callers`: where callers connect.
     pub callers: SocketAddr,
     /// `[listen] peers`: where other routers connect.
@@ -72,7 +72,7 @@
 #[derive(Clone, Debug)]
 pub struct Operator {
     /// `[box]`: who this is.
-    pub identity: Box,
+    pub identity: Identity,
     /// `[listen] operators`: where operators connect.
     pub operators: SocketAddr,
     /// `[platform] address`: where the platform's API is.
@@ -82,7 +82,7 @@
     /// `[peers] seeds`: boxes known before the platform answers.
     pub seeds: Vec<ListedBox>,
     /// `[operators] tokens-file`: lines of `NAME SHA-256-OF-TOKEN`.
-    pub tokens: Vec<Token>,
+    pub tokens: Vec<OperatorToken>,
     /// `[log]`.
     pub log: Log,
 }
@@ -91,7 +91,7 @@
 #[derive(Clone, Debug)]
 pub struct Controller {
     /// `[box]`: who this is.
-    pub identity: Box,
+    pub identity: Identity,
     /// `[listen] metrics`: where the metrics page is.
     pub metrics: SocketAddr,
     /// `[platform] address`: where the platform's API is.
@@ -102,7 +102,7 @@
 
 /// An operator and the digest of the token that names them.
 #[derive(Clone, Debug)]
-pub struct Token {
+pub struct OperatorToken {
     /// The operator's name, as it is kept with what they confirm.
     pub name: String,
     /// SHA-256 of the token.
@@ -111,7 +111,7 @@
 
 /// Who a process is.
 #[derive(Clone, Debug)]
-pub struct Box {
+pub struct Identity {
     /// `name`: unique name of the box.
     pub name: BoxName,
     /// `zone`: its availability zone.
@@ -124,9 +124,9 @@
     /// `trust-workspace-header`: take the workspace from `Frostdyke-Workspace` instead of a key.
     pub trust_workspace_header: bool,
     /// `max-body-bytes`.
-    pub max_body: usize,
+    pub max_body_bytes: usize,
     /// `max-header-bytes`.
-    pub max_header: usize,
+    pub max_header_bytes: usize,
     /// `max-connections`.
     pub max_connections: usize,
     /// `max-running`: requests of all workspaces at upstreams at once; each holds a thread.
@@ -193,7 +193,7 @@
 }
 
 /// Reads the settings of `frostdyke-router`.
-pub fn router(path: &Path) -> Result<Router, Error> {
+pub fn read_router(path: &Path) -> Result<Router, Error> {
     let mut rdr = Reader::open(path)?;
     let settings = Router {
         identity: rdr.identity(),
@@ -210,7 +210,7 @@
 }
 
 /// Reads the settings of `frostdyke-operator`.
-pub fn operator(path: &Path) -> Result<Operator, Error> {
+pub fn read_operator(path: &Path) -> Result<Operator, Error> {
     let mut rdr = Reader::open(path)?;
     let settings = Operator {
         identity: rdr.identity(),
@@ -225,7 +225,7 @@
 }
 
 /// Reads the settings of `frostdyke-controller`.
-pub fn controller(path: &Path) -> Result<Controller, Error> {
+pub fn read_controller(path: &Path) -> Result<Controller, Error> {
     let mut rdr = Reader::open(path)?;
     let settings = Controller {
         identity: rdr.identity(),
@@ -277,10 +277,10 @@
         }
     }
 
-    pub(crate) fn identity(&mut self) -> Box {
+    pub(crate) fn identity(&mut self) -> Identity {
         let name: String = self.required("box", "name", "box".to_owned());
         let zone: String = self.required("box", "zone", "zone".to_owned());
-        Box { name: BoxName::from(&*name), zone: ZoneName::from(&*zone) }
+        Identity { name: BoxName::from(&*name), zone: ZoneName::from(&*zone) }
     }
 
     pub(crate) fn address(&mut self, section: &str, key: &str) -> SocketAddr {
@@ -291,8 +291,8 @@
         let millis = Duration::from_millis;
         Limits {
             trust_workspace_header: self.optional("callers", "trust-workspace-header", false),
-            max_body: self.optional("callers", "max-body-bytes", 1 << 20),
-            max_header: self.optional("callers", "max-header-bytes", 16 << 10),
+            max_body_bytes: self.optional("callers", "max-body-bytes", 1 << 20),
+            max_header_bytes: self.optional("callers", "max-header-bytes", 16 << 10),
             max_connections: self.optional("callers", "max-connections", 4096),
             max_running: self.optional("callers", "max-running", 1024),
             default_deadline: millis(self.optional("callers", "default-deadline-ms", 120_000)),
@@ -331,7 +331,7 @@
         Secret(text.trim().to_owned())
     }
 
-    fn tokens(&mut self, section: &str, key: &str) -> Vec<Token> {
+    fn tokens(&mut self, section: &str, key: &str) -> Vec<OperatorToken> {
         let text = self.file(section, key);
         let mut tokens = Vec::new();
         for line in text.lines().map(str::trim).filter(|l| !l.is_empty()) {
@@ -403,11 +403,11 @@
     words.next().is_none().then_some(listed)
 }
 
-fn parse_token(line: &str) -> Option<Token> {
+fn parse_token(line: &str) -> Option<OperatorToken> {
     let (name, digest) = line.split_once(char::is_whitespace)?;
     let mut bytes = [0; 32];
     hex::decode_to_slice(digest.trim(), &mut bytes).ok()?;
-    Some(Token { name: name.to_owned(), digest: bytes })
+    Some(OperatorToken { name: name.to_owned(), digest: bytes })
 }
 
 fn lines(faults: &[KeyFault]) -> String {
--- a/src/controller/keeper.rs
+++ b/src/controller/keeper.rs
@@ -16,14 +16,14 @@
 use crate::controller::lease::Turn;
 use crate::controller::lease::Written;
 use crate::platform::Error;
-use crate::platform::Objects;
+use crate::platform::ObjectStore;
 
 /// Time between two looks at what is due.
 const TURN: Duration = Duration::from_millis(200);
 
 /// A lease that is kept or sought.
 pub struct Keeper {
-    objects: Arc<dyn Objects>,
+    objects: Arc<dyn ObjectStore>,
     name: String,
     epoch: Instant,
     lease: Mutex<Lease>,
@@ -31,7 +31,7 @@
 
 impl Keeper {
     /// Begins to seek the lease in the object `name`. `me` must name this one start of this process.
-    pub fn start(objects: Arc<dyn Objects>, name: &str, me: &str, log: Logger) -> Arc<Keeper> {
+    pub fn start(objects: Arc<dyn ObjectStore>, name: &str, me: &str, log: Logger) -> Arc<Keeper> {
         let lease = Mutex::new(Lease::new(me));
         let keeper = Keeper { objects, name: name.to_owned(), epoch: Instant::now(), lease };
         let keeper = Arc::new(keeper);
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -23,7 +23,7 @@
 use tokio::runtime::Builder;
 use tokio::time::Instant;
 
-use crate::config::Revision;
+use crate::config::CatalogRevision;
 use crate::config::Upstream;
 use crate::config::settings;
 use crate::controller::engines::Engines;
@@ -41,9 +41,9 @@
 use crate::metrics::Metrics;
 use crate::names::UpstreamName;
 use crate::platform;
-use crate::platform::Objects;
+use crate::platform::ObjectStore;
 use crate::platform::client::Client;
-use crate::platform::watch::News;
+use crate::platform::watch::PlatformUpdate;
 use crate::stop::Signals;
 use crate::util;
 
@@ -99,12 +99,13 @@
     let object = format!("frostdyke/leases/controller/{zone}");
     let me = format!("{}/{}", cfg.identity.name, util::new_incarnation());
     let keeper = Keeper::start(client.clone(), &object, &me, log.clone());
-    let (shown, revision) = (keeper.clone(), Arc::new(Mutex::new(Arc::new(Revision::default()))));
+    let (shown, revision) =
+        (keeper.clone(), Arc::new(Mutex::new(Arc::new(CatalogRevision::default()))));
     metrics.gauge("frostdyke_lease_held", move || {
         vec![(f64::from(u8::from(shown.held().is_some())), Vec::new())]
     });
     let (latest, told) = (revision.clone(), log.clone());
-    platform::watch::configuration(client.clone(), move |news| take_in(&latest, news, &told));
+    platform::watch::watch_configuration(client.clone(), move |news| take_in(&latest, news, &told));
     let mut controller = Controller {
         me: cfg.identity.clone(),
         objects: client,
@@ -126,9 +127,9 @@
     keeper
 }
 
-fn take_in(latest: &Mutex<Arc<Revision>>, news: News, log: &Logger) {
+fn take_in(latest: &Mutex<Arc<CatalogRevision>>, news: PlatformUpdate, log: &Logger) {
     match news {
-        News::Configuration { version, revision } => match *revision {
+        PlatformUpdate::Configuration { version, revision } => match *revision {
             Ok(revision) => {
                 let mut latest = latest.lock().expect("no panic under lock");
                 if latest.number < revision.number {
@@ -141,15 +142,15 @@
                 warn!(log, "configuration refused"; "revision" => version, "fault" => fault);
             }
         },
-        News::Reach(Some(e)) => warn!(log, "platform lost"; "error" => %e),
-        News::Reach(None) => info!(log, "platform back"),
-        News::Boxes(_) => {}
+        PlatformUpdate::Reachability(Some(e)) => warn!(log, "platform lost"; "error" => %e),
+        PlatformUpdate::Reachability(None) => info!(log, "platform back"),
+        PlatformUpdate::Boxes(_) => {}
     }
 }
 
 struct Controller {
-    me: settings::Box,
-    objects: Arc<dyn Objects>,
+    me: settings::Identity,
+    objects: Arc<dyn ObjectStore>,
     engines: Box<dyn Engines>,
     keeper: Arc<Keeper>,
     reports: report::Writer,
@@ -180,7 +181,7 @@
 
 impl Controller {
     /// Looks at the engines, orders what is next, and reports. Does nothing without the lease.
-    fn round(&mut self, cfg: &Revision, now: Duration) {
+    fn round(&mut self, cfg: &CatalogRevision, now: Duration) {
         let Some(mut tenure) = self.keeper.held().and_then(|fence| self.tenure(fence, now)) else {
             self.tenure = None;
             return;
@@ -236,7 +237,7 @@
 
     /// Asks the engines that are being changed, and now and then all; false when there is none to
     /// ask. Asking 300 engines twice a second took a quarter of a core.
-    fn look(&self, cfg: &Revision, tenure: &mut Tenure, now: Duration) -> bool {
+    fn look(&self, cfg: &CatalogRevision, tenure: &mut Tenure, now: Duration) -> bool {
         let all = tenure.is_due(cfg.number, now);
         let engines = rollout::engines(cfg, &self.me.zone, &tenure.touched);
         let asked: Vec<&Upstream> =
@@ -270,7 +271,7 @@
     }
 
     /// Gives one order, if there is one and the lease is still held. Gives why it wasn't done.
-    fn order(&self, cfg: &Revision, fence: Fence, step: &Step) -> Option<String> {
+    fn order(&self, cfg: &CatalogRevision, fence: Fence, step: &Step) -> Option<String> {
         let order = step.order.clone()?;
         let upstream = cfg.upstream(&step.upstream)?;
         if self.keeper.held() != Some(fence) {
--- a/src/controller/report.rs
+++ b/src/controller/report.rs
@@ -10,7 +10,7 @@
 use crate::names::UpstreamName;
 use crate::names::ZoneName;
 use crate::platform::Error;
-use crate::platform::Objects;
+use crate::platform::ObjectStore;
 
 /// The engines of one zone, as its controller saw them last.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -48,7 +48,7 @@
 }
 
 /// Reads a zone's report; nothing where none was written.
-pub fn read(objects: &dyn Objects, zone: &ZoneName) -> Result<Option<Report>, Error> {
+pub fn read(objects: &dyn ObjectStore, zone: &ZoneName) -> Result<Option<Report>, Error> {
     let Some(object) = objects.get(&object(zone))? else { return Ok(None) };
     let report = serde_json::from_slice(&object.value);
     report.map(Some).map_err(|e| Error::Unexpected(e.to_string()))
@@ -63,7 +63,7 @@
 
 impl Writer {
     /// Writes a report unless it is the one written last. A failure is made up for next time.
-    pub fn write(&mut self, objects: &dyn Objects, report: Report) {
+    pub fn write(&mut self, objects: &dyn ObjectStore, report: Report) {
         if self.last.as_ref() == Some(&report) {
             return;
         }
--- a/src/controller/rollout.rs
+++ b/src/controller/rollout.rs
@@ -13,8 +13,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
+use crate::config::CatalogRevision;
 use crate::config::EngineState;
-use crate::config::Revision;
 use crate::config::Upstream;
 use crate::names::PoolName;
 use crate::names::UpstreamName;
@@ -113,7 +113,7 @@
 
 /// The next step of each engine of a zone that is to be changed, or may be in the middle of it.
 pub fn steps(
-    cfg: &Revision,
+    cfg: &CatalogRevision,
     zone: &ZoneName,
     touched: &Touched,
     observed: &BTreeMap<UpstreamName, Observed>,
@@ -143,7 +143,7 @@
 /// The engines of a zone that the configuration wants something of, and those that were touched
 /// when it did: they must not be left without work.
 pub fn engines<'a>(
-    cfg: &'a Revision,
+    cfg: &'a CatalogRevision,
     zone: &ZoneName,
     touched: &Touched,
 ) -> impl Iterator<Item = &'a Upstream> {
@@ -182,7 +182,7 @@
 
 /// How many engines of each pool take no work, for whatever cause.
 fn unavailable<'a>(
-    cfg: &'a Revision,
+    cfg: &'a CatalogRevision,
     zone: &ZoneName,
     touched: &Touched,
     observed: &BTreeMap<UpstreamName, Observed>,
@@ -199,7 +199,7 @@
 
 /// Time between two loads: this zone's even share of what the weight store allows, so that zones
 /// don't have to agree on anything.
-fn load_every(cfg: &Revision) -> Duration {
+fn load_every(cfg: &CatalogRevision) -> Duration {
     let zones = cfg.catalog.zones().len().max(1) as u32;
     MINUTE * zones / cfg.catalog.weights.loads_per_minute
 }
--- a/src/dispatch/pool/mod.rs
+++ b/src/dispatch/pool/mod.rs
@@ -18,7 +18,7 @@
 pub use crate::dispatch::pool::decision::Why;
 
 use crate::config;
-use crate::config::Revision;
+use crate::config::CatalogRevision;
 use crate::dispatch::ledger::CellId;
 use crate::dispatch::ledger::Ledger;
 use crate::dispatch::ledger::PARTS;
@@ -64,7 +64,7 @@
 pub struct Pool {
     policy: config::Pool,
     zone: ZoneName,
-    cfg: Arc<Revision>,
+    cfg: Arc<CatalogRevision>,
     tuning: Tuning,
     ledger: Ledger,
     queue: Queue,
@@ -143,7 +143,7 @@
         name: &PoolName,
         zone: &ZoneName,
         cell: CellId,
-        cfg: Arc<Revision>,
+        cfg: Arc<CatalogRevision>,
         tuning: Tuning,
     ) -> Option<Pool> {
         let policy = cfg.pool(name)?.clone();
@@ -185,7 +185,7 @@
     }
 
     /// Takes over a new configuration.
-    pub fn configure(&mut self, cfg: &Arc<Revision>, now: Duration, out: &mut Vec<Action>) {
+    pub fn configure(&mut self, cfg: &Arc<CatalogRevision>, now: Duration, out: &mut Vec<Action>) {
         if let Some(policy) = cfg.pool(&self.policy.name) {
             self.policy = policy.clone();
         }
@@ -328,7 +328,7 @@
     cost as i64 * PARTS
 }
 
-fn mean_weight(cfg: &Revision) -> f64 {
+fn mean_weight(cfg: &CatalogRevision) -> f64 {
     let workspaces = &cfg.catalog.workspaces;
     let sum: f64 = workspaces.iter().map(|w| f64::from(w.weight)).sum();
     sum / workspaces.len().max(1) as f64
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -22,7 +22,7 @@
 use tokio::net::TcpListener;
 
 use crate::peer::traffic::Traffic;
-use crate::platform::client::Calls;
+use crate::platform::client::CallCounters;
 use crate::web;
 use crate::web::Page;
 
@@ -113,7 +113,7 @@
     }
 
     /// Shows the calls to the platform.
-    pub fn store_calls(&self, calls: &Arc<Calls>) {
+    pub fn store_calls(&self, calls: &Arc<CallCounters>) {
         let calls = calls.clone();
         self.gauge("frostdyke_store_calls", move || {
             let shown =
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -19,7 +19,7 @@
 
 pub use crate::node::admit::Refusal;
 
-use crate::config::Revision;
+use crate::config::CatalogRevision;
 use crate::dispatch::pool::Action;
 use crate::dispatch::pool::Decision;
 use crate::dispatch::pool::Pool;
@@ -89,7 +89,7 @@
 #[derive(Debug)]
 pub struct Node {
     id: Identity,
-    cfg: Arc<Revision>,
+    cfg: Arc<CatalogRevision>,
     members: Members,
     tuning: Tuning,
     pools: BTreeMap<PoolName, Pool>,
@@ -159,7 +159,7 @@
     }
 
     /// The configuration in force.
-    pub fn configuration(&self) -> &Arc<Revision> {
+    pub fn configuration(&self) -> &Arc<CatalogRevision> {
         &self.cfg
     }
 
@@ -273,7 +273,7 @@
     }
 
     /// Takes over a configuration, unless it is older than the one in force.
-    pub fn configure(&mut self, revision: Revision, now: Duration) {
+    pub fn configure(&mut self, revision: CatalogRevision, now: Duration) {
         if revision.number <= self.cfg.number {
             return;
         }
--- a/src/node/receive.rs
+++ b/src/node/receive.rs
@@ -5,7 +5,7 @@
 use rustc_hash::FxHashSet;
 
 use crate::config::Catalog;
-use crate::config::Revision;
+use crate::config::CatalogRevision;
 use crate::dispatch::pool::Action;
 use crate::dispatch::pool::Pool;
 use crate::names::BoxName;
@@ -216,7 +216,7 @@
         if v <= self.cfg.number {
             return;
         }
-        match Revision::new(v, c) {
+        match CatalogRevision::new(v, c) {
             Ok(revision) => self.configure(revision, now),
             Err(faults) => {
                 let fault = faults.first().map(ToString::to_string).unwrap_or_default();
--- a/src/operator/fleet.rs
+++ b/src/operator/fleet.rs
@@ -16,7 +16,7 @@
 use crate::peer::member::ListedBox;
 use crate::peer::server;
 use crate::peer::traffic::Traffic;
-use crate::platform::Boxes;
+use crate::platform::BoxList;
 use crate::status::Explanation;
 use crate::status::Status;
 
@@ -33,7 +33,7 @@
 
 /// The routers, as the box list or the settings name them.
 pub struct Fleet {
-    boxes: Arc<dyn Boxes>,
+    boxes: Arc<dyn BoxList>,
     seeds: Vec<ListedBox>,
     secret: Secret,
     runtime: Handle,
@@ -41,7 +41,7 @@
 
 impl Fleet {
     /// Nobody is asked yet. Calls go on `runtime`, from threads that may block.
-    pub fn new(boxes: Arc<dyn Boxes>, cfg: &settings::Operator, runtime: Handle) -> Fleet {
+    pub fn new(boxes: Arc<dyn BoxList>, cfg: &settings::Operator, runtime: Handle) -> Fleet {
         let (seeds, secret) = (cfg.seeds.clone(), cfg.secret.clone());
         Fleet { boxes, seeds, secret, runtime }
     }
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -29,7 +29,7 @@
 use crate::config::Catalog;
 use crate::config::Fault;
 use crate::config::settings;
-use crate::config::settings::Token;
+use crate::config::settings::OperatorToken;
 use crate::controller::report;
 use crate::controller::report::Report;
 use crate::log;
@@ -37,7 +37,7 @@
 use crate::operator::intent::Intent;
 use crate::operator::plan::Plan;
 use crate::platform;
-use crate::platform::Objects;
+use crate::platform::ObjectStore;
 use crate::platform::client::Client;
 use crate::stop::Signals;
 use crate::web;
@@ -145,9 +145,9 @@
 }
 
 struct Api {
-    objects: Arc<dyn Objects>,
+    objects: Arc<dyn ObjectStore>,
     fleet: Fleet,
-    tokens: Vec<Token>,
+    tokens: Vec<OperatorToken>,
     log: Logger,
 }
 
--- a/src/operator/plan.rs
+++ b/src/operator/plan.rs
@@ -15,7 +15,7 @@
 use crate::operator::intent;
 use crate::operator::intent::Intent;
 use crate::platform::Error;
-use crate::platform::Objects;
+use crate::platform::ObjectStore;
 
 /// Applied plans that the configuration remembers.
 const APPLIED_MAX: usize = 64;
@@ -50,8 +50,8 @@
 }
 
 /// Reads the configuration.
-pub fn read(objects: &dyn Objects) -> Result<Shown, Problem> {
-    let Some(object) = objects.get(catalog::OBJECT)? else {
+pub fn read(objects: &dyn ObjectStore) -> Result<Shown, Problem> {
+    let Some(object) = objects.get(catalog::CONFIGURATION_OBJECT)? else {
         return Ok(Shown { revision: 0, configuration: Catalog::default() });
     };
     let configuration = serde_json::from_slice(&object.value)
@@ -60,14 +60,14 @@
 }
 
 /// Makes a plan for the configuration as it is now.
-pub fn make(objects: &dyn Objects, intent: Intent) -> Result<Plan, Problem> {
+pub fn make(objects: &dyn ObjectStore, intent: Intent) -> Result<Plan, Problem> {
     let shown = read(objects)?;
     plan(&shown, intent).map(|(plan, _)| plan)
 }
 
 /// Applies a plan, unless the configuration has changed since. Confirming a plan twice applies it
 /// once, and so does a write whose answer was lost: the configuration names the plans applied.
-pub fn confirm(objects: &dyn Objects, wanted: &Plan, by: &str) -> Result<Confirmed, Problem> {
+pub fn confirm(objects: &dyn ObjectStore, wanted: &Plan, by: &str) -> Result<Confirmed, Problem> {
     for _ in 0..SETTLE_MAX {
         let shown = read(objects)?;
         if shown.configuration.applied.iter().any(|a| a.plan == wanted.hash) {
@@ -84,7 +84,7 @@
         let surplus = next.applied.len().saturating_sub(APPLIED_MAX);
         next.applied.drain(..surplus);
         let value = serde_json::to_vec(&next).expect("a configuration serializes");
-        match objects.put(catalog::OBJECT, &value, shown.revision) {
+        match objects.put(catalog::CONFIGURATION_OBJECT, &value, shown.revision) {
             Ok(revision) => return Ok(Confirmed { revision }),
             // Read back: either this plan is in there now, or another one was faster.
             Err(Error::Conflict { .. } | Error::Unknown(_)) => {}
--- a/src/platform/client.rs
+++ b/src/platform/client.rs
@@ -10,10 +10,10 @@
 use ureq::http::Response;
 
 use crate::peer::member::ListedBox;
-use crate::platform::Boxes;
+use crate::platform::BoxList;
 use crate::platform::Error;
 use crate::platform::Object;
-use crate::platform::Objects;
+use crate::platform::ObjectStore;
 
 /// How long a call other than a watch may take, unless it is told otherwise.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
@@ -32,13 +32,13 @@
 pub struct Client {
     agent: Agent,
     base: String,
-    calls: Arc<Calls>,
+    calls: Arc<CallCounters>,
     timeout: Duration,
 }
 
 /// Calls to the platform so far: each counts against its rates.
 #[derive(Debug, Default)]
-pub struct Calls {
+pub struct CallCounters {
     /// Reads of objects and of the box list.
     pub reads: AtomicU64,
     /// Conditional updates.
@@ -66,7 +66,7 @@
     }
 
     /// The calls so far.
-    pub fn calls(&self) -> &Arc<Calls> {
+    pub fn calls(&self) -> &Arc<CallCounters> {
         &self.calls
     }
 
@@ -81,7 +81,7 @@
     }
 }
 
-impl Objects for Client {
+impl ObjectStore for Client {
     fn get(&self, name: &str) -> Result<Option<Object>, Error> {
         self.calls.reads.fetch_add(1, Ordering::Relaxed);
         let url = format!("{}/objects/{name}", self.base);
@@ -118,7 +118,7 @@
     }
 }
 
-impl Boxes for Client {
+impl BoxList for Client {
     fn boxes(&self) -> Result<Vec<ListedBox>, Error> {
         self.calls.reads.fetch_add(1, Ordering::Relaxed);
         let mut resp = self.read(&format!("{}/boxes", self.base), self.timeout)?;
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -34,7 +34,7 @@
 }
 
 /// Versioned objects. All calls block.
-pub trait Objects: Send + Sync {
+pub trait ObjectStore: Send + Sync {
     /// Reads an object; nothing where there is none.
     fn get(&self, name: &str) -> Result<Option<Object>, Error>;
 
@@ -46,7 +46,7 @@
 }
 
 /// The platform's list of boxes.
-pub trait Boxes: Send + Sync {
+pub trait BoxList: Send + Sync {
     /// Reads the list, which lags.
     fn boxes(&self) -> Result<Vec<ListedBox>, Error>;
 }
--- a/src/proxy/settings.rs
+++ b/src/proxy/settings.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// `[box]`: the identity of this box.
-    pub identity: settings::Box,
+    pub identity: settings::Identity,
     /// `[listen] callers`: where callers connect.
     pub callers: SocketAddr,
     /// `[listen] ready`: where the balancer probes whether this box is ready.
--- a/src/router/ask.rs
+++ b/src/router/ask.rs
@@ -15,7 +15,7 @@
 
 use crate::claims::Key;
 use crate::claims::KeyFault;
-use crate::config::Revision;
+use crate::config::CatalogRevision;
 use crate::config::Unit;
 use crate::config::settings::Limits;
 use crate::names::PoolName;
@@ -108,7 +108,7 @@
 pub fn read(
     service: &str,
     headers: &HeaderMap,
-    cfg: &Revision,
+    cfg: &CatalogRevision,
     limits: &Limits,
 ) -> Result<Ask, Fault> {
     let workspace = authenticate(headers, cfg, limits.trust_workspace_header)?;
@@ -139,7 +139,7 @@
 
 fn authenticate(
     headers: &HeaderMap,
-    cfg: &Revision,
+    cfg: &CatalogRevision,
     trusted: bool,
 ) -> Result<WorkspaceName, Fault> {
     if trusted {
--- a/src/router/front.rs
+++ b/src/router/front.rs
@@ -63,7 +63,7 @@
     builder
         .timer(TokioTimer::new())
         .header_read_timeout(limits.head_timeout)
-        .max_buf_size(limits.max_header.max(HEAD_BUF_MIN))
+        .max_buf_size(limits.max_header_bytes.max(HEAD_BUF_MIN))
         .half_close(false);
     let (service, me) = (service.clone(), me.clone());
     let handle = service_fn(move |req| {
@@ -127,6 +127,6 @@
     let cfg = service.hub.configuration();
     let ask = ask::read(name, &head.headers, &cfg, &service.limits)?;
     let limits = &service.limits;
-    let body = web::read_body(body, limits.max_body, limits.head_timeout).await?;
+    let body = web::read_body(body, limits.max_body_bytes, limits.head_timeout).await?;
     Ok((ask, body))
 }
--- a/src/router/hub.rs
+++ b/src/router/hub.rs
@@ -21,7 +21,7 @@
 use crate::claims::Claims;
 use crate::claims::Courier;
 use crate::claims::Op;
-use crate::config::Revision;
+use crate::config::CatalogRevision;
 use crate::dispatch::pool::Decision;
 use crate::dispatch::pool::Pool;
 use crate::metrics::Metrics;
@@ -41,7 +41,7 @@
 use crate::peer::message::TicketId;
 use crate::peer::server::Answer;
 use crate::peer::server::Handler;
-use crate::platform::Objects;
+use crate::platform::ObjectStore;
 use crate::router::records::Records;
 use crate::status::Explanation;
 use crate::status::PoolStatus;
@@ -102,7 +102,7 @@
     }
 
     /// The configuration in force.
-    pub fn configuration(&self) -> Arc<Revision> {
+    pub fn configuration(&self) -> Arc<CatalogRevision> {
         self.read(|node, _| node.configuration().clone())
     }
 
@@ -117,7 +117,7 @@
     }
 
     /// Begins to claim keys in `objects`.
-    pub fn open_claims(self: &Arc<Hub>, objects: Arc<dyn Objects>) {
+    pub fn open_claims(self: &Arc<Hub>, objects: Arc<dyn ObjectStore>) {
         let claims = Claims::new(objects, Box::new(HubCourier(Arc::downgrade(self))));
         // Set once, at the start.
         let _ = self.claims.set(claims);
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -35,7 +35,7 @@
 use crate::peer::traffic::Traffic;
 use crate::platform;
 use crate::platform::client::Client;
-use crate::platform::watch::News;
+use crate::platform::watch::PlatformUpdate;
 use crate::router::flow::Service;
 use crate::router::hub::Hub;
 use crate::router::send::Senders;
@@ -132,23 +132,23 @@
     let client = Arc::new(Client::new(cfg.platform));
     hub.metrics().store_calls(client.calls());
     let tell = |hub: Arc<Hub>| move |news| take_in(&hub, news);
-    platform::watch::configuration(client.clone(), tell(hub.clone()));
+    platform::watch::watch_configuration(client.clone(), tell(hub.clone()));
     hub.open_claims(Arc::new(client.with_timeout(CLAIM_TIMEOUT)));
-    platform::watch::boxes(client, tell(hub.clone()));
+    platform::watch::poll_boxes(client, tell(hub.clone()));
 }
 
-fn take_in(hub: &Hub, news: News) {
+fn take_in(hub: &Hub, news: PlatformUpdate) {
     match news {
-        News::Configuration { version, revision } => match *revision {
+        PlatformUpdate::Configuration { version, revision } => match *revision {
             Ok(revision) => hub.with(|node, now| node.configure(revision, now)),
             Err(faults) => {
                 let fault = faults.first().map(ToString::to_string);
                 warn!(hub.log(), "configuration refused"; "revision" => version, "fault" => fault);
             }
         },
-        News::Boxes(list) => hub.with(|node, now| node.list(&list, now)),
-        News::Reach(Some(e)) => warn!(hub.log(), "platform lost"; "error" => %e),
-        News::Reach(None) => info!(hub.log(), "platform back"),
+        PlatformUpdate::Boxes(list) => hub.with(|node, now| node.list(&list, now)),
+        PlatformUpdate::Reachability(Some(e)) => warn!(hub.log(), "platform lost"; "error" => %e),
+        PlatformUpdate::Reachability(None) => info!(hub.log(), "platform back"),
     }
 }
 
--- a/src/router/resume.rs
+++ b/src/router/resume.rs
@@ -11,8 +11,8 @@
 use http::Method;
 use http::StatusCode;
 
-use crate::config::catalog::FROM;
-use crate::config::catalog::REQUEST;
+use crate::config::catalog::FROM_PLACEHOLDER;
+use crate::config::catalog::REQUEST_PLACEHOLDER;
 use crate::names::PoolName;
 use crate::names::WorkspaceName;
 use crate::router::answer::REQUEST_ID;
@@ -89,7 +89,10 @@
         }
         let from = self.events.restart()?;
         self.times += 1;
-        let path = self.path.replace(REQUEST, &self.request).replace(FROM, &from.to_string());
+        let path = self
+            .path
+            .replace(REQUEST_PLACEHOLDER, &self.request)
+            .replace(FROM_PLACEHOLDER, &from.to_string());
         let outgoing = Outgoing { path, ..self.outgoing.clone() };
         self.service.senders.send(&self.workspace, outgoing).ok()
     }
--- a/standin/src/bin/standin.rs
+++ b/standin/src/bin/standin.rs
@@ -85,7 +85,8 @@
         }
         Options::Engine { listen, slots, token_ms } => {
             let token = Duration::from_millis(token_ms);
-            let settings = engine::Settings { slots, token, ..engine::Settings::default() };
+            let settings =
+                engine::Settings { slots, token_interval: token, ..engine::Settings::default() };
             for addr in listen {
                 Engine::start(addr, settings.clone())?;
             }
@@ -131,7 +132,8 @@
         let pool = configuration.pools.iter().find(|p| p.name == upstream.pool);
         if pool.is_some_and(|p| p.unit == "tokens") {
             let slots = upstream.slots;
-            let settings = engine::Settings { slots, token, ..engine::Settings::default() };
+            let settings =
+                engine::Settings { slots, token_interval: token, ..engine::Settings::default() };
             Engine::start(upstream.address, settings)?;
         } else {
             Service::start(upstream.address, delay)?;
--- a/standin/src/engine.rs
+++ b/standin/src/engine.rs
@@ -37,8 +37,8 @@
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 
-use crate::hold::Hold;
-use crate::hold::Holding;
+use crate::hold::HoldGate;
+use crate::hold::HoldPoint;
 use crate::orders::Orders;
 use crate::web;
 use crate::web::Body;
@@ -52,13 +52,13 @@
     /// Requests that run at once.
     pub slots: usize,
     /// Time per token in each slot.
-    pub token: Duration,
+    pub token_interval: Duration,
     /// Time before the first token, without a cached prefix.
-    pub prefill: Duration,
+    pub prefill_time: Duration,
     /// How old the load report is.
     pub report_lag: Duration,
     /// Time to load a model.
-    pub load: Duration,
+    pub model_load_time: Duration,
     /// Whether orders with a fence smaller than one seen before are refused.
     pub checks_fence: bool,
 }
@@ -67,10 +67,10 @@
     fn default() -> Settings {
         Settings {
             slots: 8,
-            token: Duration::from_millis(2),
-            prefill: Duration::from_millis(4),
+            token_interval: Duration::from_millis(2),
+            prefill_time: Duration::from_millis(4),
             report_lag: Duration::from_millis(500),
-            load: Duration::from_millis(50),
+            model_load_time: Duration::from_millis(50),
             checks_fence: true,
         }
     }
@@ -95,12 +95,12 @@
     /// The engine says that it leaves.
     pub leaving: bool,
     /// Orders stop here until this is lifted.
-    pub hold_orders: Option<Hold>,
+    pub hold_orders: Option<HoldPoint>,
 }
 
 /// What an engine reports of itself.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Load {
+pub struct LoadReport {
     /// Requests running.
     pub running: u32,
     /// Whether it is about to stop.
@@ -141,7 +141,7 @@
     cancelled: AtomicU64,
     resumed: AtomicU64,
     orders: Mutex<Orders>,
-    holding: Holding,
+    holding: HoldGate,
 }
 
 #[derive(Deserialize)]
@@ -174,7 +174,7 @@
             cancelled: AtomicU64::new(0),
             resumed: AtomicU64::new(0),
             orders: Mutex::default(),
-            holding: Holding::default(),
+            holding: HoldGate::default(),
         });
         let shared = state.clone();
         let addr = web::serve(addr, move |req| handle(shared.clone(), req))?;
@@ -187,7 +187,7 @@
     }
 
     /// How often each request id ran.
-    pub fn ran(&self) -> HashMap<String, u64> {
+    pub fn run_counts(&self) -> HashMap<String, u64> {
         self.state.ran.lock().expect("no panic under lock").clone()
     }
 
@@ -202,17 +202,17 @@
     }
 
     /// Orders that stop where `Faults::hold_orders` says.
-    pub fn held(&self) -> u64 {
+    pub fn held_count(&self) -> u64 {
         self.state.holding.count()
     }
 
     /// Answers that were streamed again.
-    pub fn resumed(&self) -> u64 {
+    pub fn resumed_count(&self) -> u64 {
         self.state.resumed.load(Ordering::SeqCst)
     }
 
     /// Requests whose caller left before the end.
-    pub fn cancelled(&self) -> u64 {
+    pub fn cancelled_count(&self) -> u64 {
         self.state.cancelled.load(Ordering::SeqCst)
     }
 }
@@ -232,14 +232,14 @@
         }
     }
 
-    fn load(&self) -> Load {
+    fn load(&self) -> LoadReport {
         let history = self.history.lock().expect("no panic under lock");
         let lag = self.settings.report_lag;
         let old = history.iter().rev().find(|(at, _)| at.elapsed() >= lag);
         let events = std::mem::take(&mut *self.events.lock().expect("no panic under lock"));
         let drained = self.orders.lock().expect("no panic under lock").is_drained();
         let leaving = self.faults().leaving || drained;
-        Load { running: old.map_or(0, |(_, n)| *n), leaving, events }
+        LoadReport { running: old.map_or(0, |(_, n)| *n), leaving, events }
     }
 
     /// Puts a prefix into the cache; true when it was there already.
@@ -368,11 +368,11 @@
     let Ok(envelope) = serde_json::from_slice(&body) else {
         return Ok(web::status(StatusCode::BAD_REQUEST));
     };
-    state.holding.wait(Hold::Before, || state.faults().hold_orders).await;
+    state.holding.wait(HoldPoint::Before, || state.faults().hold_orders).await;
     let running = state.running.load(Ordering::SeqCst);
     let settings = &state.settings;
     let mut orders = state.orders.lock().expect("no panic under lock");
-    let status = orders.take(envelope, settings.checks_fence, running, settings.load);
+    let status = orders.apply(envelope, settings.checks_fence, running, settings.model_load_time);
     Ok(web::status(status))
 }
 
@@ -440,7 +440,7 @@
     let _slot = Slot::take(&state, class).await;
     let mut run = Run::start(&state);
     if !state.cached(prefix) {
-        tokio::time::sleep(state.settings.prefill).await;
+        tokio::time::sleep(state.settings.prefill_time).await;
     }
     let mut due = tokio::time::Instant::now();
     for n in from..prompt.max_tokens {
@@ -448,7 +448,7 @@
             let _ = tx.send(Err(io::Error::other("cut"))).await;
             return;
         }
-        due += state.settings.token;
+        due += state.settings.token_interval;
         tokio::time::sleep_until(due).await;
         state.tokens.fetch_add(1, Ordering::Relaxed);
         let event = Bytes::from(format!("data: {{\"token\":{n}}}\n\n"));
--- a/standin/src/hold.rs
+++ b/standin/src/hold.rs
@@ -14,7 +14,7 @@
 /// Where a request stops.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Hold {
+pub enum HoldPoint {
     /// Before it takes effect.
     Before,
     /// After it took effect, before its answer.
@@ -23,16 +23,16 @@
 
 /// The requests that stop now, counted.
 #[derive(Debug, Default)]
-pub struct Holding(AtomicU64);
+pub struct HoldGate(AtomicU64);
 
-impl Holding {
+impl HoldGate {
     /// How many stop.
     pub fn count(&self) -> u64 {
         self.0.load(Ordering::SeqCst)
     }
 
     /// Stops for as long as `asked` says that this step does.
-    pub async fn wait(&self, step: Hold, asked: impl Fn() -> Option<Hold>) {
+    pub async fn wait(&self, step: HoldPoint, asked: impl Fn() -> Option<HoldPoint>) {
         if asked() != Some(step) {
             return;
         }
--- a/standin/src/orders.rs
+++ b/standin/src/orders.rs
@@ -14,7 +14,7 @@
 
 /// What an engine has loaded.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Loaded {
+pub struct LoadedModel {
     /// The model.
     pub model: String,
     /// Its version.
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct State {
     /// What it has loaded.
-    pub state: Loaded,
+    pub state: LoadedModel,
     /// Whether it is loading.
     pub loading: bool,
     /// Whether an order keeps new work from it.
@@ -42,7 +42,7 @@
 
 /// An order, and the right to give it.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Envelope {
+pub struct FencedOrder {
     fence: u64,
     #[serde(flatten)]
     order: Order,
@@ -52,20 +52,20 @@
 #[serde(tag = "order", rename_all = "kebab-case")]
 enum Order {
     Drain,
-    Load { state: Loaded },
+    Load { state: LoadedModel },
     Undrain,
 }
 
 /// What orders have made of an engine.
 #[derive(Debug, Default)]
 pub struct Orders {
-    loaded: Loaded,
-    loading: Option<(Loaded, Instant)>,
+    loaded: LoadedModel,
+    loading: Option<(LoadedModel, Instant)>,
     drained: bool,
     fence: u64,
     /// Fences of the orders that were done, and how many were refused for their fence.
-    pub done: Vec<u64>,
-    pub fenced: u64,
+    pub applied_fences: Vec<u64>,
+    pub rejected_by_fence: u64,
 }
 
 impl Orders {
@@ -87,16 +87,16 @@
     }
 
     /// Does an order, or says why not. Loading takes `load_time`.
-    pub fn take(
+    pub fn apply(
         &mut self,
-        envelope: Envelope,
+        envelope: FencedOrder,
         checks_fence: bool,
         running: u32,
         load_time: Duration,
     ) -> StatusCode {
         self.finish_loading();
         if checks_fence && envelope.fence < self.fence {
-            self.fenced += 1;
+            self.rejected_by_fence += 1;
             return StatusCode::PRECONDITION_FAILED;
         }
         self.fence = self.fence.max(envelope.fence);
@@ -108,7 +108,7 @@
             }
             Order::Undrain | Order::Load { .. } => return StatusCode::CONFLICT,
         }
-        self.done.push(envelope.fence);
+        self.applied_fences.push(envelope.fence);
         StatusCode::NO_CONTENT
     }
 
--- a/standin/src/platform.rs
+++ b/standin/src/platform.rs
@@ -27,8 +27,8 @@
 use serde::Serialize;
 use tokio::sync::Notify;
 
-use crate::hold::Hold;
-use crate::hold::Holding;
+use crate::hold::HoldGate;
+use crate::hold::HoldPoint;
 use crate::web;
 use crate::web::Body;
 
@@ -48,12 +48,12 @@
     /// The box list shows changes this much later, in milliseconds.
     pub box_list_lag_ms: u64,
     /// Writes stop here until this is lifted.
-    pub hold: Option<Hold>,
+    pub hold: Option<HoldPoint>,
 }
 
 /// Calls so far.
 #[derive(Debug, Default, Serialize, Deserialize)]
-pub struct Calls {
+pub struct CallCounts {
     /// Conditional updates.
     pub writes: u64,
     /// Reads of objects and of the box list.
@@ -77,7 +77,7 @@
     objects: Mutex<HashMap<String, Object>>,
     boxes: Mutex<Vec<(Instant, Bytes)>>,
     faults: Mutex<Faults>,
-    holding: Holding,
+    holding: HoldGate,
     changed: Notify,
     writes: AtomicU64,
     reads: AtomicU64,
@@ -121,12 +121,12 @@
     }
 
     /// The calls so far.
-    pub fn calls(&self) -> Calls {
+    pub fn calls(&self) -> CallCounts {
         self.state.calls()
     }
 
     /// Writes that stop where `Faults::hold` says.
-    pub fn held(&self) -> u64 {
+    pub fn held_count(&self) -> u64 {
         self.state.holding.count()
     }
 }
@@ -169,8 +169,8 @@
         lost
     }
 
-    fn calls(&self) -> Calls {
-        Calls {
+    fn calls(&self) -> CallCounts {
+        CallCounts {
             writes: self.writes.load(Ordering::Relaxed),
             reads: self.reads.load(Ordering::Relaxed),
             watches: self.watches.load(Ordering::Relaxed),
@@ -254,9 +254,9 @@
     if VALUE_MAX < value.len() {
         return Ok(web::status(StatusCode::PAYLOAD_TOO_LARGE));
     }
-    state.holding.wait(Hold::Before, || state.faults().hold).await;
+    state.holding.wait(HoldPoint::Before, || state.faults().hold).await;
     let result = state.put(name, Some(version), value);
-    state.holding.wait(Hold::After, || state.faults().hold).await;
+    state.holding.wait(HoldPoint::After, || state.faults().hold).await;
     if state.loses_answer() {
         return Err(io::Error::other("the answer is lost"));
     }
--- a/standin/src/service.rs
+++ b/standin/src/service.rs
@@ -23,9 +23,9 @@
 use serde::Serialize;
 use tokio::sync::mpsc;
 
-use crate::engine::Load;
-use crate::hold::Hold;
-use crate::hold::Holding;
+use crate::engine::LoadReport;
+use crate::hold::HoldGate;
+use crate::hold::HoldPoint;
 use crate::web;
 use crate::web::Body;
 
@@ -44,7 +44,7 @@
     /// The service says that it leaves.
     pub leaving: bool,
     /// Requests stop here until this is lifted.
-    pub hold: Option<Hold>,
+    pub hold: Option<HoldPoint>,
 }
 
 /// A running fake service.
@@ -59,11 +59,11 @@
     delay: Duration,
     ran: Mutex<HashMap<String, u64>>,
     faults: Mutex<Faults>,
-    holding: Holding,
+    holding: HoldGate,
 }
 
 impl State {
-    fn hold(&self) -> Option<Hold> {
+    fn hold(&self) -> Option<HoldPoint> {
         self.faults.lock().expect("no panic under lock").hold
     }
 }
@@ -75,7 +75,7 @@
             delay,
             ran: Mutex::default(),
             faults: Mutex::default(),
-            holding: Holding::default(),
+            holding: HoldGate::default(),
         });
         let shared = state.clone();
         let addr = web::serve(addr, move |req| handle(shared.clone(), req))?;
@@ -88,12 +88,12 @@
     }
 
     /// How often each request ran.
-    pub fn ran(&self) -> HashMap<String, u64> {
+    pub fn run_counts(&self) -> HashMap<String, u64> {
         self.state.ran.lock().expect("no panic under lock").clone()
     }
 
     /// Requests that stop where `Faults::hold` says.
-    pub fn held(&self) -> u64 {
+    pub fn held_count(&self) -> u64 {
         self.state.holding.count()
     }
 }
@@ -102,7 +102,7 @@
     let faults = state.faults.lock().expect("no panic under lock").clone();
     match (req.method(), req.uri().path()) {
         (&Method::GET, "/load") => {
-            let load = Load { leaving: faults.leaving, ..Load::default() };
+            let load = LoadReport { leaving: faults.leaving, ..LoadReport::default() };
             Ok(web::json(StatusCode::OK, &load))
         }
         (&Method::GET, "/ran") => {
@@ -131,14 +131,14 @@
     if faults.cut_before {
         return Err(io::Error::other("cut before it ran"));
     }
-    state.holding.wait(Hold::Before, || state.hold()).await;
+    state.holding.wait(HoldPoint::Before, || state.hold()).await;
     let times = {
         let mut ran = state.ran.lock().expect("no panic under lock");
         let times = ran.entry(key).or_default();
         *times += 1;
         *times
     };
-    state.holding.wait(Hold::After, || state.hold()).await;
+    state.holding.wait(HoldPoint::After, || state.hold()).await;
     tokio::time::sleep(state.delay + Duration::from_millis(faults.slow_ms)).await;
     if faults.lose_answers {
         return Err(io::Error::other("the answer is lost"));
--- a/standin/tests/engine.rs
+++ b/standin/tests/engine.rs
@@ -11,7 +11,7 @@
 use frostdyke_standin::engine::Settings;
 
 fn start(slots: usize, token: Duration) -> Engine {
-    let settings = Settings { slots, token, ..Settings::default() };
+    let settings = Settings { slots, token_interval: token, ..Settings::default() };
     Engine::start(SocketAddr::from(([127, 0, 0, 1], 0)), settings).expect("it starts")
 }
 
@@ -57,7 +57,7 @@
         thread::yield_now();
     }
     let background = ask("background", 5);
-    while engine.ran().len() < 2 {
+    while engine.run_counts().len() < 2 {
         thread::yield_now();
     }
     let urgent = ask("urgent", 5);
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use frostdyke::config::Revision;
+use frostdyke::config::CatalogRevision;
 use frostdyke::dispatch::pool::Tuning;
 use frostdyke::names::BoxName;
 use frostdyke::node::Identity;
@@ -27,7 +27,7 @@
     let mut node = Node::new(id, Tuning::default(), Gossip::default());
     let engine = catalog::upstream("e1", "here", 1);
     let cfg = catalog::catalog(vec![catalog::workspace("a", 1)], vec![engine]);
-    node.configure(Revision::new(1, cfg).expect("it is valid"), Duration::ZERO);
+    node.configure(CatalogRevision::new(1, cfg).expect("it is valid"), Duration::ZERO);
     node
 }
 
@@ -116,7 +116,7 @@
     let mut node = node();
     let mut cfg = node.configuration().catalog.clone();
     cfg.upstreams[0].draining = true;
-    node.configure(Revision::new(2, cfg).expect("it is valid"), Duration::ZERO);
+    node.configure(CatalogRevision::new(2, cfg).expect("it is valid"), Duration::ZERO);
     for _ in 0..40 {
         let id = node.new_ticket_id();
         node.submit(ticket(id, Class::Normal), Duration::ZERO).expect("there is room");
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -27,7 +27,7 @@
 use frostdyke::names::BoxName;
 use frostdyke::platform::Error;
 use frostdyke::platform::Object;
-use frostdyke::platform::Objects;
+use frostdyke::platform::ObjectStore;
 use uuid::Uuid;
 
 /// What the store does with calls.
@@ -68,7 +68,7 @@
     }
 }
 
-impl Objects for Store {
+impl ObjectStore for Store {
     fn get(&self, name: &str) -> Result<Option<Object>, Error> {
         self.call()?;
         Ok(self.objects.lock().expect("no panic").get(name).cloned())
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use frostdyke::config::Revision;
+use frostdyke::config::CatalogRevision;
 use frostdyke::dispatch::ledger::CellId;
 use frostdyke::dispatch::ledger::Entry;
 use frostdyke::dispatch::pool::Action;
@@ -29,7 +29,7 @@
 
 const NOW: Duration = Duration::from_secs(10);
 
-fn configuration(slots: u32) -> Arc<Revision> {
+fn configuration(slots: u32) -> Arc<CatalogRevision> {
     let workspaces = vec![catalog::workspace("a", 1), catalog::workspace("b", 1)];
     let mut configuration =
         catalog::catalog(workspaces, vec![catalog::upstream("e1", "here", slots)]);
@@ -38,7 +38,7 @@
     pool.background_every = 3;
     pool.pull_margin = 100;
     pool.debt_cap = 1000;
-    Arc::new(Revision::new(1, configuration).expect("it is valid"))
+    Arc::new(CatalogRevision::new(1, configuration).expect("it is valid"))
 }
 
 fn pool(slots: u32) -> Pool {
--- a/tests/holds_answers.rs
+++ b/tests/holds_answers.rs
@@ -90,8 +90,8 @@
     assert!(reply.body.starts_with(&tokens.collect::<String>()), "{reply:?}");
     assert!(reply.body.ends_with("data: [DONE]\n\n"), "{reply:?}");
     // The request ran once; only its answer was streamed again.
-    assert_eq!(fleet.engines[0].ran().values().sum::<u64>(), 1);
-    assert_eq!(fleet.engines[0].resumed(), 1);
+    assert_eq!(fleet.engines[0].run_counts().values().sum::<u64>(), 1);
+    assert_eq!(fleet.engines[0].resumed_count(), 1);
     let operator = fleet.start_operator();
     let why = fleet.ctl(operator, &["explain", &reply.request]);
     let why = String::from_utf8_lossy(&why.stdout).into_owned();
@@ -106,7 +106,7 @@
     let reply = ask(&fleet, 20);
     assert_eq!((reply.status, reply.whole), (200, false), "{reply:?}");
     assert!(reply.body.is_empty() || reply.body.ends_with("\n\n"), "half an event: {reply:?}");
-    assert_eq!(fleet.engines[0].resumed(), 3);
+    assert_eq!(fleet.engines[0].resumed_count(), 3);
 }
 
 proptest! {
@@ -217,7 +217,7 @@
     let caller = begin(&fleet, 5000);
     wait_until("it runs", || fleet.engines[0].running() == 1);
     drop(caller);
-    wait_until("the engine stops", || fleet.engines[0].cancelled() == 1);
+    wait_until("the engine stops", || fleet.engines[0].cancelled_count() == 1);
     // The only slot is free for the next.
     assert_eq!(ask(&fleet, 2).status, 200);
 }
--- a/tests/holds_at_most_once.rs
+++ b/tests/holds_at_most_once.rs
@@ -10,7 +10,7 @@
 use std::time::SystemTime;
 
 use frostdyke::claims::Key;
-use frostdyke_standin::hold::Hold;
+use frostdyke_standin::hold::HoldPoint;
 use frostdyke_standin::platform;
 use frostdyke_standin::service;
 use nix::sys::signal::Signal;
@@ -76,7 +76,7 @@
     fleet.services[0].set_faults(service::Faults { lose_answers: true, ..Default::default() });
     let reply = fleet.routers[0].send("transfer", "{}", &[]);
     assert_eq!((reply.status, reply.outcome.as_str()), (502, "unknown"));
-    assert_eq!(fleet.services[0].ran().values().sum::<u64>(), 1);
+    assert_eq!(fleet.services[0].run_counts().values().sum::<u64>(), 1);
     assert_eq!(fleet.platform.calls().writes, 0);
 }
 
@@ -210,8 +210,8 @@
     /// Makes everybody's requests stop at this step, or go on.
     fn hold(self, fleet: &Fleet, hold: bool) {
         let at = match self {
-            Step::ClaimUnwritten | Step::Sent => Hold::Before,
-            Step::ClaimWritten | Step::Ran => Hold::After,
+            Step::ClaimUnwritten | Step::Sent => HoldPoint::Before,
+            Step::ClaimWritten | Step::Ran => HoldPoint::After,
         };
         let hold = hold.then_some(at);
         match self {
@@ -227,8 +227,8 @@
 
     fn held(self, fleet: &Fleet) -> u64 {
         match self {
-            Step::ClaimUnwritten | Step::ClaimWritten => fleet.platform.held(),
-            Step::Sent | Step::Ran => fleet.services.iter().map(|s| s.held()).sum(),
+            Step::ClaimUnwritten | Step::ClaimWritten => fleet.platform.held_count(),
+            Step::Sent | Step::Ran => fleet.services.iter().map(|s| s.held_count()).sum(),
         }
     }
 }
--- a/tests/holds_configuration.rs
+++ b/tests/holds_configuration.rs
@@ -3,7 +3,7 @@
 mod util;
 
 use frostdyke::config::Catalog;
-use frostdyke::config::Revision;
+use frostdyke::config::CatalogRevision;
 use frostdyke::config::Workspace;
 use frostdyke::dispatch::pool::Tuning;
 use frostdyke::node::Identity;
@@ -150,7 +150,7 @@
 #[test]
 fn it_never_reverts() {
     let mut node = node();
-    let revision = |n, name| Revision::new(n, named(name)).expect("it is valid");
+    let revision = |n, name| CatalogRevision::new(n, named(name)).expect("it is valid");
     node.configure(revision(7, "new"), SECOND);
     node.configure(revision(6, "old"), SECOND);
     let stale = Message::Configuration { v: 5, c: Box::new(named("older")) };
--- a/tests/holds_leases.rs
+++ b/tests/holds_leases.rs
@@ -6,9 +6,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+use frostdyke::config::CatalogRevision;
 use frostdyke::config::EngineState;
-use frostdyke::config::Revision;
-use frostdyke::config::catalog::OBJECT;
+use frostdyke::config::catalog::CONFIGURATION_OBJECT;
 use frostdyke::controller::lease::Fence;
 use frostdyke::controller::lease::Lease;
 use frostdyke::controller::lease::Record;
@@ -23,7 +23,7 @@
 use frostdyke::controller::rollout::Weights;
 use frostdyke::names::UpstreamName;
 use frostdyke_standin::engine;
-use frostdyke_standin::hold::Hold;
+use frostdyke_standin::hold::HoldPoint;
 use nix::sys::signal::Signal;
 use nix::sys::signal::kill;
 use nix::unistd::Pid;
@@ -222,7 +222,7 @@
 }
 
 /// Four engines that are to go from version 1 to version 2.
-fn four_engines() -> (Revision, BTreeMap<UpstreamName, Observed>) {
+fn four_engines() -> (CatalogRevision, BTreeMap<UpstreamName, Observed>) {
     let upstream = |i: usize| {
         let upstream = catalog::upstream(&format!("e{i}"), "here", 8);
         frostdyke::config::Upstream { engine: Some(state("2")), ..upstream }
@@ -233,7 +233,7 @@
         let observed = Observed { state: state("1"), running: 3, ..Observed::default() };
         (UpstreamName::from(&*format!("e{i}")), observed)
     };
-    (Revision::new(1, wanted).expect("it is valid"), (0..4).map(observed).collect())
+    (CatalogRevision::new(1, wanted).expect("it is valid"), (0..4).map(observed).collect())
 }
 
 /// Does what was ordered, as an engine would; work ends at once, loading takes a turn.
@@ -304,7 +304,7 @@
     let (cfg, mut observed) = four_engines();
     let mut catalog = cfg.catalog.clone();
     catalog.upstreams.iter_mut().for_each(|u| u.engine = None);
-    let cfg = Revision::new(2, catalog).expect("it is valid");
+    let cfg = CatalogRevision::new(2, catalog).expect("it is valid");
     obey(observed.get_mut("e1").expect("it is there"), &Order::Drain);
     let mut weights = Weights::new(Duration::ZERO);
     let touched = Touched::from(["e1".into()]);
@@ -322,7 +322,7 @@
         let long = scope.spawn(|| router.send("assist", "{\"max_tokens\":100}", &[]));
         wait_until("a request runs", || fleet.engines[0].running() == 1);
         let mut configuration = fleet.configuration.clone();
-        let put = |c: &serde_json::Value| fleet.platform.put(OBJECT, c.to_string());
+        let put = |c: &serde_json::Value| fleet.platform.put(CONFIGURATION_OBJECT, c.to_string());
         configuration["upstreams"][0]["engine"] = serde_json::json!({"model": "m", "version": "1"});
         put(&configuration);
         let mut first = fleet.controller(0, 0);
@@ -400,13 +400,13 @@
     let mut fleet = Fleet::start(&setup);
     fleet.start_controller(0);
     let hold = |hold| engine::Faults { hold_orders: hold, ..engine::Faults::default() };
-    fleet.engines[0].set_faults(hold(Some(Hold::Before)));
+    fleet.engines[0].set_faults(hold(Some(HoldPoint::Before)));
     want(&mut fleet, "1");
-    wait_until("an order is on its way", || fleet.engines[0].held() == 1);
+    wait_until("an order is on its way", || fleet.engines[0].held_count() == 1);
     signal(&fleet, 0, Signal::SIGSTOP);
     // It wants the order done, too: that one is held behind the first.
     fleet.start_controller(0);
-    wait_until("the other one has taken over", || fleet.engines[0].held() == 2);
+    wait_until("the other one has taken over", || fleet.engines[0].held_count() == 2);
     fleet.engines[0].set_faults(hold(None));
     wait_until("the model is loaded", || has_loaded(&fleet, "1"));
     signal(&fleet, 0, Signal::SIGCONT);
@@ -414,9 +414,9 @@
     want(&mut fleet, "2");
     wait_until("the next one is loaded", || has_loaded(&fleet, "2"));
     let orders = fleet.engines[0].orders();
-    let fences: Vec<u64> = orders.done.clone();
+    let fences: Vec<u64> = orders.applied_fences.clone();
     assert!(!checks_fence || fences.is_sorted(), "{fences:?}");
-    orders.fenced
+    orders.rejected_by_fence
 }
 
 #[test]
--- a/tests/holds_leaving.rs
+++ b/tests/holds_leaving.rs
@@ -32,12 +32,12 @@
     wait_until("it runs", || fleet.engines[0].running() == 1);
     leave(fleet);
     wait_until("the word is in force", || noticed(fleet));
-    let before = fleet.engines[0].ran().len();
+    let before = fleet.engines[0].run_counts().len();
     for i in 0..12 {
         let reply = fleet.routers[i % 3].send("assist", "{\"max_tokens\":2}", &[]);
         assert_eq!(reply.status, 200, "{reply:?}");
     }
-    assert_eq!(fleet.engines[0].ran().len(), before, "the leaving engine got new work");
+    assert_eq!(fleet.engines[0].run_counts().len(), before, "the leaving engine got new work");
     let text = long.join().expect("no panic").expect("it came whole");
     assert!(text.contains("\"total_tokens\":600"), "{text}");
 }
@@ -109,11 +109,11 @@
     wait_until("the other has it", || {
         fleet.routers[other].metric("frostdyke_revision") == Some(2.0)
     });
-    let before = fleet.engines[0].ran().len();
+    let before = fleet.engines[0].run_counts().len();
     for _ in 0..4 {
         let reply = fleet.routers[other].send("assist", "{\"max_tokens\":2}", &[]);
         assert_eq!(reply.status, 200, "{reply:?}");
     }
-    assert_eq!(fleet.engines[0].ran().len(), before, "the leaving engine got new work");
+    assert_eq!(fleet.engines[0].run_counts().len(), before, "the leaving engine got new work");
     fleet.routers[dispatcher].signal(Signal::SIGCONT);
 }
--- a/tests/holds_planned_stop.rs
+++ b/tests/holds_planned_stop.rs
@@ -62,7 +62,7 @@
     });
     assert!(100 < whole.into_inner());
     // Nothing is left over at the engines: every caller had its whole answer.
-    let cancelled: u64 = fleet.engines.iter().map(|e| e.cancelled()).sum();
+    let cancelled: u64 = fleet.engines.iter().map(|e| e.cancelled_count()).sum();
     assert_eq!(cancelled, 0);
 }
 
--- a/tests/keys.rs
+++ b/tests/keys.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use frostdyke::config::Revision;
+use frostdyke::config::CatalogRevision;
 use frostdyke::config::Workspace;
 use frostdyke::config::settings::Limits;
 use frostdyke::config::settings::Secret;
@@ -19,8 +19,8 @@
 fn limits() -> Limits {
     Limits {
         trust_workspace_header: false,
-        max_body: 1000,
-        max_header: 1000,
+        max_body_bytes: 1000,
+        max_header_bytes: 1000,
         max_connections: 10,
         max_running: 10,
         default_deadline: Duration::from_secs(1),
@@ -30,13 +30,13 @@
 }
 
 /// Two workspaces, with the keys `key of a` and `key of b`.
-fn configuration() -> Revision {
+fn configuration() -> CatalogRevision {
     let workspace = |name: &str| Workspace {
         key_digests: vec![hex::encode(Sha256::digest(format!("key of {name}")))],
         ..catalog::workspace(name, 1)
     };
     let cfg = catalog::catalog(vec![workspace("a"), workspace("b")], Vec::new());
-    Revision::new(1, cfg).expect("it is valid")
+    CatalogRevision::new(1, cfg).expect("it is valid")
 }
 
 fn asks(headers: &[(&'static str, &str)]) -> Result<String, Fault> {
--- a/tests/strangers.rs
+++ b/tests/strangers.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use frostdyke::config::Revision;
+use frostdyke::config::CatalogRevision;
 use frostdyke::dispatch::ledger::CellId;
 use frostdyke::dispatch::ledger::Entry;
 use frostdyke::dispatch::pool::Tuning;
@@ -216,7 +216,10 @@
     let mut node = Node::new(id, Tuning::default(), Gossip::default());
     let catalog = util::rig::configuration(&setup);
     node.list(&util::rig::listed(&setup), Duration::ZERO);
-    node.configure(Revision::new(1, catalog).expect("a valid configuration"), Duration::ZERO);
+    node.configure(
+        CatalogRevision::new(1, catalog).expect("a valid configuration"),
+        Duration::ZERO,
+    );
     node
 }
 
--- a/tests/util/fleet.rs
+++ b/tests/util/fleet.rs
@@ -146,7 +146,7 @@
         for zone in 0..setup.zones.len() {
             let settings = engine::Settings {
                 slots: setup.slots as usize,
-                token: setup.token,
+                token_interval: setup.token,
                 checks_fence: setup.checks_fence,
                 ..engine::Settings::default()
             };
@@ -327,7 +327,7 @@
 
     /// How often each request of the services ran, over all zones.
     pub fn ran(&self, key: &str) -> u64 {
-        self.services.iter().filter_map(|s| s.ran().get(key).copied()).sum()
+        self.services.iter().filter_map(|s| s.run_counts().get(key).copied()).sum()
     }
 }
 
--- a/tests/util/rig.rs
+++ b/tests/util/rig.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use frostdyke::config::Catalog;
-use frostdyke::config::Revision;
+use frostdyke::config::CatalogRevision;
 use frostdyke::config::Workspace;
 use frostdyke::dispatch::pool::Tuning;
 use frostdyke::dispatch::upstreams::Report;
@@ -220,13 +220,13 @@
     held: FxHashMap<(usize, usize), VecDeque<Duration>>,
     sequence: u64,
     rng: SmallRng,
-    revision: Revision,
+    revision: CatalogRevision,
 }
 
 impl Rig {
     pub fn new(setup: Setup) -> Rig {
-        let revision =
-            Revision::new(1, configuration(&setup)).expect("the rig's configuration is valid");
+        let revision = CatalogRevision::new(1, configuration(&setup))
+            .expect("the rig's configuration is valid");
         let mut rig = Rig {
             net: Net::default(),
             now: Duration::ZERO,
@@ -326,7 +326,8 @@
     /// Gives one box the next revision of the configuration, as if its watch had brought it.
     pub fn configure(&mut self, i: usize, number: u64) {
         let catalog = configuration(&self.setup);
-        let revision = Revision::new(number, catalog).expect("the rig's configuration is valid");
+        let revision =
+            CatalogRevision::new(number, catalog).expect("the rig's configuration is valid");
         let member = &mut self.members[i];
         let node = member.node.as_mut().expect("the box is up");
         node.configure(revision, self.now - member.started);
