--- a/src/dispatch/pool/mod.rs
+++ b/src/dispatch/pool/mod.rs
@@ -14,14 +14,13 @@
 
 pub use crate::dispatch::pool::decision::Action;
 pub use crate::dispatch::pool::decision::Decision;
-pub use crate::dispatch::pool::decision::SelectionReason;
 pub use crate::dispatch::pool::decision::WaitReason;
-
+pub use crate::dispatch::pool::decision::SelectionReason;
 use crate::config;
-use crate::config::Revision;
+use crate::config::CatalogRevision;
+use crate::dispatch::ledger::ReplicaId;
 use crate::dispatch::ledger::Ledger;
 use crate::dispatch::ledger::PARTS;
-use crate::dispatch::ledger::ReplicaId;
 use crate::dispatch::ledger::VirtualTime;
 use crate::dispatch::pool::order::Choice;
 use crate::dispatch::queue::Queue;
@@ -68,7 +67,7 @@
 pub struct PoolDispatcher {
     policy: config::Pool,
     zone: ZoneName,
-    cfg: Arc<Revision>,
+    cfg: Arc<CatalogRevision>,
     tuning: Tuning,
     ledger: Ledger,
     queue: Queue,
@@ -147,7 +146,7 @@
         name: &PoolName,
         zone: &ZoneName,
         replica: ReplicaId,
-        cfg: Arc<Revision>,
+        cfg: Arc<CatalogRevision>,
         tuning: Tuning,
     ) -> Option<PoolDispatcher> {
         let policy = cfg.pool(name)?.clone();
@@ -189,7 +188,7 @@
     }
 
     /// Takes over a new configuration.
-    pub fn configure(&mut self, cfg: &Arc<Revision>, now: Duration, out: &mut Vec<Action>) {
+    pub fn configure(&mut self, cfg: &Arc<CatalogRevision>, now: Duration, out: &mut Vec<Action>) {
         if let Some(policy) = cfg.pool(&self.policy.name) {
             self.policy = policy.clone();
         }
@@ -332,7 +331,7 @@
     cost as i64 * PARTS
 }
 
-fn mean_weight(cfg: &Revision) -> f64 {
+fn mean_weight(cfg: &CatalogRevision) -> f64 {
     let workspaces = &cfg.catalog.workspaces;
     let sum: f64 = workspaces.iter().map(|w| f64::from(w.weight)).sum();
     sum / workspaces.len().max(1) as f64
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -18,7 +18,7 @@
 use rustc_hash::FxHashMap;
 
 pub use crate::node::admission::Refusal;
-use crate::config::Revision;
+use crate::config::CatalogRevision;
 use crate::dispatch::pool::Action;
 use crate::dispatch::pool::Decision;
 use crate::dispatch::pool::PoolDispatcher;
@@ -90,7 +90,7 @@
 #[derive(Debug)]
 pub struct Node {
     identity: Identity,
-    cfg: Arc<Revision>,
+    cfg: Arc<CatalogRevision>,
     members: Members,
     tuning: Tuning,
     pools: BTreeMap<PoolName, PoolDispatcher>,
@@ -161,7 +161,7 @@
     }
 
     /// The applied configuration.
-    pub fn configuration(&self) -> &Arc<Revision> {
+    pub fn configuration(&self) -> &Arc<CatalogRevision> {
         &self.cfg
     }
 
@@ -278,7 +278,7 @@
     }
 
     /// Applies a configuration, unless it is older than the current one.
-    pub fn configure(&mut self, revision: Revision, now: Duration) {
+    pub fn configure(&mut self, revision: CatalogRevision, now: Duration) {
         if revision.number <= self.cfg.number {
             return;
         }
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -11,23 +11,23 @@
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
 
-use frostdyke::claims::ClaimObject;
-use frostdyke::claims::ClaimOp;
-use frostdyke::claims::ClaimOutcome;
-use frostdyke::claims::ClaimRequest;
-use frostdyke::claims::ClaimTransport;
+use frostdyke::claims::KeyError;
 use frostdyke::claims::Claims;
 use frostdyke::claims::IdempotencyKey;
-use frostdyke::claims::KeyError;
+use frostdyke::claims::ClaimTransport;
+use frostdyke::claims::ClaimRequest;
+use frostdyke::claims::ClaimOutcome;
+use frostdyke::claims::ClaimOp;
 use frostdyke::claims::RING;
 use frostdyke::claims::SKEW;
+use frostdyke::claims::ClaimObject;
 use frostdyke::claims::WINDOW;
-use frostdyke::claims::records::ClaimRecords;
 use frostdyke::claims::records::RECORDS_MAX;
+use frostdyke::claims::records::ClaimRecords;
 use frostdyke::names::BoxName;
 use frostdyke::platform::Error;
 use frostdyke::platform::Object;
-use frostdyke::platform::Objects;
+use frostdyke::platform::ObjectStore;
 use uuid::Uuid;
 
 /// What the store does with calls.
@@ -68,7 +68,7 @@
     }
 }
 
-impl Objects for Store {
+impl ObjectStore for Store {
     fn get(&self, name: &str) -> Result<Option<Object>, Error> {
         self.call()?;
         Ok(self.objects.lock().expect("no panic").get(name).cloned())
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -5,31 +5,31 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use frostdyke::config::Revision;
-use frostdyke::dispatch::ledger::CounterEntry;
+use frostdyke::config::CatalogRevision;
 use frostdyke::dispatch::ledger::ReplicaId;
+use frostdyke::dispatch::ledger::CounterEntry;
 use frostdyke::dispatch::pool::Action;
-use frostdyke::dispatch::pool::PoolDispatcher;
-use frostdyke::dispatch::pool::Tuning;
 use frostdyke::dispatch::pool::WaitReason;
+use frostdyke::dispatch::pool::Tuning;
+use frostdyke::dispatch::pool::PoolDispatcher;
 use frostdyke::dispatch::upstreams::UpstreamReport;
 use frostdyke::peer::message::Class;
-use frostdyke::peer::message::CompletionReport;
-use frostdyke::peer::message::DispatcherReport;
+use frostdyke::peer::message::PullResponse;
+use frostdyke::peer::message::PullRequest;
 use frostdyke::peer::message::Ending;
 use frostdyke::peer::message::Grant;
-use frostdyke::peer::message::GrantDigest;
 use frostdyke::peer::message::GrantId;
 use frostdyke::peer::message::Message;
-use frostdyke::peer::message::PullRequest;
-use frostdyke::peer::message::PullResponse;
+use frostdyke::peer::message::GrantDigest;
+use frostdyke::peer::message::DispatcherReport;
+use frostdyke::peer::message::CompletionReport;
 use frostdyke::peer::message::Ticket;
 use frostdyke::peer::message::TicketId;
 use util::catalog;
 
 const NOW: Duration = Duration::from_secs(10);
 
-fn configuration(slots: u32) -> Arc<Revision> {
+fn configuration(slots: u32) -> Arc<CatalogRevision> {
     let workspaces = vec![catalog::workspace("a", 1), catalog::workspace("b", 1)];
     let mut configuration =
         catalog::catalog(workspaces, vec![catalog::upstream("e1", "here", slots)]);
@@ -38,7 +38,7 @@
     pool.background_every = 3;
     pool.pull_margin = 100;
     pool.debt_cap = 1000;
-    Arc::new(Revision::new(1, configuration).expect("it is valid"))
+    Arc::new(CatalogRevision::new(1, configuration).expect("it is valid"))
 }
 
 fn pool(slots: u32) -> PoolDispatcher {
