--- a/src/claims/writer.rs
+++ b/src/claims/writer.rs
@@ -15,10 +15,10 @@
 use crossbeam::channel::Receiver;
 use crossbeam::channel::Sender;
 
-use crate::claims::ClaimRequest;
-use crate::claims::ClaimOutcome;
-use crate::claims::ClaimOp;
 use crate::claims::ClaimObject;
+use crate::claims::ClaimOp;
+use crate::claims::ClaimOutcome;
+use crate::claims::ClaimRequest;
 use crate::claims::records::ClaimRecords;
 use crate::claims::unix;
 use crate::platform::Error;
--- a/src/node/receive.rs
+++ b/src/node/receive.rs
@@ -14,15 +14,15 @@
 use crate::node::Node;
 use crate::node::Output;
 use crate::node::RunningRequest;
-use crate::peer::message::PullRequest;
-use crate::peer::message::HeartbeatEntry;
-use crate::peer::message::GrantDigest;
+use crate::peer::message::CompletionReport;
+use crate::peer::message::DispatcherReport;
 use crate::peer::message::Ending;
 use crate::peer::message::Grant;
+use crate::peer::message::GrantDigest;
 use crate::peer::message::GrantId;
+use crate::peer::message::HeartbeatEntry;
 use crate::peer::message::Message;
-use crate::peer::message::DispatcherReport;
-use crate::peer::message::CompletionReport;
+use crate::peer::message::PullRequest;
 use crate::peer::message::Ticket;
 
 impl Node {
@@ -62,7 +62,9 @@
                 });
             }
             Message::GrantsNotInUse { pool, grants } => {
-                self.with_pool(&pool, |pool, actions| pool.release_unused(from, &grants, now, actions));
+                self.with_pool(&pool, |pool, actions| {
+                    pool.release_unused(from, &grants, now, actions)
+                });
             }
             Message::DispatcherReport(summary) => self.handle_summary(from, *summary, now),
             Message::StandbyAck { pool, zone, replica, version } => {
@@ -76,7 +78,9 @@
             }
             // Claims need the store; the process handles them.
             Message::ClaimRequest(_) | Message::ClaimResponse { .. } => {}
-            Message::ConfigurationRequest { revision } => self.handle_configuration_request(from, revision),
+            Message::ConfigurationRequest { revision } => {
+                self.handle_configuration_request(from, revision)
+            }
             Message::Configuration { revision, catalog } => {
                 self.handle_configuration(from, revision, *catalog, now)
             }
@@ -146,7 +150,9 @@
 
     fn handle_done(&mut self, done: CompletionReport, now: Duration) {
         if self.pools.contains_key(&done.pool) {
-            self.with_pool(&done.pool.clone(), |pool, actions| pool.handle_completion(&done, now, actions));
+            self.with_pool(&done.pool.clone(), |pool, actions| {
+                pool.handle_completion(&done, now, actions)
+            });
             return;
         }
         // The role was handed over and the sender doesn't know it yet.
@@ -177,7 +183,8 @@
                 );
             }
         }
-        let grants: Vec<GrantId> = grants.iter().copied().filter(|id| !in_use.contains(id)).collect();
+        let grants: Vec<GrantId> =
+            grants.iter().copied().filter(|id| !in_use.contains(id)).collect();
         // Sent even when empty: it proves that this router is alive.
         self.send(from.clone(), Message::GrantsNotInUse { pool, grants });
     }
--- a/src/node/roles.rs
+++ b/src/node/roles.rs
@@ -64,8 +64,13 @@
                 incarnation: self.next_replica_incarnation,
             };
             self.next_replica_incarnation += 1;
-            let mut pool =
-                PoolDispatcher::new(name, &self.identity.zone, cell, self.cfg.clone(), self.tuning)?;
+            let mut pool = PoolDispatcher::new(
+                name,
+                &self.identity.zone,
+                cell,
+                self.cfg.clone(),
+                self.tuning,
+            )?;
             pool.upstreams_mut().set_listed_leaving(&self.leaving_boxes);
             self.pools.insert(name.clone(), pool);
         }
--- a/src/node/waiting.rs
+++ b/src/node/waiting.rs
@@ -167,7 +167,9 @@
         while self.undelivered.front().is_some_and(|u| u.at <= now) {
             let undelivered = self.undelivered.pop_front().expect("just seen");
             let to = match &undelivered.message {
-                Message::CompletionReport(done) => self.current_dispatcher(&undelivered.to, &done.pool),
+                Message::CompletionReport(done) => {
+                    self.current_dispatcher(&undelivered.to, &done.pool)
+                }
                 _ => undelivered.to,
             };
             self.send(to, undelivered.message);
--- a/src/router/response_body.rs
+++ b/src/router/response_body.rs
@@ -18,16 +18,16 @@
 use crate::names::UpstreamName;
 use crate::peer::message::Ending;
 use crate::peer::message::TicketId;
-use crate::router::refusal::Outcome;
-use crate::router::upstream_sender::Incoming;
-use crate::router::request_handler::Tale;
+use crate::router::cost_meter;
+use crate::router::cost_meter::CostMeter;
 use crate::router::hub::Hub;
 use crate::router::hub::Start;
-use crate::router::cost_meter;
-use crate::router::upstream_sender::Event;
-use crate::router::stream_resume::Resume;
+use crate::router::refusal::Outcome;
+use crate::router::request_handler::Tale;
 use crate::router::service_request::ServiceRequest;
-use crate::router::cost_meter::CostMeter;
+use crate::router::stream_resume::Resume;
+use crate::router::upstream_sender::Event;
+use crate::router::upstream_sender::Incoming;
 
 /// A request that has its grant. Dropped before its end, it counts as cancelled.
 pub struct Placed {
