--- a/src/dispatch/ledger.rs
+++ b/src/dispatch/ledger.rs
@@ -1,17 +1,19 @@
-//! How much service every workspace of one pool has received, fleet-wide.
+//! How much service each workspace of one pool has received, over the whole fleet.
 //!
-//! Each dispatcher writes one *cell* of its own, a table of service per workspace, and keeps copies
-//! of the cells of the others. The cells add up to a workspace's service; a copy is replaced by a
-//! newer version of the same cell and by nothing else, so merging is idempotent and commutative.
+//! A state-based counter with one *replica* per dispatcher: each dispatcher writes only its own
+//! replica, a table of service per workspace, and keeps copies of the others'. A workspace's
+//! service is the sum over all replicas. A copy is replaced only by a newer version of the same
+//! replica, so merging is idempotent and commutative.
 //!
-//! A workspace that was idle must not use the credit it seems to have gathered. It is *lifted*: its
-//! virtual time is its service plus an offset, and the offset only grows (a register that merges by
-//! maximum), so two dispatchers that lift the same workspace at once don't lift it twice.
+//! A workspace that was idle must not be served first until it has caught up with all that the
+//! others received meanwhile. It is therefore *lifted* when it starts to wait: its virtual time is
+//! its service plus an offset. Offsets only grow and merge by maximum, so two dispatchers that lift
+//! the same workspace at once don't lift it twice.
 //!
-//! What other dispatchers have charged since they were last heard isn't known. If every dispatcher
-//! simply ordered by what it knows, all would favour the same workspace at once until they hear of
-//! each other, and overshoot. So each one assumes that the others, where a workspace waits with
-//! them too, serve it as it does itself; the assumption is dropped when they are heard.
+//! What other dispatchers have charged since their last report isn't known. If every dispatcher
+//! ordered by reported service only, all would favour the same workspace at once, until their next
+//! reports, and overshoot. So each one assumes that every zone where a workspace also waits serves
+//! it as much as it does itself, and drops the assumption when that zone reports.
 
 use std::collections::BTreeMap;
 
@@ -24,64 +26,64 @@
 use crate::names::ZoneName;
 use crate::peer::message::RelayedCounters;
 
-/// Parts of one cost unit that virtual time is counted in.
-pub const PARTS: i64 = 1000;
+/// Units of virtual time per cost unit of the pool.
+pub const PARTS_PER_UNIT: i64 = 1000;
 
-/// Largest amount that is believed of another, either way. At the rate of the largest pools (134
-/// thousand tokens a second) one cell reaches it in 17 years; a hundred such add up without overflow.
+/// Largest amount, positive or negative, that is accepted from another box. At the rate of the
+/// largest pools (134 thousand tokens a second) one replica reaches it in 17 years; a hundred such
+/// add up without overflow.
 pub const AMOUNT_MAX: VirtualTime = 1 << 56;
 
-/// Service received, divided by the workspace's weight, in thousandths of the pool's unit.
+/// Service received, divided by the workspace's weight, in thousandths of the pool's cost unit.
 pub type VirtualTime = i64;
 
-/// Names the cell of one dispatcher in one start of its box.
+/// Identifies the counters of one dispatcher during one run of its box.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaId {
-    /// The dispatcher's box.
     #[serde(rename = "b")]
     pub name: BoxName,
-    /// Which start of that box.
+    /// Distinguishes the runs of that box.
     #[serde(rename = "i")]
     pub incarnation: u64,
 }
 
-/// One workspace's line of a replica, as dispatchers exchange it: the name, the service charged in
-/// this replica, the offset as the sender knows it, and how many tickets wait at the sender.
+/// One workspace's counters as dispatchers exchange them: the workspace, the service charged in
+/// this replica, the lift offset as the sender knows it, and how many tickets wait at the sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CounterEntry(pub WorkspaceName, pub VirtualTime, pub VirtualTime, pub u32);
 
 impl CounterEntry {
-    /// Whether its amounts can be true.
+    /// Whether the amounts are within [`AMOUNT_MAX`].
     fn is_sane(&self) -> bool {
         let sane = |amount: VirtualTime| (-AMOUNT_MAX..=AMOUNT_MAX).contains(&amount);
         sane(self.1) && sane(self.2)
     }
 }
 
-/// The service of all workspaces on one pool.
+/// The service that all workspaces have received from one pool.
 #[derive(Debug)]
 pub struct Ledger {
-    mine: ReplicaId,
+    own_replica: ReplicaId,
     version: u64,
-    own: FxHashMap<WorkspaceName, Line>,
-    changed: BTreeMap<u64, WorkspaceName>,
-    others: BTreeMap<ReplicaId, Copy>,
+    own_entries: FxHashMap<WorkspaceName, OwnEntry>,
+    by_version: BTreeMap<u64, WorkspaceName>,
+    copies: BTreeMap<ReplicaId, ReplicaCopy>,
     accounts: FxHashMap<WorkspaceName, Account>,
     assumed: FxHashMap<ZoneName, FxHashMap<WorkspaceName, VirtualTime>>,
-    charged: VirtualTime,
+    total_charged: VirtualTime,
 }
 
 #[derive(Debug, Default)]
-struct Line {
+struct OwnEntry {
     charged: VirtualTime,
     waiting: u32,
     version: u64,
 }
 
 #[derive(Debug, Default)]
-struct Copy {
+struct ReplicaCopy {
     version: u64,
-    /// The version at which each entry last changed, beside what is charged.
+    /// Per workspace: the service charged, and the version at which it last changed.
     charged: FxHashMap<WorkspaceName, (VirtualTime, u64)>,
 }
 
@@ -93,55 +95,59 @@
 }
 
 impl Ledger {
-    /// An empty ledger whose own cell is `mine`.
-    pub fn new(mine: ReplicaId) -> Ledger {
+    /// An empty ledger that writes `own_replica`.
+    pub fn new(own_replica: ReplicaId) -> Ledger {
         Ledger {
-            mine,
+            own_replica,
             version: 0,
-            own: FxHashMap::default(),
-            changed: BTreeMap::new(),
-            others: BTreeMap::new(),
+            own_entries: FxHashMap::default(),
+            by_version: BTreeMap::new(),
+            copies: BTreeMap::new(),
             accounts: FxHashMap::default(),
             assumed: FxHashMap::default(),
-            charged: 0,
+            total_charged: 0,
         }
     }
 
-    /// The name of the own replica.
     pub fn replica(&self) -> &ReplicaId {
-        &self.mine
+        &self.own_replica
     }
 
-    /// The version of the own replica.
+    /// The version of the own replica, which grows with every change.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The virtual time of a workspace, with what others are assumed to have charged; 0 for one
-    /// that was never served.
+    /// The virtual time of a workspace, including what other zones are assumed to have charged; 0
+    /// for one that was never served.
     pub fn virtual_time(&self, workspace: &str) -> VirtualTime {
         self.accounts.get(workspace).map_or(0, |a| a.service + a.offset + a.assumed)
     }
 
-    /// The virtual time of a workspace without any assumption.
-    pub fn known_time(&self, workspace: &str) -> VirtualTime {
+    /// The virtual time of a workspace without assumed charges.
+    pub fn known_virtual_time(&self, workspace: &str) -> VirtualTime {
         self.accounts.get(workspace).map_or(0, |a| a.service + a.offset)
     }
 
-    /// All that was ever charged to the own replica.
-    pub fn charged(&self) -> VirtualTime {
-        self.charged
+    /// The sum of all charges ever made to the own replica.
+    pub fn total_charged(&self) -> VirtualTime {
+        self.total_charged
     }
 
-    /// Assumes that a zone has charged a workspace `amount` like this dispatcher did.
-    pub fn assume(&mut self, zone: &ZoneName, workspace: &WorkspaceName, amount: VirtualTime) {
+    /// Assumes that a zone has charged a workspace `amount`, as this dispatcher did.
+    pub fn assume_charge(
+        &mut self,
+        zone: &ZoneName,
+        workspace: &WorkspaceName,
+        amount: VirtualTime,
+    ) {
         let zone = self.assumed.entry(zone.clone()).or_default();
         *zone.entry(workspace.clone()).or_default() += amount;
         self.accounts.entry(workspace.clone()).or_default().assumed += amount;
     }
 
-    /// Drops what was assumed of a zone. Gives the workspaces that it concerned.
-    pub fn forget_assumed(&mut self, zone: &str) -> Vec<WorkspaceName> {
+    /// Drops the charges assumed for a zone. Returns the workspaces concerned.
+    pub fn drop_assumed(&mut self, zone: &str) -> Vec<WorkspaceName> {
         let assumed = self.assumed.remove(zone).unwrap_or_default();
         for (workspace, amount) in &assumed {
             if let Some(account) = self.accounts.get_mut(workspace) {
@@ -151,45 +157,45 @@
         assumed.into_keys().collect()
     }
 
-    /// Charges `amount` (which may be negative, when an estimate was too high) to the own replica.
+    /// Charges `amount` to the own replica. It is negative where an estimate was too high.
     pub fn charge(&mut self, workspace: &WorkspaceName, amount: VirtualTime) {
         if amount == 0 {
             return;
         }
-        self.charged += amount;
-        self.line(workspace).charged += amount;
+        self.total_charged += amount;
+        self.update_entry(workspace).charged += amount;
         self.accounts.entry(workspace.clone()).or_default().service += amount;
     }
 
-    /// Raises a workspace that starts to wait to at least `floor`.
+    /// Raises the virtual time of a workspace that starts to wait to at least `floor`.
     pub fn lift(&mut self, workspace: &WorkspaceName, floor: VirtualTime) {
-        let now = self.known_time(workspace);
+        let now = self.known_virtual_time(workspace);
         if floor <= now {
             return;
         }
         self.accounts.entry(workspace.clone()).or_default().offset += floor - now;
-        self.line(workspace);
+        self.update_entry(workspace);
     }
 
-    /// Notes how many tickets of a workspace wait here, for the other dispatchers to know.
-    pub fn note_waiting(&mut self, workspace: &WorkspaceName, waiting: u32) {
-        let known = self.own.get(workspace).map_or(0, |l| l.waiting);
-        let bucket = bucket(waiting);
-        if known != bucket {
-            self.line(workspace).waiting = bucket;
+    /// Records how many tickets of a workspace wait here, to be reported to the other dispatchers.
+    pub fn set_waiting(&mut self, workspace: &WorkspaceName, waiting: u32) {
+        let known = self.own_entries.get(workspace).map_or(0, |e| e.waiting);
+        let waiting = coarse_count(waiting);
+        if known != waiting {
+            self.update_entry(workspace).waiting = waiting;
         }
     }
 
-    /// The entries of the own cell that changed after version `since`.
-    pub fn changes(&self, since: u64) -> Vec<CounterEntry> {
-        self.changed.range(since + 1..).map(|(_, w)| self.entry(w)).collect()
+    /// The entries of the own replica that changed after version `since`.
+    pub fn changes_since(&self, since: u64) -> Vec<CounterEntry> {
+        self.by_version.range(since + 1..).map(|(_, w)| self.to_counter_entry(w)).collect()
     }
 
-    /// The copies of other cells as far as they changed after the versions in `since`; all of a
-    /// cell that isn't in there.
-    pub fn copies(&self, since: &FxHashMap<ReplicaId, u64>) -> Vec<RelayedCounters> {
+    /// The entries of all other replicas that changed after the versions in `since`; all entries of
+    /// a replica that isn't listed there.
+    pub fn copies_since(&self, since: &FxHashMap<ReplicaId, u64>) -> Vec<RelayedCounters> {
         let mut copies = Vec::new();
-        for (replica, copy) in &self.others {
+        for (replica, copy) in &self.copies {
             let known = since.get(replica).copied().unwrap_or(0);
             if copy.version <= known {
                 continue;
@@ -206,25 +212,25 @@
         copies
     }
 
-    /// The version up to which another cell is known; 0 when it isn't.
-    pub fn seen(&self, replica: &ReplicaId) -> u64 {
-        self.others.get(replica).map_or(0, |c| c.version)
+    /// The version up to which another replica is merged; 0 for an unknown one.
+    pub fn merged_version(&self, replica: &ReplicaId) -> u64 {
+        self.copies.get(replica).map_or(0, |c| c.version)
     }
 
-    /// Merges entries that bring another's cell to version `upto`. An older or equal version
-    /// changes nothing and gives false.
-    pub fn merge(&mut self, replica: &ReplicaId, upto: u64, entries: &[CounterEntry]) -> bool {
-        if *replica == self.mine {
+    /// Merges entries that bring another replica to `version`. Returns false, and changes nothing,
+    /// if that version is merged already.
+    pub fn merge(&mut self, replica: &ReplicaId, version: u64, entries: &[CounterEntry]) -> bool {
+        if *replica == self.own_replica {
             return false;
         }
-        let copy = self.others.entry(replica.clone()).or_default();
-        if upto <= copy.version {
+        let copy = self.copies.entry(replica.clone()).or_default();
+        if version <= copy.version {
             return false;
         }
-        copy.version = upto;
+        copy.version = version;
         for CounterEntry(workspace, charged, offset, _) in entries.iter().filter(|e| e.is_sane()) {
-            let line = (*charged, upto);
-            let before = copy.charged.insert(workspace.clone(), line).map_or(0, |(c, _)| c);
+            let entry = (*charged, version);
+            let before = copy.charged.insert(workspace.clone(), entry).map_or(0, |(c, _)| c);
             let account = self.accounts.entry(workspace.clone()).or_default();
             account.service += charged - before;
             account.offset = account.offset.max(*offset);
@@ -232,19 +238,19 @@
         true
     }
 
-    /// The line of a workspace in the own replica, moved to a new version.
-    fn line(&mut self, workspace: &WorkspaceName) -> &mut Line {
+    /// The own entry of a workspace, moved to a new version.
+    fn update_entry(&mut self, workspace: &WorkspaceName) -> &mut OwnEntry {
         self.version += 1;
-        let line = self.own.entry(workspace.clone()).or_default();
-        self.changed.remove(&line.version);
-        line.version = self.version;
-        self.changed.insert(self.version, workspace.clone());
-        line
+        let entry = self.own_entries.entry(workspace.clone()).or_default();
+        self.by_version.remove(&entry.version);
+        entry.version = self.version;
+        self.by_version.insert(self.version, workspace.clone());
+        entry
     }
 
-    fn entry(&self, workspace: &WorkspaceName) -> CounterEntry {
-        let line = &self.own[workspace];
-        CounterEntry(workspace.clone(), line.charged, self.offset(workspace), line.waiting)
+    fn to_counter_entry(&self, workspace: &WorkspaceName) -> CounterEntry {
+        let entry = &self.own_entries[workspace];
+        CounterEntry(workspace.clone(), entry.charged, self.offset(workspace), entry.waiting)
     }
 
     fn offset(&self, workspace: &str) -> VirtualTime {
@@ -252,8 +258,9 @@
     }
 }
 
-/// Rounds a count down to a power of two, so that a long queue isn't news at every ticket.
-fn bucket(waiting: u32) -> u32 {
+/// Rounds a count down to a power of two, so that a long queue isn't reported anew with every
+/// ticket.
+fn coarse_count(waiting: u32) -> u32 {
     if waiting == 0 {
         return 0;
     }
--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -1,5 +1,5 @@
-//! Pure decisions: who goes next, and where to. No input or output, no clock and no locks in here:
-//! the time is a parameter, counted from the start of the process.
+//! Scheduling of requests: which one goes next, and to which upstream. No I/O, clock or locks: the
+//! time is a parameter, counted from the start of the process.
 
 pub mod ledger;
 pub mod pool;
--- a/src/dispatch/pool/decision.rs
+++ b/src/dispatch/pool/decision.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher decides, as others are told and as it is logged.
+//! The dispatcher's decisions, and the actions that they lead to.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -12,65 +12,62 @@
 use crate::peer::message::Message;
 use crate::peer::message::TicketId;
 
-/// What a dispatcher wants done.
+/// An action that the caller carries out for the dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send a message to a box, which may be the own one.
+    /// Send a message to a box, possibly the own one.
     Send { to: BoxName, message: Message },
-    /// Log and remember a decision.
+    /// Log and record a decision.
     Decided(Decision),
 }
 
-/// Why a workspace went next.
+/// Why a workspace was selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SelectionReason {
-    /// It was furthest behind of all that wait here.
+    /// It had the smallest virtual time of all that wait here.
     FurthestBehind,
-    /// Its urgent work went ahead within the lead that the pool allows.
+    /// It had an urgent ticket, and its virtual time was within the pool's urgent lead.
     Urgent,
     /// It had waited too long without being served.
     Patience,
-    /// Another zone had a free slot and asked for it.
+    /// A zone with a free slot pulled it.
     Pulled,
 }
 
-/// Why a workspace that waits isn't served now.
+/// Why a waiting workspace isn't served now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "waits-for", rename_all = "kebab-case")]
 pub enum WaitReason {
-    /// It has as many requests running as it may.
+    /// As many of its requests are running as it is allowed.
     RunningLimit { running: u32 },
-    /// All upstreams are full or aside; so many workspaces are further behind and go first.
+    /// No upstream is available; `first` workspaces have a smaller virtual time and go before it.
     Slot { first: usize },
-    /// There is a free slot, and so many workspaces go first; it is a matter of moments.
+    /// A slot is free, but `first` workspaces go before it. This lasts for moments only.
     Turn { first: usize },
 }
 
-/// One placement decision, as it is logged and kept to be asked about.
+/// One placement decision, as it is logged and kept for operators' queries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Decision {
     /// The ticket that was placed.
     pub ticket: TicketId,
-    /// The router that holds it.
+    /// The router that holds the request.
     pub router: BoxName,
-    /// The pool it was placed in.
     pub pool: PoolName,
-    /// Its workspace.
     pub workspace: WorkspaceName,
-    /// Its service.
     pub service: ServiceName,
-    /// Where it goes.
+    /// The upstream it was sent to.
     pub upstream: UpstreamName,
-    /// Why it went next.
+    /// Why its workspace was selected.
     pub why: SelectionReason,
-    /// Its workspace's virtual time, before it was charged.
+    /// Virtual time of its workspace before the charge.
     pub virtual_time: VirtualTime,
-    /// The smallest virtual time of all that waited.
+    /// Smallest virtual time of all waiting workspaces.
     pub floor: VirtualTime,
-    /// Workspaces that waited, this one included.
+    /// Number of waiting workspaces, this one included.
     pub waiting_workspaces: usize,
-    /// Upstreams with a free slot, the chosen one included.
+    /// Upstreams with a free slot, the selected one included.
     pub candidates: usize,
     /// Cost charged in advance, in the pool's unit.
     pub estimate: u64,
--- a/src/dispatch/pool/exchange.rs
+++ b/src/dispatch/pool/exchange.rs
@@ -1,5 +1,5 @@
-//! What the dispatcher has to do with those of the same pool elsewhere: counters, pulls, and handing
-//! the role over.
+//! Exchange with the dispatchers of the same pool in other zones and with the standby: counters,
+//! pulls and handover.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,15 +9,15 @@
 use crate::dispatch::ledger::AMOUNT_MAX;
 use crate::dispatch::ledger::CounterEntry;
 use crate::dispatch::ledger::ReplicaId;
+use crate::dispatch::pool::ActiveGrant;
 use crate::dispatch::pool::COST_MAX;
-use crate::dispatch::pool::Granted;
 use crate::dispatch::pool::PendingPull;
 use crate::dispatch::pool::PoolDispatcher;
 use crate::dispatch::pool::decision::Action;
 use crate::dispatch::pool::decision::Decision;
 use crate::dispatch::pool::decision::SelectionReason;
-use crate::dispatch::pool::waited;
-use crate::dispatch::remote_zones::CUT_AFTER;
+use crate::dispatch::pool::waited_ms;
+use crate::dispatch::remote_zones::ZONE_TIMEOUT;
 use crate::names::BoxName;
 use crate::names::WorkspaceName;
 use crate::names::ZoneName;
@@ -32,23 +32,23 @@
 use crate::peer::message::RunningGrant;
 use crate::peer::message::Ticket;
 
-/// How long a slot is kept for the answer to a pull.
+/// How long a slot is reserved for the response to a pull.
 const PULL_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long a new dispatcher waits for the other zones before it trusts its counters.
-const SYNC_WAIT: Duration = Duration::from_secs(2);
+/// How long a new dispatcher waits for reports of all other zones before it trusts its counters.
+const SYNC_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long an overdue answer to a pull is still taken in.
-const PULL_FORGOTTEN: Duration = Duration::from_secs(30);
+/// How long the response to a timed-out pull is still accepted.
+const LATE_PULL_RETENTION: Duration = Duration::from_secs(30);
 
-/// Pulls of others that are remembered.
-const ANSWERED_MAX: usize = 256;
+/// Pull requests remembered to recognize duplicates.
+const ANSWERED_PULLS_MAX: usize = 256;
 
-/// Without news, another zone's dispatcher is still told this often that this one lives.
-const KEEPALIVE: Duration = Duration::from_secs(2);
+/// Longest time between reports to another zone, which shows that this dispatcher is alive.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A zone with idle slots is told of new work this soon.
-const IDLE_INTERVAL: Duration = Duration::from_millis(10);
+/// Shortest time between reports of new work to a zone with idle slots.
+const IDLE_REPORT_INTERVAL: Duration = Duration::from_millis(10);
 
 impl PoolDispatcher {
     /// Gives a waiting ticket to another zone that has a free slot for it.
@@ -58,32 +58,32 @@
         now: Duration,
         out: &mut Vec<Action>,
     ) {
-        // A pull that comes twice must not take two tickets for one slot.
-        if self.answered.contains(&pull.grant) {
+        // A duplicate request must not take a second ticket for the same slot.
+        if self.answered_pulls.contains(&pull.grant) {
             return;
         }
-        self.answered.push_back(pull.grant);
-        if ANSWERED_MAX < self.answered.len() {
-            self.answered.pop_front();
+        self.answered_pulls.push_back(pull.grant);
+        if ANSWERED_PULLS_MAX < self.answered_pulls.len() {
+            self.answered_pulls.pop_front();
         }
         let mut workspace = pull.workspace.clone();
         if self.queue.waiting(&workspace) == 0
             && pull.any_workspace
-            && let Some((_, first)) = self.queue.first()
+            && let Some((_, first)) = self.queue.furthest_behind()
         {
             workspace = first.clone();
         }
         let floor = self.floor();
         let waiting_workspaces = self.queue.workspace_count();
-        let ticket = self.queue.pop(&workspace, self.policy.background_every, now);
-        let taken = ticket.map(|ticket| {
+        let ticket = self.queue.pop(&workspace, self.pool_config.background_every, now);
+        let pulled = ticket.map(|ticket| {
             let charged_cost = self.estimate(&ticket.workspace, &ticket.service);
-            let arrival = self.left(ticket.id);
-            self.note_waiting(&ticket.workspace);
+            let arrival = self.remove_arrival(ticket.id);
+            self.publish_waiting(&ticket.workspace);
             out.push(Action::Decided(Decision {
                 ticket: ticket.id,
                 router: ticket.router.clone(),
-                pool: self.policy.name.clone(),
+                pool: self.pool_config.name.clone(),
                 workspace: ticket.workspace.clone(),
                 service: ticket.service.clone(),
                 upstream: pull.upstream.clone(),
@@ -93,7 +93,7 @@
                 waiting_workspaces,
                 candidates: 1,
                 estimate: charged_cost,
-                waited_ms: waited(arrival, now),
+                waited_ms: waited_ms(arrival, now),
             }));
             out.push(Action::Send {
                 to: ticket.router.clone(),
@@ -114,11 +114,11 @@
             }
         });
         let response = PullResponse {
-            pool: self.policy.name.clone(),
+            pool: self.pool_config.name.clone(),
             grant: pull.grant,
             workspace: pull.workspace.clone(),
             zone: self.zone.clone(),
-            ticket: taken,
+            ticket: pulled,
             still_waiting: self.queue.waiting(&pull.workspace),
         };
         out.push(Action::Send {
@@ -127,82 +127,87 @@
         });
     }
 
-    /// Takes in the answer to a pull.
+    /// Handles the response to a pull.
     pub fn handle_pull_response(
         &mut self,
-        pulled: PullResponse,
+        response: PullResponse,
         now: Duration,
         out: &mut Vec<Action>,
     ) {
-        let at = self.ledger.virtual_time(&pulled.workspace);
-        self.remotes.set_waiting(&pulled.zone, &pulled.workspace, pulled.still_waiting, at);
-        let Some(pending) = self.pulls.remove(&pulled.grant) else { return };
-        let Some(taken) = pulled.ticket else {
-            // Whatever it said of itself before, asking again now would give as little.
-            self.remotes.set_waiting(&pending.zone, &pulled.workspace, 0, at);
-            if !pending.overdue {
-                self.upstreams.release(&pending.upstream, Ending::Unused, now);
+        let virtual_time = self.ledger.virtual_time(&response.workspace);
+        self.remote_zones.set_waiting(
+            &response.zone,
+            &response.workspace,
+            response.still_waiting,
+            virtual_time,
+        );
+        let Some(pending) = self.pending_pulls.remove(&response.grant) else { return };
+        let Some(pulled) = response.ticket else {
+            // Whatever the zone reported before, another pull would get nothing now either.
+            self.remote_zones.set_waiting(&pending.zone, &response.workspace, 0, virtual_time);
+            if !pending.timed_out {
+                self.upstreams.release_slot(&pending.upstream, Ending::Unused, now);
             }
             self.fill_slots(now, out);
             return;
         };
-        if pending.overdue {
-            self.upstreams.adopt(&pending.upstream, now);
+        if pending.timed_out {
+            self.upstreams.occupy_slot(&pending.upstream, now);
         }
-        let granted = Granted {
-            ticket: Some(taken.ticket),
-            router: taken.router,
-            workspace: taken.workspace,
-            service: taken.service,
+        let granted = ActiveGrant {
+            ticket: Some(pulled.ticket),
+            router: pulled.router,
+            workspace: pulled.workspace,
+            service: pulled.service,
             upstream: pending.upstream,
-            charged_cost: taken.charged_cost.min(COST_MAX),
-            at: now,
+            charged_cost: pulled.charged_cost.min(COST_MAX),
+            granted_at: now,
         };
         let (workspace, charged_cost) = (granted.workspace.clone(), granted.charged_cost);
-        self.start_grant(pulled.grant, granted);
+        self.insert_grant(response.grant, granted);
         self.charge(&workspace, charged_cost as i64);
-        if let Some(done) = pending.early {
-            self.handle_completion(&done, now, out);
+        if let Some(completion) = pending.early_completion {
+            self.handle_completion(&completion, now, out);
         }
     }
 
-    /// Takes in what another dispatcher tells of the pool.
+    /// Merges a report of another dispatcher of this pool.
     pub fn handle_report(
         &mut self,
-        summary: &DispatcherReport,
+        report: &DispatcherReport,
         now: Duration,
         out: &mut Vec<Action>,
     ) {
-        self.remotes.heard(summary, self.ledger.charged(), now);
-        self.unheard.remove(&summary.zone);
-        for router in &summary.lost_routers {
+        self.remote_zones.record_report(report, self.ledger.total_charged(), now);
+        self.zones_to_sync.remove(&report.zone);
+        for router in &report.lost_routers {
             self.forget_router(router, now, out);
         }
-        for workspace in self.ledger.forget_assumed(&summary.zone) {
-            self.moved(&workspace);
+        for workspace in self.ledger.drop_assumed(&report.zone) {
+            self.update_virtual_time(&workspace);
         }
-        self.virtual_time = self.virtual_time.max(summary.virtual_time.min(AMOUNT_MAX));
-        for other in &summary.relayed {
+        self.virtual_time = self.virtual_time.max(report.virtual_time.min(AMOUNT_MAX));
+        for other in &report.relayed {
             self.ledger.merge(&other.replica, other.version, &other.entries);
-            self.reorder(&other.entries);
+            self.update_virtual_times(&other.entries);
         }
-        if self.ledger.merge(&summary.replica, summary.version, &summary.entries) {
-            self.reorder(&summary.entries);
-            if summary.zone != self.zone {
-                for CounterEntry(workspace, _, _, waiting) in &summary.entries {
-                    let at = self.ledger.virtual_time(workspace);
-                    self.remotes.set_waiting(&summary.zone, workspace, *waiting, at);
+        if self.ledger.merge(&report.replica, report.version, &report.entries) {
+            self.update_virtual_times(&report.entries);
+            if report.zone != self.zone {
+                for CounterEntry(workspace, _, _, waiting) in &report.entries {
+                    let virtual_time = self.ledger.virtual_time(workspace);
+                    self.remote_zones.set_waiting(&report.zone, workspace, *waiting, virtual_time);
                 }
             }
         }
-        if self.may_lift(now) {
+        if self.can_lift(now) {
             self.cap_debts();
         }
         self.fill_slots(now, out);
     }
 
-    /// Sends what changed to the dispatchers of other zones, and to the box that would follow this
-    /// one. `others` names each zone with the box believed to dispatch there.
+    /// Sends the changes to the dispatchers of other zones and to the standby of this one. `others`
+    /// names each zone with the box expected to dispatch there.
     pub fn send_reports(
         &mut self,
         others: &[(ZoneName, BoxName)],
@@ -212,84 +217,97 @@
         if !self.tuning.exchange_enabled {
             return;
         }
-        self.expect_zones(others);
+        self.set_zones_to_sync(others);
         let idle = self.idle_slots();
         let version = self.ledger.version();
-        for (zone, guess) in others {
-            let waits = !self.queue.is_empty();
-            let every = self.tuning.exchange_interval;
-            let remote = self.remotes.meet(zone, guess);
-            let silent = remote.heard + CUT_AFTER <= now;
-            let standby = *zone == self.zone;
-            if remote.dispatcher != *guess && (silent || standby) {
-                remote.dispatcher = guess.clone();
-                remote.acknowledged = 0;
-                remote.relayed.clear();
+        for (zone, expected_dispatcher) in others {
+            let has_waiting = !self.queue.is_empty();
+            let interval = self.tuning.exchange_interval;
+            let remote = self.remote_zones.get_or_add(zone, expected_dispatcher);
+            let has_timed_out = remote.last_report_at + ZONE_TIMEOUT <= now;
+            let is_standby = *zone == self.zone;
+            if remote.dispatcher != *expected_dispatcher && (has_timed_out || is_standby) {
+                remote.dispatcher = expected_dispatcher.clone();
+                remote.acknowledged_version = 0;
+                remote.relayed_versions.clear();
             }
-            let news = version != remote.told_version || (idle == 0) != (remote.told_idle == 0);
-            // Each zone is told once; whoever misses it finds out by its next check.
-            let before = remote.told;
-            let is_news = |at: &Duration| before.is_none_or(|told| told < *at);
-            let gone: Vec<BoxName> =
-                self.gone.iter().filter(|(_, at)| is_news(at)).map(|(b, _)| b.clone()).collect();
-            let due = match remote.told {
+            let has_changes = version != remote.last_sent_version
+                || (idle == 0) != (remote.last_sent_idle_slots == 0);
+            // Each zone is sent a dead router once; a zone that misses it finds out by its next
+            // check.
+            let last_sent_at = remote.last_sent_at;
+            let is_new = |at: &Duration| last_sent_at.is_none_or(|sent_at| sent_at < *at);
+            let lost_routers: Vec<BoxName> = self
+                .lost_routers
+                .iter()
+                .filter(|(_, at)| is_new(at))
+                .map(|(b, _)| b.clone())
+                .collect();
+            let due = match remote.last_sent_at {
                 None => true,
-                Some(_) if !gone.is_empty() => true,
-                Some(told) if waits && remote.idle_slots != 0 && version != remote.told_version => {
-                    told + IDLE_INTERVAL.min(every) <= now
+                Some(_) if !lost_routers.is_empty() => true,
+                Some(sent_at)
+                    if has_waiting
+                        && remote.idle_slots != 0
+                        && version != remote.last_sent_version =>
+                {
+                    sent_at + IDLE_REPORT_INTERVAL.min(interval) <= now
                 }
-                Some(told) if news => told + every <= now,
-                Some(told) => told + KEEPALIVE <= now,
+                Some(sent_at) if has_changes => sent_at + interval <= now,
+                Some(sent_at) => sent_at + KEEPALIVE_INTERVAL <= now,
             };
             if !due {
                 continue;
             }
-            remote.told = Some(now);
-            remote.told_version = version;
-            remote.told_idle = idle;
+            remote.last_sent_at = Some(now);
+            remote.last_sent_version = version;
+            remote.last_sent_idle_slots = idle;
             let to = remote.dispatcher.clone();
-            let since = remote.acknowledged;
-            let seen = match self.unheard.contains(zone) {
+            let since = remote.acknowledged_version;
+            let merged_version = match self.zones_to_sync.contains(zone) {
                 true => 0,
-                false => remote.replica.as_ref().map_or(0, |c| self.ledger.seen(c)),
+                false => remote.replica.as_ref().map_or(0, |c| self.ledger.merged_version(c)),
             };
-            // A receiver that has nothing of this cell likely has nothing at all. The box that
-            // would follow this one gets the news of other zones, too.
-            let others = match (standby, since) {
-                (true, _) => self.ledger.copies(&remote.relayed),
-                (false, 0) => self.ledger.copies(&FxHashMap::default()),
+            // A receiver that has nothing of this replica likely has no replica at all. The standby
+            // also gets the changes of the other zones' replicas.
+            let others = match (is_standby, since) {
+                (true, _) => self.ledger.copies_since(&remote.relayed_versions),
+                (false, 0) => self.ledger.copies_since(&FxHashMap::default()),
                 (false, _) => Vec::new(),
             };
-            if standby {
-                remote.relayed.extend(others.iter().map(|o| (o.replica.clone(), o.version)));
+            if is_standby {
+                remote
+                    .relayed_versions
+                    .extend(others.iter().map(|o| (o.replica.clone(), o.version)));
             }
-            let summary = DispatcherReport {
-                lost_routers: gone,
-                ..self.summarise(since, seen, idle, others)
+            let report = DispatcherReport {
+                lost_routers,
+                ..self.build_report(since, merged_version, idle, others)
             };
-            out.push(Action::Send { to, message: Message::DispatcherReport(Box::new(summary)) });
+            out.push(Action::Send { to, message: Message::DispatcherReport(Box::new(report)) });
         }
     }
 
-    /// Notes that the box which would follow this one has a copy of the own cell at `version`.
+    /// Records that the standby has merged the own replica up to `version`.
     pub fn record_standby_ack(&mut self, zone: &ZoneName, replica: &ReplicaId, version: u64) {
         if replica == self.ledger.replica()
-            && let Some(remote) = self.remotes.zone(zone)
+            && let Some(remote) = self.remote_zones.get_mut(zone)
         {
-            remote.acknowledged = version;
+            remote.acknowledged_version = version;
         }
     }
 
-    /// All that this dispatcher knows, for the box that takes the role over: counters, waiting
-    /// tickets and grants. The routers tell it the latter, too, but only once they know of it.
+    /// Everything this dispatcher knows, as messages for its successor: counters, waiting tickets
+    /// and grants. Routers report their tickets and grants as well, but only once they know of the
+    /// successor.
     pub fn handover_messages(&self, now: Duration) -> Vec<Message> {
-        let others = self.ledger.copies(&FxHashMap::default());
-        let summary = self.summarise(0, 0, 0, others);
-        let mut messages = vec![Message::DispatcherReport(Box::new(summary))];
+        let others = self.ledger.copies_since(&FxHashMap::default());
+        let report = self.build_report(0, 0, 0, others);
+        let mut messages = vec![Message::DispatcherReport(Box::new(report))];
         let mut tickets: Vec<&Ticket> = self.queue.tickets().collect();
         tickets.sort_by_key(|t| t.id);
         for ticket in tickets {
-            let left = self.arrived[&ticket.id].expires.saturating_sub(now);
+            let left = self.arrivals[&ticket.id].expires_at.saturating_sub(now);
             let deadline_ms = left.as_millis() as u64;
             let ticket = Ticket { deadline_ms, forwarded: true, ..ticket.clone() };
             messages.push(Message::Ticket(ticket));
@@ -306,31 +324,42 @@
         }
         for (router, mut grants) in by_router {
             grants.sort_by_key(|r| r.grant);
-            let pool = self.policy.name.clone();
+            let pool = self.pool_config.name.clone();
             messages.push(Message::RunningGrants { pool, router: router.clone(), grants });
         }
         messages
     }
 
-    /// Begins to dispatch, with what the predecessor has left. Until the other zones have told what
-    /// they know, or a while has passed, nobody is lifted: with counters missing, a lift would set
-    /// a workspace back by what is missing.
+    /// Begins to dispatch with the state left by the predecessor. Until the other zones have
+    /// reported, or [`SYNC_TIMEOUT`] has passed, no workspace is lifted: with counters missing, a
+    /// lift would set a workspace back by the missing amount.
     pub fn start_dispatching(&mut self, now: Duration) {
-        self.lift_after = now + SYNC_WAIT;
-        self.expects = false;
-        self.unheard.clear();
+        self.lift_allowed_at = now + SYNC_TIMEOUT;
+        self.knows_zones_to_sync = false;
+        self.zones_to_sync.clear();
     }
 
-    /// Asks another zone for a ticket of `workspace`, and keeps a slot for it meanwhile.
-    pub(super) fn ask(&mut self, workspace: &WorkspaceName, now: Duration, out: &mut Vec<Action>) {
-        let Some((zone, to)) = self.remotes.pull(workspace) else { return };
-        let upstream = self.upstreams.take(0, None, now).expect("a slot was seen to be free");
-        let id = self.new_grant();
-        let pending =
-            PendingPull { zone, upstream: upstream.clone(), at: now, overdue: false, early: None };
-        self.pulls.insert(id, pending);
+    /// Requests a ticket of `workspace` from another zone, and reserves a slot for it.
+    pub(super) fn send_pull(
+        &mut self,
+        workspace: &WorkspaceName,
+        now: Duration,
+        out: &mut Vec<Action>,
+    ) {
+        let Some((zone, to)) = self.remote_zones.take_pull_target(workspace) else { return };
+        let upstream =
+            self.upstreams.acquire_slot(0, None, now).expect("a slot was seen to be free");
+        let id = self.next_grant_id();
+        let pending = PendingPull {
+            zone,
+            upstream: upstream.clone(),
+            sent_at: now,
+            timed_out: false,
+            early_completion: None,
+        };
+        self.pending_pulls.insert(id, pending);
         let pull = PullRequest {
-            pool: self.policy.name.clone(),
+            pool: self.pool_config.name.clone(),
             workspace: workspace.clone(),
             grant: id,
             upstream,
@@ -342,45 +371,45 @@
     }
 
     pub(super) fn expire_pulls(&mut self, now: Duration) {
-        for pending in self.pulls.values_mut() {
-            if !pending.overdue && pending.at + PULL_TIMEOUT <= now {
-                pending.overdue = true;
-                self.remotes.unanswered(&pending.zone);
-                self.upstreams.release(&pending.upstream, Ending::Unused, now);
+        for pending in self.pending_pulls.values_mut() {
+            if !pending.timed_out && pending.sent_at + PULL_TIMEOUT <= now {
+                pending.timed_out = true;
+                self.remote_zones.record_pull_timeout(&pending.zone);
+                self.upstreams.release_slot(&pending.upstream, Ending::Unused, now);
             }
         }
-        // A ticket may have been taken though the word of it is late.
-        self.pulls.retain(|_, p| now < p.at + PULL_FORGOTTEN);
+        // The ticket may have been pulled even though the response is late.
+        self.pending_pulls.retain(|_, p| now < p.sent_at + LATE_PULL_RETENTION);
     }
 
-    /// Notes, the first time after taking over, which zones are to be heard.
-    pub(super) fn expect_zones(&mut self, others: &[(ZoneName, BoxName)]) {
-        if self.expects {
+    /// On the first call after the start, records which zones have yet to report.
+    pub(super) fn set_zones_to_sync(&mut self, others: &[(ZoneName, BoxName)]) {
+        if self.knows_zones_to_sync {
             return;
         }
-        self.expects = true;
+        self.knows_zones_to_sync = true;
         let zones = others.iter().map(|(zone, _)| zone);
-        self.unheard = zones.filter(|z| **z != self.zone).cloned().collect();
+        self.zones_to_sync = zones.filter(|z| **z != self.zone).cloned().collect();
     }
 
-    pub(super) fn summarise(
+    pub(super) fn build_report(
         &self,
         since: u64,
-        seen: u64,
+        merged_version: u64,
         idle: u32,
         others: Vec<RelayedCounters>,
     ) -> DispatcherReport {
         DispatcherReport {
-            pool: self.policy.name.clone(),
+            pool: self.pool_config.name.clone(),
             zone: self.zone.clone(),
             dispatcher: self.ledger.replica().name.clone(),
             replica: self.ledger.replica().clone(),
             version: self.ledger.version(),
-            merged_version: seen,
+            merged_version,
             virtual_time: self.virtual_time,
             idle_slots: idle,
             lost_routers: Vec::new(),
-            entries: self.ledger.changes(since),
+            entries: self.ledger.changes_since(since),
             relayed: others,
             forwarded: false,
         }
--- a/src/dispatch/pool/mod.rs
+++ b/src/dispatch/pool/mod.rs
@@ -1,4 +1,5 @@
-//! The dispatcher of one pool in one availability zone: orders tickets and grants slots.
+//! The dispatcher of one pool in one availability zone: orders the waiting tickets and grants
+//! slots.
 
 mod decision;
 mod exchange;
@@ -20,12 +21,12 @@
 use crate::config;
 use crate::config::Revision;
 use crate::dispatch::ledger::Ledger;
-use crate::dispatch::ledger::PARTS;
+use crate::dispatch::ledger::PARTS_PER_UNIT;
 use crate::dispatch::ledger::ReplicaId;
 use crate::dispatch::ledger::VirtualTime;
-use crate::dispatch::pool::order::Choice;
+use crate::dispatch::pool::order::NextWork;
 use crate::dispatch::queue::Queue;
-use crate::dispatch::remote_zones::Remotes;
+use crate::dispatch::remote_zones::RemoteZones;
 use crate::dispatch::upstreams::Upstreams;
 use crate::names::BoxName;
 use crate::names::PoolName;
@@ -39,17 +40,17 @@
 use crate::peer::message::TicketId;
 use crate::util;
 
-/// Largest cost of one request that is believed of a router, in the pool's unit.
+/// Largest cost of one request that is accepted from a router, in the pool's unit.
 const COST_MAX: u64 = 1 << 40;
 
-/// How fair pull and the exchange of counters behave; the benches vary it.
+/// Parameters of pulls between zones and of the exchange of counters; the benches vary them.
 #[derive(Clone, Copy, Debug)]
 pub struct Tuning {
-    /// How often dispatchers of different zones tell each other what changed.
+    /// Time between reports to the dispatchers of other zones.
     pub exchange_interval: Duration,
-    /// Whether a dispatcher exchanges anything with other zones at all.
+    /// Whether the dispatcher exchanges reports with other zones at all.
     pub exchange_enabled: bool,
-    /// Replaces the pool's own pull margin when set, in the pool's unit.
+    /// Overrides the pool's configured pull margin, in the pool's unit.
     pub pull_margin: Option<u32>,
 }
 
@@ -66,83 +67,83 @@
 /// The dispatcher of one pool in one availability zone.
 #[derive(Debug)]
 pub struct PoolDispatcher {
-    policy: config::Pool,
+    pool_config: config::Pool,
     zone: ZoneName,
     cfg: Arc<Revision>,
     tuning: Tuning,
     ledger: Ledger,
     queue: Queue,
     upstreams: Upstreams,
-    remotes: Remotes,
-    arrived: FxHashMap<TicketId, Arrival>,
-    expiry: BTreeSet<(Duration, TicketId)>,
-    grants: FxHashMap<GrantId, Granted>,
+    remote_zones: RemoteZones,
+    arrivals: FxHashMap<TicketId, Arrival>,
+    by_expiry: BTreeSet<(Duration, TicketId)>,
+    grants: FxHashMap<GrantId, ActiveGrant>,
     by_ticket: FxHashMap<TicketId, GrantId>,
-    pulls: FxHashMap<GrantId, PendingPull>,
-    /// The latest pulls of others that were answered.
-    answered: VecDeque<GrantId>,
+    pending_pulls: FxHashMap<GrantId, PendingPull>,
+    /// The latest pull requests answered, to recognize duplicates.
+    answered_pulls: VecDeque<GrantId>,
     running: FxHashMap<WorkspaceName, u32>,
     estimates: FxHashMap<WorkspaceName, FxHashMap<ServiceName, Estimate>>,
     virtual_time: VirtualTime,
-    /// All grants of its own have greater ids.
+    /// Grants of this dispatcher have greater ids.
     first_grant: u64,
     next_grant: u64,
-    since_patience: u32,
-    /// When the last grant was given, and the average seconds between grants.
-    granted: Duration,
-    pace: f64,
-    /// The average cost charged at a grant.
-    mean_cover: f64,
-    /// The average weight of all workspaces.
+    grants_since_starved: u32,
+    last_grant_at: Duration,
+    mean_grant_interval_s: f64,
+    /// Mean cost charged with a grant.
+    mean_charged_cost: f64,
+    /// Mean weight of all workspaces.
     mean_weight: f64,
-    checked: Duration,
-    /// Checks in a row that a router didn't answer.
-    unanswered: FxHashMap<BoxName, u32>,
-    /// Routers of this zone found to be gone, and when, for the other zones to hear.
-    gone: Vec<(BoxName, Duration)>,
-    /// Zones not heard since taking over, once it is known which there are.
-    unheard: BTreeSet<ZoneName>,
-    expects: bool,
-    /// When workspaces are lifted even though a zone wasn't heard.
-    lift_after: Duration,
+    last_check_at: Duration,
+    /// Per router: consecutive checks without an answer.
+    unanswered_checks: FxHashMap<BoxName, u32>,
+    /// Routers of this zone found dead, and when, to be reported to the other zones.
+    lost_routers: Vec<(BoxName, Duration)>,
+    /// Zones not heard from since this dispatcher started, once the zones are known.
+    zones_to_sync: BTreeSet<ZoneName>,
+    knows_zones_to_sync: bool,
+    /// From then on workspaces are lifted even though some zone hasn't reported.
+    lift_allowed_at: Duration,
 }
 
-/// What requests of one workspace and service cost on average.
+/// The mean cost of requests of one workspace and service.
 #[derive(Clone, Copy, Debug, Default)]
 struct Estimate {
     cost: f64,
-    /// Whether any has ended.
-    learned: bool,
+    /// Whether any request has ended.
+    has_completed: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Arrival {
     at: Duration,
-    expires: Duration,
+    expires_at: Duration,
 }
 
 #[derive(Debug)]
-struct Granted {
+struct ActiveGrant {
     ticket: Option<TicketId>,
     router: BoxName,
     workspace: WorkspaceName,
     service: ServiceName,
     upstream: UpstreamName,
     charged_cost: u64,
-    at: Duration,
+    granted_at: Duration,
 }
 
 #[derive(Debug)]
 struct PendingPull {
     zone: ZoneName,
     upstream: UpstreamName,
-    at: Duration,
-    overdue: bool,
-    early: Option<CompletionReport>,
+    sent_at: Duration,
+    timed_out: bool,
+    early_completion: Option<CompletionReport>,
 }
 
 impl PoolDispatcher {
-    /// An empty dispatcher for the pool `name` in `zone`, run by the box that `cell` names.
+    /// An empty dispatcher for the pool `name` in `zone`, which writes its own replica of the
+    /// counters; `None` for an unknown pool.
     pub fn new(
         name: &PoolName,
         zone: &ZoneName,
@@ -150,81 +151,79 @@
         cfg: Arc<Revision>,
         tuning: Tuning,
     ) -> Option<PoolDispatcher> {
-        let policy = cfg.pool(name)?.clone();
+        let pool_config = cfg.pool(name)?.clone();
         let next_grant = util::id_base(&replica.name, replica.incarnation, "grant");
         let mut pool = PoolDispatcher {
-            policy,
+            pool_config,
             zone: zone.clone(),
             cfg: cfg.clone(),
             tuning,
             ledger: Ledger::new(replica),
             queue: Queue::default(),
             upstreams: Upstreams::default(),
-            remotes: Remotes::default(),
-            arrived: FxHashMap::default(),
-            expiry: BTreeSet::new(),
+            remote_zones: RemoteZones::default(),
+            arrivals: FxHashMap::default(),
+            by_expiry: BTreeSet::new(),
             grants: FxHashMap::default(),
             by_ticket: FxHashMap::default(),
-            pulls: FxHashMap::default(),
-            answered: VecDeque::new(),
+            pending_pulls: FxHashMap::default(),
+            answered_pulls: VecDeque::new(),
             running: FxHashMap::default(),
             estimates: FxHashMap::default(),
             virtual_time: 0,
             first_grant: next_grant,
             next_grant,
-            since_patience: 0,
-            granted: Duration::ZERO,
-            pace: 0.0,
-            mean_cover: 0.0,
+            grants_since_starved: 0,
+            last_grant_at: Duration::ZERO,
+            mean_grant_interval_s: 0.0,
+            mean_charged_cost: 0.0,
             mean_weight: mean_weight(&cfg),
-            checked: Duration::ZERO,
-            unanswered: FxHashMap::default(),
-            gone: Vec::new(),
-            unheard: BTreeSet::new(),
-            expects: false,
-            lift_after: Duration::ZERO,
+            last_check_at: Duration::ZERO,
+            unanswered_checks: FxHashMap::default(),
+            lost_routers: Vec::new(),
+            zones_to_sync: BTreeSet::new(),
+            knows_zones_to_sync: false,
+            lift_allowed_at: Duration::ZERO,
         };
         pool.upstreams.configure(cfg.upstreams(name, zone));
         Some(pool)
     }
 
-    /// Takes over a new configuration.
+    /// Applies a new configuration.
     pub fn configure(&mut self, cfg: &Arc<Revision>, now: Duration, out: &mut Vec<Action>) {
-        if let Some(policy) = cfg.pool(&self.policy.name) {
-            self.policy = policy.clone();
+        if let Some(pool_config) = cfg.pool(&self.pool_config.name) {
+            self.pool_config = pool_config.clone();
         }
         self.cfg = cfg.clone();
         self.mean_weight = mean_weight(cfg);
-        self.upstreams.configure(cfg.upstreams(&self.policy.name, &self.zone));
+        self.upstreams.configure(cfg.upstreams(&self.pool_config.name, &self.zone));
         self.fill_slots(now, out);
     }
 
-    /// The pool's name.
     pub fn name(&self) -> &PoolName {
-        &self.policy.name
+        &self.pool_config.name
     }
 
-    /// The service counters.
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// The waiting tickets.
     pub fn queue(&self) -> &Queue {
         &self.queue
     }
 
-    /// The upstreams of this zone.
+    /// The upstreams in this zone.
     pub fn upstreams(&self) -> &Upstreams {
         &self.upstreams
     }
 
-    /// What an upstream tells of itself is taken in through here; `fill` afterwards.
+    /// The upstreams in this zone, to apply their reports. Call [`fill_slots`](Self::fill_slots)
+    /// afterwards.
     pub fn upstreams_mut(&mut self) -> &mut Upstreams {
         &mut self.upstreams
     }
 
-    /// Registers a ticket. Doing it twice does no harm: a ticket that was granted is granted again.
+    /// Registers a ticket. Idempotent: a ticket that has a grant gets the same grant again.
     pub fn submit(&mut self, ticket: Ticket, now: Duration, out: &mut Vec<Action>) {
         if let Some(&id) = self.by_ticket.get(&ticket.id) {
             self.send_grant(id, out);
@@ -234,51 +233,52 @@
             return;
         }
         let workspace = ticket.workspace.clone();
-        // One that waits elsewhere isn't new, and keeps what it is behind.
-        if self.queue.waiting(&workspace) == 0 && self.remotes.zones_of(&workspace).next().is_none()
+        // A workspace that also waits elsewhere isn't newly active, so it isn't lifted.
+        if self.queue.waiting(&workspace) == 0
+            && self.remote_zones.zones_of(&workspace).next().is_none()
         {
             self.lift_to_floor(&workspace, now);
         }
-        let expires = now + Duration::from_millis(ticket.deadline_ms);
-        self.arrived.insert(ticket.id, Arrival { at: now, expires });
-        self.expiry.insert((expires, ticket.id));
-        let at = self.ledger.virtual_time(&workspace);
-        self.queue.push(ticket, at, now);
-        self.park_if_full(&workspace);
-        self.note_waiting(&workspace);
+        let expires_at = now + Duration::from_millis(ticket.deadline_ms);
+        self.arrivals.insert(ticket.id, Arrival { at: now, expires_at });
+        self.by_expiry.insert((expires_at, ticket.id));
+        let virtual_time = self.ledger.virtual_time(&workspace);
+        self.queue.push(ticket, virtual_time, now);
+        self.check_running_limit(&workspace);
+        self.publish_waiting(&workspace);
         self.fill_slots(now, out);
     }
 
-    /// Forgets a ticket that nobody waits for any more.
+    /// Removes a ticket that is no longer wanted.
     pub fn cancel(&mut self, id: TicketId) {
         if let Some(ticket) = self.queue.remove(id) {
-            self.left(id);
-            self.note_waiting(&ticket.workspace);
+            self.remove_arrival(id);
+            self.publish_waiting(&ticket.workspace);
         }
     }
 
-    /// Does what is due by time.
+    /// Handles everything that is due at `now`.
     pub fn tick(&mut self, now: Duration, out: &mut Vec<Action>) {
         self.upstreams.tick(now);
-        self.remotes.tick(now);
-        self.expire(now);
+        self.remote_zones.expire(now);
+        self.expire_tickets(now);
         self.expire_pulls(now);
         self.check_grants(now, out);
         self.fill_slots(now, out);
     }
 
-    /// Fills free slots as long as there is work for them.
+    /// Grants free slots as long as there is work.
     pub fn fill_slots(&mut self, now: Duration, out: &mut Vec<Action>) {
         while self.upstreams.has_free() {
-            match self.choose(now) {
+            match self.choose_next(now) {
                 None => return,
-                Some(Choice::Local(workspace, why)) => self.grant(&workspace, why, now, out),
-                Some(Choice::Remote(workspace)) => self.ask(&workspace, now, out),
+                Some(NextWork::Local(workspace, why)) => self.grant(&workspace, why, now, out),
+                Some(NextWork::Remote(workspace)) => self.send_pull(&workspace, now, out),
             }
         }
     }
 
-    /// Free slots for which there is no work here.
+    /// Free slots for which no work waits here.
     pub fn idle_slots(&self) -> u32 {
         if !self.queue.is_empty() {
             return 0;
@@ -286,50 +286,52 @@
         self.upstreams.slots().saturating_sub(self.upstreams.running())
     }
 
-    /// The largest difference of service received, by weight, between two workspaces that wait
-    /// here, in the pool's unit.
+    /// The largest difference of virtual time between two workspaces waiting here, in the pool's
+    /// unit.
     pub fn service_gap(&self) -> f64 {
-        let (Some((least, _)), Some((most, _))) = (self.queue.first(), self.queue.last()) else {
+        let (Some((least, _)), Some((most, _))) =
+            (self.queue.furthest_behind(), self.queue.furthest_ahead())
+        else {
             return 0.0;
         };
-        (most - least) as f64 / PARTS as f64
+        (most - least) as f64 / PARTS_PER_UNIT as f64
     }
 
     /// Why a workspace that waits here isn't served now.
     pub fn wait_reason(&self, workspace: &WorkspaceName) -> WaitReason {
-        if self.is_full(workspace) {
+        if self.is_at_running_limit(workspace) {
             let running = self.running.get(workspace).copied().unwrap_or(0);
             return WaitReason::RunningLimit { running };
         }
-        let first = self.queue.ahead_of(workspace);
+        let first = self.queue.count_ahead_of(workspace);
         match self.upstreams.has_free() {
             true => WaitReason::Turn { first },
             false => WaitReason::Slot { first },
         }
     }
 
-    fn note_waiting(&mut self, workspace: &WorkspaceName) {
-        self.ledger.note_waiting(workspace, self.queue.waiting(workspace));
+    fn publish_waiting(&mut self, workspace: &WorkspaceName) {
+        self.ledger.set_waiting(workspace, self.queue.waiting(workspace));
     }
 
-    fn left(&mut self, id: TicketId) -> Option<Arrival> {
-        let arrival = self.arrived.remove(&id)?;
-        self.expiry.remove(&(arrival.expires, id));
+    fn remove_arrival(&mut self, id: TicketId) -> Option<Arrival> {
+        let arrival = self.arrivals.remove(&id)?;
+        self.by_expiry.remove(&(arrival.expires_at, id));
         Some(arrival)
     }
 
-    fn expire(&mut self, now: Duration) {
-        while let Some(&(at, id)) = self.expiry.first()
+    fn expire_tickets(&mut self, now: Duration) {
+        while let Some(&(at, id)) = self.by_expiry.first()
             && at <= now
         {
             self.cancel(id);
-            self.expiry.remove(&(at, id));
+            self.by_expiry.remove(&(at, id));
         }
     }
 }
 
-fn parts(cost: u64) -> VirtualTime {
-    cost as i64 * PARTS
+fn to_virtual_time(cost: u64) -> VirtualTime {
+    cost as i64 * PARTS_PER_UNIT
 }
 
 fn mean_weight(cfg: &Revision) -> f64 {
@@ -338,6 +340,6 @@
     sum / workspaces.len().max(1) as f64
 }
 
-fn waited(arrival: Option<Arrival>, now: Duration) -> u64 {
+fn waited_ms(arrival: Option<Arrival>, now: Duration) -> u64 {
     arrival.map_or(0, |a| (now - a.at).as_millis() as u64)
 }
--- a/src/dispatch/pool/order.rs
+++ b/src/dispatch/pool/order.rs
@@ -1,119 +1,126 @@
-//! Who goes next: virtual times, lifts, and what keeps anybody from starving.
+//! Selection of the next workspace: virtual times, lifts, and protection against starvation.
 
 use std::time::Duration;
 
 use crate::dispatch::ledger::CounterEntry;
-use crate::dispatch::ledger::PARTS;
+use crate::dispatch::ledger::PARTS_PER_UNIT;
 use crate::dispatch::ledger::VirtualTime;
 use crate::dispatch::pool::PoolDispatcher;
 use crate::dispatch::pool::decision::SelectionReason;
-use crate::dispatch::pool::parts;
+use crate::dispatch::pool::to_virtual_time;
 use crate::names::WorkspaceName;
 
-/// A workspace that waited at least this long without being served goes next, though it is ahead.
-const PATIENCE: Duration = Duration::from_millis(250);
+/// A workspace is starved if it waited at least this long without being served. It then goes next
+/// in spite of its greater virtual time.
+const STARVATION_WAIT_MIN: Duration = Duration::from_millis(250);
 
-/// It must also have waited this many times as long as its fair share makes it wait on average.
-const PATIENCE_FACTOR: f64 = 4.0;
+/// It must also have waited this many times as long as a workspace with its share waits on average.
+const STARVATION_WAIT_FACTOR: f64 = 4.0;
 
-/// At most one grant in this many goes to a workspace for its patience.
-const PATIENCE_EVERY: u32 = 10;
+/// At most one grant in this many goes to a starved workspace.
+const STARVATION_GRANTS_MIN: u32 = 10;
 
 /// What a free slot goes to.
-pub(super) enum Choice {
+pub(super) enum NextWork {
     Local(WorkspaceName, SelectionReason),
     Remote(WorkspaceName),
 }
 
 impl PoolDispatcher {
-    pub(super) fn choose(&mut self, now: Duration) -> Option<Choice> {
-        let local = self.queue.first();
-        if let Some(choice) = self.choose_patience(now) {
+    pub(super) fn choose_next(&mut self, now: Duration) -> Option<NextWork> {
+        let local = self.queue.furthest_behind();
+        if let Some(choice) = self.choose_starved(now) {
             return Some(choice);
         }
-        if let Some((at, workspace)) = self.queue.first_urgent()
-            && at < self.floor() + parts(u64::from(self.policy.urgent_lead))
+        if let Some((at, workspace)) = self.queue.furthest_behind_urgent()
+            && at < self.floor() + to_virtual_time(u64::from(self.pool_config.urgent_lead))
         {
-            return Some(Choice::Local(workspace.clone(), SelectionReason::Urgent));
+            return Some(NextWork::Local(workspace.clone(), SelectionReason::Urgent));
         }
-        let remote = self.remotes.first();
-        let margin = self.tuning.pull_margin.unwrap_or(self.policy.pull_margin);
+        let remote = self.remote_zones.furthest_behind();
+        let margin = self.tuning.pull_margin.unwrap_or(self.pool_config.pull_margin);
         match (local, remote) {
             (None, None) => None,
-            (None, Some((_, workspace))) => Some(Choice::Remote(workspace.clone())),
-            (Some((at, local)), Some((there, workspace))) => {
-                let stale = self.remotes.staleness(workspace, self.ledger.charged());
-                if there + stale.max(0) + parts(u64::from(margin)) < at {
-                    return Some(Choice::Remote(workspace.clone()));
+            (None, Some((_, workspace))) => Some(NextWork::Remote(workspace.clone())),
+            (Some((local_time, local)), Some((remote_time, workspace))) => {
+                let staleness = self.remote_zones.staleness(workspace, self.ledger.total_charged());
+                if remote_time + staleness.max(0) + to_virtual_time(u64::from(margin)) < local_time
+                {
+                    return Some(NextWork::Remote(workspace.clone()));
                 }
-                Some(Choice::Local(local.clone(), SelectionReason::FurthestBehind))
+                Some(NextWork::Local(local.clone(), SelectionReason::FurthestBehind))
             }
             (Some((_, workspace)), None) => {
-                Some(Choice::Local(workspace.clone(), SelectionReason::FurthestBehind))
+                Some(NextWork::Local(workspace.clone(), SelectionReason::FurthestBehind))
             }
         }
     }
 
-    /// A workspace that is ahead, say after zones were cut off from each other, still gets a minimum
-    /// share while the others catch up; unless it is so far ahead that it would never be done.
-    pub(super) fn choose_patience(&self, now: Duration) -> Option<Choice> {
-        let (since, workspace) = self.queue.oldest()?;
-        if self.since_patience < PATIENCE_EVERY || now < since + PATIENCE {
+    /// A workspace that is ahead, for example after a network partition between zones, still gets a
+    /// minimum share while the others catch up, unless it is so far ahead that they would hardly
+    /// ever catch up.
+    pub(super) fn choose_starved(&self, now: Duration) -> Option<NextWork> {
+        let (since, workspace) = self.queue.longest_waiting()?;
+        if self.grants_since_starved < STARVATION_GRANTS_MIN || now < since + STARVATION_WAIT_MIN {
             return None;
         }
         let weight = self.cfg.workspace(workspace).map_or(1.0, |w| f64::from(w.weight));
-        // Who asks for much at a time goes less often.
-        let size = self.mean_estimate(workspace) / self.mean_cover.max(1.0);
-        let turns = self.queue.workspace_count() as f64 * self.mean_weight / weight * size;
-        if (now - since).as_secs_f64() < PATIENCE_FACTOR * turns * self.pace {
+        // A workspace with costly requests is served less often.
+        let relative_cost = self.mean_estimate(workspace) / self.mean_charged_cost.max(1.0);
+        let grants_per_turn =
+            self.queue.workspace_count() as f64 * self.mean_weight / weight * relative_cost;
+        if (now - since).as_secs_f64()
+            < STARVATION_WAIT_FACTOR * grants_per_turn * self.mean_grant_interval_s
+        {
             return None;
         }
         let lead = self.ledger.virtual_time(workspace) - self.floor();
-        if 2 * parts(u64::from(self.policy.debt_cap)) < lead {
+        if 2 * to_virtual_time(u64::from(self.pool_config.debt_cap)) < lead {
             return None;
         }
-        Some(Choice::Local(workspace.clone(), SelectionReason::Patience))
+        Some(NextWork::Local(workspace.clone(), SelectionReason::Patience))
     }
 
-    /// What a request of this workspace costs, on average over the services it used.
+    /// Mean cost of a workspace's requests over the services it used.
     pub(super) fn mean_estimate(&self, workspace: &str) -> f64 {
-        let Some(services) = self.estimates.get(workspace) else { return self.mean_cover };
+        let Some(services) = self.estimates.get(workspace) else { return self.mean_charged_cost };
         services.values().map(|e| e.cost).sum::<f64>() / services.len().max(1) as f64
     }
 
-    pub(super) fn is_full(&self, workspace: &str) -> bool {
+    pub(super) fn is_at_running_limit(&self, workspace: &str) -> bool {
         let limit = self.cfg.workspace(workspace).map_or(u32::MAX, |w| w.running_limit);
         limit <= self.running.get(workspace).copied().unwrap_or(0)
     }
 
-    pub(super) fn park_if_full(&mut self, workspace: &WorkspaceName) {
-        if self.is_full(workspace) {
-            self.queue.park(workspace, true);
+    pub(super) fn check_running_limit(&mut self, workspace: &WorkspaceName) {
+        if self.is_at_running_limit(workspace) {
+            self.queue.set_at_running_limit(workspace, true);
         }
     }
 
-    /// Whether the counters can be trusted enough to lift somebody.
-    pub(super) fn may_lift(&self, now: Duration) -> bool {
-        self.lift_after <= now || (self.expects && self.unheard.is_empty())
+    /// Whether the counters are complete enough to lift workspaces.
+    pub(super) fn can_lift(&self, now: Duration) -> bool {
+        self.lift_allowed_at <= now || (self.knows_zones_to_sync && self.zones_to_sync.is_empty())
     }
 
-    /// The virtual time to which a workspace is lifted that starts to wait: that of the one
-    /// furthest behind, without assumptions, which would be lifted for good.
+    /// The virtual time to which a workspace is lifted when it starts to wait: the smallest of all
+    /// that wait, without assumed charges, because a lift is permanent.
     pub(super) fn known_floor(&self) -> VirtualTime {
-        let local = self.queue.first().map(|(_, w)| self.ledger.known_time(w));
-        let remote = self.remotes.first().map(|(_, w)| self.ledger.known_time(w));
+        let local = self.queue.furthest_behind().map(|(_, w)| self.ledger.known_virtual_time(w));
+        let remote =
+            self.remote_zones.furthest_behind().map(|(_, w)| self.ledger.known_virtual_time(w));
         local.into_iter().chain(remote).min().unwrap_or(self.virtual_time)
     }
 
-    /// The smallest virtual time of all that wait, anywhere.
+    /// The smallest virtual time of all that wait, in any zone.
     pub(super) fn floor(&self) -> VirtualTime {
-        let local = self.queue.first().map(|(at, _)| at);
-        let remote = self.remotes.first().map(|(at, _)| at);
+        let local = self.queue.furthest_behind().map(|(at, _)| at);
+        let remote = self.remote_zones.furthest_behind().map(|(at, _)| at);
         local.into_iter().chain(remote).min().unwrap_or(self.virtual_time)
     }
 
     pub(super) fn lift_to_floor(&mut self, workspace: &WorkspaceName, now: Duration) {
-        if self.may_lift(now) {
+        if self.can_lift(now) {
             let floor = self.known_floor();
             self.lift(workspace, floor);
         }
@@ -121,44 +128,45 @@
 
     pub(super) fn lift(&mut self, workspace: &WorkspaceName, floor: VirtualTime) {
         self.ledger.lift(workspace, floor);
-        self.moved(workspace);
+        self.update_virtual_time(workspace);
     }
 
     pub(super) fn charge(&mut self, workspace: &WorkspaceName, cost: i64) {
         let weight = self.cfg.workspace(workspace).map_or(1, |w| i64::from(w.weight));
-        let amount = cost * PARTS / weight;
+        let amount = cost * PARTS_PER_UNIT / weight;
         self.ledger.charge(workspace, amount);
-        for zone in self.remotes.zones_of(workspace) {
-            self.ledger.assume(zone, workspace, amount);
+        for zone in self.remote_zones.zones_of(workspace) {
+            self.ledger.assume_charge(zone, workspace, amount);
         }
-        self.moved(workspace);
+        self.update_virtual_time(workspace);
     }
 
-    pub(super) fn moved(&mut self, workspace: &WorkspaceName) {
-        let at = self.ledger.virtual_time(workspace);
-        self.queue.moved(workspace, at);
-        self.remotes.moved(workspace, at);
+    pub(super) fn update_virtual_time(&mut self, workspace: &WorkspaceName) {
+        let virtual_time = self.ledger.virtual_time(workspace);
+        self.queue.set_virtual_time(workspace, virtual_time);
+        self.remote_zones.set_virtual_time(workspace, virtual_time);
     }
 
-    pub(super) fn reorder(&mut self, entries: &[CounterEntry]) {
+    pub(super) fn update_virtual_times(&mut self, entries: &[CounterEntry]) {
         for CounterEntry(workspace, ..) in entries {
-            self.moved(workspace);
+            self.update_virtual_time(workspace);
         }
     }
 
-    /// Lifts those that are behind another by more than the cap.
+    /// Lifts workspaces that are behind the furthest one ahead by more than the pool's debt cap.
     pub(super) fn cap_debts(&mut self) {
-        let local = self.queue.last().map(|(_, w)| self.ledger.known_time(w));
-        let remote = self.remotes.last().map(|(_, w)| self.ledger.known_time(w));
+        let local = self.queue.furthest_ahead().map(|(_, w)| self.ledger.known_virtual_time(w));
+        let remote =
+            self.remote_zones.furthest_ahead().map(|(_, w)| self.ledger.known_virtual_time(w));
         let Some(ahead) = local.into_iter().chain(remote).max() else { return };
-        let least = ahead - parts(u64::from(self.policy.debt_cap));
-        while let Some((_, workspace)) = self.queue.first() {
-            // What others are assumed to have charged is no debt.
-            if least <= self.ledger.known_time(workspace) {
+        let lowest = ahead - to_virtual_time(u64::from(self.pool_config.debt_cap));
+        while let Some((_, workspace)) = self.queue.furthest_behind() {
+            // Charges that are only assumed don't count as debt.
+            if lowest <= self.ledger.known_virtual_time(workspace) {
                 return;
             }
             let workspace = workspace.clone();
-            self.lift(&workspace, least);
+            self.lift(&workspace, lowest);
         }
     }
 }
--- a/src/dispatch/queue.rs
+++ b/src/dispatch/queue.rs
@@ -1,7 +1,7 @@
-//! The waiting tickets of one pool, ordered by their workspaces' virtual time.
+//! The waiting tickets of one pool, ordered by the virtual time of their workspaces.
 //!
-//! All operations cost O(log n) in the number of waiting workspaces; a ticket that is taken out of
-//! the middle of its workspace's queue is skipped when it comes up.
+//! All operations cost O(log n) in the number of waiting workspaces. A ticket that is removed from
+//! the middle of its workspace's queue is skipped when it reaches the front.
 
 use std::collections::BTreeSet;
 use std::collections::VecDeque;
@@ -15,65 +15,62 @@
 use crate::peer::message::Ticket;
 use crate::peer::message::TicketId;
 
-/// Classes, most urgent first.
 const CLASSES: [Class; 3] = [Class::Urgent, Class::Normal, Class::Background];
 
 /// The waiting tickets of one pool.
 #[derive(Debug, Default)]
 pub struct Queue {
     tickets: FxHashMap<TicketId, Ticket>,
-    flows: FxHashMap<WorkspaceName, Flow>,
-    order: BTreeSet<(VirtualTime, WorkspaceName)>,
-    urgent: BTreeSet<(VirtualTime, WorkspaceName)>,
-    oldest: BTreeSet<(Duration, WorkspaceName)>,
+    by_workspace: FxHashMap<WorkspaceName, WorkspaceQueue>,
+    by_virtual_time: BTreeSet<(VirtualTime, WorkspaceName)>,
+    urgent_by_virtual_time: BTreeSet<(VirtualTime, WorkspaceName)>,
+    by_waiting_since: BTreeSet<(Duration, WorkspaceName)>,
 }
 
 /// The waiting tickets of one workspace.
 #[derive(Debug, Default)]
-struct Flow {
-    lanes: [VecDeque<TicketId>; 3],
+struct WorkspaceQueue {
+    by_class: [VecDeque<TicketId>; 3],
     counts: [u32; 3],
-    since_background: u32,
-    at: VirtualTime,
-    since: Duration,
-    parked: bool,
+    pops_since_background: u32,
+    virtual_time: VirtualTime,
+    waiting_since: Duration,
+    at_limit: bool,
 }
 
-impl Flow {
+impl WorkspaceQueue {
     fn waiting(&self) -> u32 {
         self.counts.iter().sum()
     }
 }
 
 impl Queue {
-    /// How many tickets wait.
+    /// The number of waiting tickets.
     pub fn len(&self) -> usize {
         self.tickets.len()
     }
 
-    /// Whether no ticket waits.
     pub fn is_empty(&self) -> bool {
         self.tickets.is_empty()
     }
 
-    /// Whether this ticket waits here.
     pub fn contains(&self, id: TicketId) -> bool {
         self.tickets.contains_key(&id)
     }
 
-    /// How many tickets of a workspace wait.
+    /// The number of waiting tickets of a workspace.
     pub fn waiting(&self, workspace: &str) -> u32 {
-        self.flows.get(workspace).map_or(0, Flow::waiting)
+        self.by_workspace.get(workspace).map_or(0, WorkspaceQueue::waiting)
     }
 
-    /// How many workspaces have tickets waiting.
+    /// The number of workspaces with waiting tickets.
     pub fn workspace_count(&self) -> usize {
-        self.flows.len()
+        self.by_workspace.len()
     }
 
-    /// The workspaces that have tickets waiting, in no order.
+    /// The workspaces with waiting tickets, in no order.
     pub fn workspaces(&self) -> impl Iterator<Item = &WorkspaceName> {
-        self.flows.keys()
+        self.by_workspace.keys()
     }
 
     /// All waiting tickets, in no order.
@@ -81,126 +78,134 @@
         self.tickets.values()
     }
 
-    /// Adds a ticket whose workspace stands at virtual time `at`.
-    pub fn push(&mut self, ticket: Ticket, at: VirtualTime, now: Duration) {
-        let lane = lane(ticket.class);
+    /// Adds a ticket of a workspace whose current virtual time is given.
+    pub fn push(&mut self, ticket: Ticket, virtual_time: VirtualTime, now: Duration) {
+        let class = class_index(ticket.class);
         let workspace = ticket.workspace.clone();
-        let new = || Flow { since: now, ..Flow::default() };
-        let flow = self.flows.entry(workspace.clone()).or_insert_with(new);
-        flow.lanes[lane].push_back(ticket.id);
-        flow.counts[lane] += 1;
+        let new = || WorkspaceQueue { waiting_since: now, ..WorkspaceQueue::default() };
+        let queue = self.by_workspace.entry(workspace.clone()).or_insert_with(new);
+        queue.by_class[class].push_back(ticket.id);
+        queue.counts[class] += 1;
         self.tickets.insert(ticket.id, ticket);
-        self.place(&workspace, at);
+        self.reorder(&workspace, virtual_time);
     }
 
-    /// Takes a ticket out, wherever it stands.
+    /// Removes a ticket from any position.
     pub fn remove(&mut self, id: TicketId) -> Option<Ticket> {
         let ticket = self.tickets.remove(&id)?;
-        let flow = self.flows.get_mut(&ticket.workspace).expect("a ticket has a flow");
-        flow.counts[lane(ticket.class)] -= 1;
-        let at = flow.at;
-        self.place(&ticket.workspace, at);
+        let queue = self
+            .by_workspace
+            .get_mut(&ticket.workspace)
+            .expect("a waiting ticket's workspace has a queue");
+        queue.counts[class_index(ticket.class)] -= 1;
+        let virtual_time = queue.virtual_time;
+        self.reorder(&ticket.workspace, virtual_time);
         Some(ticket)
     }
 
-    /// Tells that a workspace's virtual time is now `at`.
-    pub fn moved(&mut self, workspace: &WorkspaceName, at: VirtualTime) {
-        if self.flows.contains_key(workspace) {
-            self.place(workspace, at);
+    /// Updates the virtual time of a workspace, if any of its tickets wait.
+    pub fn set_virtual_time(&mut self, workspace: &WorkspaceName, virtual_time: VirtualTime) {
+        if self.by_workspace.contains_key(workspace) {
+            self.reorder(workspace, virtual_time);
         }
     }
 
-    /// Keeps a workspace that is at its running limit out of the order, or lets it back in.
-    pub fn park(&mut self, workspace: &WorkspaceName, parked: bool) {
-        let Some(flow) = self.flows.get_mut(workspace) else { return };
-        if flow.parked == parked {
+    /// Takes a workspace that reached its running limit out of the order, or puts it back.
+    pub fn set_at_running_limit(&mut self, workspace: &WorkspaceName, at_limit: bool) {
+        let Some(queue) = self.by_workspace.get_mut(workspace) else { return };
+        if queue.at_limit == at_limit {
             return;
         }
-        let at = flow.at;
-        self.unplace(workspace);
-        self.flows.get_mut(workspace).expect("just seen").parked = parked;
-        self.place(workspace, at);
+        let virtual_time = queue.virtual_time;
+        self.remove_from_order(workspace);
+        self.by_workspace.get_mut(workspace).expect("just seen").at_limit = at_limit;
+        self.reorder(workspace, virtual_time);
     }
 
-    /// The waiting workspace that is furthest behind.
-    pub fn first(&self) -> Option<(VirtualTime, &WorkspaceName)> {
-        self.order.first().map(|(at, w)| (*at, w))
+    /// The waiting workspace with the smallest virtual time.
+    pub fn furthest_behind(&self) -> Option<(VirtualTime, &WorkspaceName)> {
+        self.by_virtual_time.first().map(|(virtual_time, w)| (*virtual_time, w))
     }
 
-    /// How many workspaces are further behind than this one, which waits. Costs O(n): for operators.
-    pub fn ahead_of(&self, workspace: &str) -> usize {
-        self.order.iter().take_while(|(_, w)| w.as_str() != workspace).count()
+    /// How many workspaces have a smaller virtual time than this waiting one. O(n): for operators'
+    /// queries only.
+    pub fn count_ahead_of(&self, workspace: &str) -> usize {
+        self.by_virtual_time.iter().take_while(|(_, w)| w.as_str() != workspace).count()
     }
 
-    /// The workspace furthest behind of those with urgent work.
-    pub fn first_urgent(&self) -> Option<(VirtualTime, &WorkspaceName)> {
-        self.urgent.first().map(|(at, w)| (*at, w))
+    /// The workspace with the smallest virtual time among those with urgent tickets.
+    pub fn furthest_behind_urgent(&self) -> Option<(VirtualTime, &WorkspaceName)> {
+        self.urgent_by_virtual_time.first().map(|(virtual_time, w)| (*virtual_time, w))
     }
 
-    /// The workspace furthest ahead.
-    pub fn last(&self) -> Option<(VirtualTime, &WorkspaceName)> {
-        self.order.last().map(|(at, w)| (*at, w))
+    /// The waiting workspace with the greatest virtual time.
+    pub fn furthest_ahead(&self) -> Option<(VirtualTime, &WorkspaceName)> {
+        self.by_virtual_time.last().map(|(virtual_time, w)| (*virtual_time, w))
     }
 
     /// The workspace that has waited longest since it was last served, and since when.
-    pub fn oldest(&self) -> Option<(Duration, &WorkspaceName)> {
-        self.oldest.first().map(|(since, w)| (*since, w))
+    pub fn longest_waiting(&self) -> Option<(Duration, &WorkspaceName)> {
+        self.by_waiting_since.first().map(|(since, w)| (*since, w))
     }
 
-    /// Takes the next ticket of a workspace: urgent work first, then normal, then background, but
-    /// one background ticket after `background_every` others.
+    /// Takes the next ticket of a workspace: urgent before normal before background, but one
+    /// background ticket after every `background_every` others.
     pub fn pop(
         &mut self,
         workspace: &WorkspaceName,
         background_every: u32,
         now: Duration,
     ) -> Option<Ticket> {
-        self.oldest.remove(&(self.flows.get(workspace)?.since, workspace.clone()));
-        let flow = self.flows.get_mut(workspace)?;
-        flow.since = now;
-        let background = lane(Class::Background);
-        let due = background_every <= flow.since_background && flow.counts[background] != 0;
+        self.by_waiting_since
+            .remove(&(self.by_workspace.get(workspace)?.waiting_since, workspace.clone()));
+        let queue = self.by_workspace.get_mut(workspace)?;
+        queue.waiting_since = now;
+        let background = class_index(Class::Background);
+        let due = background_every <= queue.pops_since_background && queue.counts[background] != 0;
         let next =
-            if due { background } else { (0..CLASSES.len()).find(|&i| flow.counts[i] != 0)? };
-        flow.since_background = match next == background {
+            if due { background } else { (0..CLASSES.len()).find(|&i| queue.counts[i] != 0)? };
+        queue.pops_since_background = match next == background {
             true => 0,
-            false => flow.since_background.saturating_add(1),
+            false => queue.pops_since_background.saturating_add(1),
         };
         let tickets = &self.tickets;
-        let id = std::iter::from_fn(|| flow.lanes[next].pop_front())
+        let id = std::iter::from_fn(|| queue.by_class[next].pop_front())
             .find(|id| tickets.contains_key(id))
-            .expect("a counted ticket stands in its lane");
+            .expect("a counted ticket is in the queue of its class");
         self.remove(id)
     }
 
-    fn place(&mut self, workspace: &WorkspaceName, at: VirtualTime) {
-        self.unplace(workspace);
-        let flow = self.flows.get_mut(workspace).expect("placed flows exist");
-        flow.at = at;
-        if flow.waiting() == 0 {
-            // The counter for background work is worth keeping only while work waits.
-            self.flows.remove(workspace);
+    fn reorder(&mut self, workspace: &WorkspaceName, virtual_time: VirtualTime) {
+        self.remove_from_order(workspace);
+        let queue = self
+            .by_workspace
+            .get_mut(workspace)
+            .expect("only workspaces with a queue are reordered");
+        queue.virtual_time = virtual_time;
+        if queue.waiting() == 0 {
+            // The count of pops since the last background ticket is needed only while tickets wait.
+            self.by_workspace.remove(workspace);
             return;
         }
-        if flow.parked {
+        if queue.at_limit {
             return;
         }
-        self.order.insert((at, workspace.clone()));
-        self.oldest.insert((flow.since, workspace.clone()));
-        if flow.counts[lane(Class::Urgent)] != 0 {
-            self.urgent.insert((at, workspace.clone()));
+        self.by_virtual_time.insert((virtual_time, workspace.clone()));
+        self.by_waiting_since.insert((queue.waiting_since, workspace.clone()));
+        if queue.counts[class_index(Class::Urgent)] != 0 {
+            self.urgent_by_virtual_time.insert((virtual_time, workspace.clone()));
         }
     }
 
-    fn unplace(&mut self, workspace: &WorkspaceName) {
-        let flow = &self.flows[workspace];
-        self.oldest.remove(&(flow.since, workspace.clone()));
-        let key = (flow.at, workspace.clone());
-        self.order.remove(&key);
-        self.urgent.remove(&key);
+    fn remove_from_order(&mut self, workspace: &WorkspaceName) {
+        let queue = &self.by_workspace[workspace];
+        self.by_waiting_since.remove(&(queue.waiting_since, workspace.clone()));
+        let key = (queue.virtual_time, workspace.clone());
+        self.by_virtual_time.remove(&key);
+        self.urgent_by_virtual_time.remove(&key);
     }
 }
 
-fn lane(class: Class) -> usize {
-    CLASSES.iter().position(|&c| c == class).expect("every class has a lane")
+fn class_index(class: Class) -> usize {
+    CLASSES.iter().position(|&c| c == class).expect("CLASSES lists every class")
 }
--- a/src/dispatch/remote_zones.rs
+++ b/src/dispatch/remote_zones.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher knows of the dispatchers of the same pool in other availability zones.
+//! What a dispatcher knows of the same pool's dispatchers in other availability zones.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -13,101 +13,104 @@
 use crate::names::ZoneName;
 use crate::peer::message::DispatcherReport;
 
-/// Silence after which a zone counts as cut off, and nothing is pulled from it.
-pub const CUT_AFTER: Duration = Duration::from_secs(5);
+/// Time without a report after which a zone counts as unreachable, and nothing is pulled from it.
+pub const ZONE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The other zones of one pool.
 #[derive(Debug, Default)]
-pub struct Remotes {
-    zones: BTreeMap<ZoneName, Remote>,
-    order: BTreeSet<(VirtualTime, WorkspaceName)>,
+pub struct RemoteZones {
+    zones: BTreeMap<ZoneName, RemoteZone>,
+    by_virtual_time: BTreeSet<(VirtualTime, WorkspaceName)>,
     waiting: FxHashMap<WorkspaceName, Waiting>,
 }
 
-/// One other zone.
 #[derive(Debug)]
-pub struct Remote {
-    /// Who dispatches there, as far as known.
+pub struct RemoteZone {
+    /// The box believed to be the dispatcher there.
     pub dispatcher: BoxName,
-    /// Version of the own cell that it has merged.
-    pub acknowledged: u64,
-    /// When it was last heard.
-    pub heard: Duration,
-    /// When it was last told something.
-    pub told: Option<Duration>,
-    /// The version of the own cell it was last told.
-    pub told_version: u64,
-    /// Free slots there that have no work.
+    /// Version of the own replica that it has merged.
+    pub acknowledged_version: u64,
+    pub last_report_at: Duration,
+    /// When this dispatcher last sent a report there.
+    pub last_sent_at: Option<Duration>,
+    /// Version of the own replica in that report.
+    pub last_sent_version: u64,
+    /// Free slots there for which no work waits.
     pub idle_slots: u32,
-    /// For the box that would follow this one: the versions of other cells it was told.
-    pub relayed: FxHashMap<ReplicaId, u64>,
-    /// All that the own cell had charged when it was last heard.
-    pub charged_when_heard: VirtualTime,
-    /// The idle slots it was last told of.
-    pub told_idle: u32,
-    /// The dispatcher's own cell, once it was heard.
+    /// For the standby of this dispatcher: the versions of other replicas sent to it.
+    pub relayed_versions: FxHashMap<ReplicaId, u64>,
+    /// Total charge of the own replica when the zone last reported.
+    pub charged_at_report: VirtualTime,
+    /// Own idle slots in the report last sent there.
+    pub last_sent_idle_slots: u32,
+    /// Replica of the dispatcher there, once it has reported.
     pub replica: Option<ReplicaId>,
 }
 
-/// Where tickets of one workspace wait.
+/// The zones where tickets of one workspace wait.
 #[derive(Debug, Default)]
 struct Waiting {
-    at: VirtualTime,
+    virtual_time: VirtualTime,
     zones: BTreeMap<ZoneName, u32>,
 }
 
-impl Remotes {
-    /// What is known of a zone.
-    pub fn zone(&mut self, zone: &ZoneName) -> Option<&mut Remote> {
+impl RemoteZones {
+    pub fn get_mut(&mut self, zone: &ZoneName) -> Option<&mut RemoteZone> {
         self.zones.get_mut(zone)
     }
 
-    /// Notes a zone's dispatcher that was never heard, so that it can be told things.
-    pub fn meet(&mut self, zone: &ZoneName, dispatcher: &BoxName) -> &mut Remote {
-        self.zones.entry(zone.clone()).or_insert_with(|| Remote {
+    /// The state of a zone; a new one starts with `dispatcher`, so that reports can be sent to it.
+    pub fn get_or_add(&mut self, zone: &ZoneName, dispatcher: &BoxName) -> &mut RemoteZone {
+        self.zones.entry(zone.clone()).or_insert_with(|| RemoteZone {
             dispatcher: dispatcher.clone(),
-            acknowledged: 0,
-            heard: Duration::ZERO,
-            told: None,
-            told_version: 0,
+            acknowledged_version: 0,
+            last_report_at: Duration::ZERO,
+            last_sent_at: None,
+            last_sent_version: 0,
             idle_slots: 0,
-            relayed: FxHashMap::default(),
-            charged_when_heard: 0,
-            told_idle: 0,
+            relayed_versions: FxHashMap::default(),
+            charged_at_report: 0,
+            last_sent_idle_slots: 0,
             replica: None,
         })
     }
 
-    /// Takes in who sent a summary and what it acknowledges.
-    pub fn heard(&mut self, summary: &DispatcherReport, charged: VirtualTime, now: Duration) {
-        let zone = self.meet(&summary.zone, &summary.dispatcher);
-        zone.dispatcher = summary.dispatcher.clone();
-        zone.heard = now;
-        zone.idle_slots = summary.idle_slots;
-        zone.acknowledged = summary.merged_version;
-        zone.charged_when_heard = charged;
-        if zone.replica.as_ref() != Some(&summary.replica) {
-            zone.replica = Some(summary.replica.clone());
-            // It is new there, and wants to know everything soon.
-            zone.told = None;
-            self.forget_waiting(&summary.zone);
+    /// Records the sender of a report and what it acknowledges. `charged` is the total charge of
+    /// the own replica.
+    pub fn record_report(
+        &mut self,
+        report: &DispatcherReport,
+        charged: VirtualTime,
+        now: Duration,
+    ) {
+        let zone = self.get_or_add(&report.zone, &report.dispatcher);
+        zone.dispatcher = report.dispatcher.clone();
+        zone.last_report_at = now;
+        zone.idle_slots = report.idle_slots;
+        zone.acknowledged_version = report.merged_version;
+        zone.charged_at_report = charged;
+        if zone.replica.as_ref() != Some(&report.replica) {
+            zone.replica = Some(report.replica.clone());
+            // A new dispatcher there needs a full report soon.
+            zone.last_sent_at = None;
+            self.forget_waiting(&report.zone);
         }
     }
 
-    /// Notes how many tickets of a workspace, which stands at `at`, wait in a zone. A zone that
-    /// wasn't heard yet is left out: it isn't known whom to ask there.
+    /// Records how many tickets of a workspace wait in a zone. A zone that is unknown yet is left
+    /// out, since its dispatcher isn't known either.
     pub fn set_waiting(
         &mut self,
         zone: &ZoneName,
         workspace: &WorkspaceName,
         count: u32,
-        at: VirtualTime,
+        virtual_time: VirtualTime,
     ) {
         if !self.zones.contains_key(zone) {
             return;
         }
         let waiting = self.waiting.entry(workspace.clone()).or_default();
-        self.order.remove(&(waiting.at, workspace.clone()));
+        self.by_virtual_time.remove(&(waiting.virtual_time, workspace.clone()));
         if count == 0 {
             waiting.zones.remove(zone);
         } else {
@@ -117,66 +120,68 @@
             self.waiting.remove(workspace);
             return;
         }
-        waiting.at = at;
-        self.order.insert((at, workspace.clone()));
+        waiting.virtual_time = virtual_time;
+        self.by_virtual_time.insert((virtual_time, workspace.clone()));
     }
 
-    /// Tells that a workspace's virtual time is now `at`.
-    pub fn moved(&mut self, workspace: &WorkspaceName, at: VirtualTime) {
+    /// Updates the virtual time of a workspace, if any of its tickets wait elsewhere.
+    pub fn set_virtual_time(&mut self, workspace: &WorkspaceName, virtual_time: VirtualTime) {
         if let Some(waiting) = self.waiting.get_mut(workspace) {
-            self.order.remove(&(waiting.at, workspace.clone()));
-            waiting.at = at;
-            self.order.insert((at, workspace.clone()));
+            self.by_virtual_time.remove(&(waiting.virtual_time, workspace.clone()));
+            waiting.virtual_time = virtual_time;
+            self.by_virtual_time.insert((virtual_time, workspace.clone()));
         }
     }
 
-    /// The workspace furthest behind of those that wait elsewhere.
-    pub fn first(&self) -> Option<(VirtualTime, &WorkspaceName)> {
-        self.order.first().map(|(at, w)| (*at, w))
+    /// The workspace with the smallest virtual time among those that wait elsewhere.
+    pub fn furthest_behind(&self) -> Option<(VirtualTime, &WorkspaceName)> {
+        self.by_virtual_time.first().map(|(virtual_time, w)| (*virtual_time, w))
     }
 
-    /// The workspace furthest ahead of those that wait elsewhere.
-    pub fn last(&self) -> Option<(VirtualTime, &WorkspaceName)> {
-        self.order.last().map(|(at, w)| (*at, w))
+    /// The workspace with the greatest virtual time among those that wait elsewhere.
+    pub fn furthest_ahead(&self) -> Option<(VirtualTime, &WorkspaceName)> {
+        self.by_virtual_time.last().map(|(virtual_time, w)| (*virtual_time, w))
     }
 
-    /// The zones where a workspace waits.
+    /// The zones where tickets of a workspace wait.
     pub fn zones_of(&self, workspace: &str) -> impl Iterator<Item = &ZoneName> {
         self.waiting.get(workspace).into_iter().flat_map(|w| w.zones.keys())
     }
 
-    /// How far the virtual time of a workspace that waits elsewhere may have grown since its zones
-    /// were heard: as far as if they had served it alone, as fast as this one serves all.
+    /// An upper bound on the growth of a workspace's virtual time since the zones where it waits
+    /// last reported: as if they had served it alone, at the rate at which this dispatcher serves
+    /// all. `charged` is the total charge of the own replica.
     pub fn staleness(&self, workspace: &str, charged: VirtualTime) -> VirtualTime {
         let zones = self.zones_of(workspace).filter_map(|z| self.zones.get(z));
-        zones.map(|z| charged - z.charged_when_heard).max().unwrap_or(0)
+        zones.map(|z| charged - z.charged_at_report).max().unwrap_or(0)
     }
 
-    /// Drops what is known to wait in a zone that doesn't answer.
-    pub fn unanswered(&mut self, zone: &ZoneName) {
+    /// Forgets the waiting tickets of a zone that didn't answer a pull.
+    pub fn record_pull_timeout(&mut self, zone: &ZoneName) {
         self.forget_waiting(zone);
     }
 
-    /// Counts one ticket of a workspace as pulled, from the zone where most of its tickets wait.
-    pub fn pull(&mut self, workspace: &WorkspaceName) -> Option<(ZoneName, BoxName)> {
+    /// Counts one ticket of a workspace as pulled. Returns the zone where most of its tickets wait,
+    /// and the dispatcher there.
+    pub fn take_pull_target(&mut self, workspace: &WorkspaceName) -> Option<(ZoneName, BoxName)> {
         let waiting = self.waiting.get(workspace)?;
         let (zone, count) = waiting.zones.iter().max_by_key(|(_, n)| **n)?;
         let (zone, left) = (zone.clone(), count - 1);
-        let at = waiting.at;
+        let virtual_time = waiting.virtual_time;
         let dispatcher = self.zones.get(&zone)?.dispatcher.clone();
-        self.set_waiting(&zone, workspace, left, at);
+        self.set_waiting(&zone, workspace, left, virtual_time);
         Some((zone, dispatcher))
     }
 
-    /// Drops what waits in zones that are cut off. Gives the zones that were dropped.
-    pub fn tick(&mut self, now: Duration) {
-        let cut: Vec<ZoneName> = self
+    /// Forgets the waiting tickets and idle slots of zones that have stopped reporting.
+    pub fn expire(&mut self, now: Duration) {
+        let expired: Vec<ZoneName> = self
             .zones
             .iter()
-            .filter(|(_, r)| r.heard + CUT_AFTER <= now)
+            .filter(|(_, r)| r.last_report_at + ZONE_TIMEOUT <= now)
             .map(|(z, _)| z.clone())
             .collect();
-        for zone in &cut {
+        for zone in &expired {
             self.forget_waiting(zone);
             self.zones.get_mut(zone).expect("just listed").idle_slots = 0;
         }
@@ -187,10 +192,10 @@
             .waiting
             .iter()
             .filter(|(_, w)| w.zones.contains_key(zone))
-            .map(|(name, w)| (name.clone(), w.at))
+            .map(|(name, w)| (name.clone(), w.virtual_time))
             .collect();
-        for (workspace, at) in listed {
-            self.set_waiting(zone, &workspace, 0, at);
+        for (workspace, virtual_time) in listed {
+            self.set_waiting(zone, &workspace, 0, virtual_time);
         }
     }
 }
--- a/src/dispatch/retry.rs
+++ b/src/dispatch/retry.rs
@@ -1,37 +1,37 @@
-//! A budget for retries, so that a sick pool isn't hammered by the fleet's second tries.
+//! A retry budget (a token bucket), so that retries don't overload a pool that already fails.
 
-/// Retries that may be saved up while all goes well.
-const SAVED_MAX: f64 = 10.0;
+/// Capacity of the bucket, in retries.
+const TOKENS_MAX: f64 = 10.0;
 
-/// Lets retries through as a share of first tries.
+/// Limits retries to a share of the first attempts.
 #[derive(Debug)]
 pub struct RetryBudget {
-    share: f64,
-    saved: f64,
+    ratio: f64,
+    tokens: f64,
 }
 
 impl RetryBudget {
-    /// A budget of `percent` retries for each hundred requests.
+    /// A full budget that earns `percent` retries for each hundred requests.
     pub fn new(percent: u32) -> RetryBudget {
-        RetryBudget { share: f64::from(percent) / 100.0, saved: SAVED_MAX }
+        RetryBudget { ratio: f64::from(percent) / 100.0, tokens: TOKENS_MAX }
     }
 
-    /// Changes the share, keeping what is saved.
+    /// Changes the share; the tokens stay.
     pub fn set_percent(&mut self, percent: u32) {
-        self.share = f64::from(percent) / 100.0;
+        self.ratio = f64::from(percent) / 100.0;
     }
 
-    /// Notes a first try.
+    /// Records a first attempt.
     pub fn record_request(&mut self) {
-        self.saved = (self.saved + self.share).min(SAVED_MAX);
+        self.tokens = (self.tokens + self.ratio).min(TOKENS_MAX);
     }
 
-    /// Takes one retry out of the budget; false when it is spent.
+    /// Takes one retry from the budget. Returns false when it is exhausted.
     pub fn try_take(&mut self) -> bool {
-        if self.saved < 1.0 {
+        if self.tokens < 1.0 {
             return false;
         }
-        self.saved -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 }
--- a/src/dispatch/upstreams.rs
+++ b/src/dispatch/upstreams.rs
@@ -1,4 +1,5 @@
-//! The upstreams of one pool in one availability zone: their free slots, and which of them to take.
+//! The upstreams of one pool in one availability zone: their free slots, and which one a request
+//! gets.
 
 use std::collections::BTreeSet;
 use std::collections::VecDeque;
@@ -11,52 +12,51 @@
 use crate::names::UpstreamName;
 use crate::peer::message::Ending;
 
-/// Failures in a row after which an upstream is put aside.
+/// Consecutive failures after which an upstream gets no requests for a cooldown.
 const FAILURES_MAX: u32 = 3;
 
-/// How long an upstream is first put aside; doubled at each failed trial.
-const ASIDE_FIRST: Duration = Duration::from_secs(2);
+/// First cooldown of an upstream; doubled with each failed probe.
+const COOLDOWN_MIN: Duration = Duration::from_secs(2);
 
-/// Longest time that an upstream is put aside before the next trial.
-const ASIDE_MAX: Duration = Duration::from_secs(60);
+/// Longest cooldown before the next probe.
+const COOLDOWN_MAX: Duration = Duration::from_secs(60);
 
-/// Prefixes whose upstream is remembered, per pool and zone.
+/// Prompt prefixes whose upstream is remembered, per pool and zone.
 const PREFIXES_MAX: usize = 4096;
 
-/// How far an upstream's own load report may lag.
+/// Longest delay of an upstream's load report.
 const REPORT_LAG: Duration = Duration::from_secs(2);
 
-/// What an upstream says of itself.
+/// The state that an upstream reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UpstreamReport {
-    /// Requests that run there, whoever sent them.
+    /// Requests running there, from all routers.
     pub running: u32,
-    /// Whether it is about to stop.
+    /// Whether it is shutting down.
     pub leaving: bool,
 }
 
-/// Why an upstream gets no work now.
+/// Why an upstream gets no requests now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnavailableReason {
-    /// The configuration drains it.
+    /// It is draining by the configuration.
     Draining,
-    /// It says itself, or the box list says, that it leaves.
+    /// It reports itself, or is listed in the box list, as leaving.
     Leaving,
-    /// It failed too often and waits for its next trial.
+    /// It failed too often, and is in its cooldown or being probed.
     Failing,
-    /// It has asked for a backoff.
+    /// It asked for a backoff.
     Backoff,
     /// All its slots are in use.
     Full,
 }
 
-/// The upstreams of one pool in one availability zone.
 #[derive(Debug, Default)]
 pub struct Upstreams {
     all: Vec<Upstream>,
     index: FxHashMap<UpstreamName, usize>,
-    free: BTreeSet<(u32, usize)>,
-    prefixes: FxHashMap<u64, UpstreamName>,
+    by_free_slots: BTreeSet<(u32, usize)>,
+    upstream_by_prefix: FxHashMap<u64, UpstreamName>,
     prefix_order: VecDeque<u64>,
 }
 
@@ -67,53 +67,54 @@
     draining: bool,
     leaving: bool,
     listed_leaving: bool,
-    gone: bool,
+    removed: bool,
     running: u32,
     peak: Peak,
-    foreign: u32,
+    running_for_others: u32,
     failures: u32,
-    aside: Duration,
-    retry_at: Option<Duration>,
-    /// Until when it wants no requests.
+    cooldown: Duration,
+    cooldown_until: Option<Duration>,
+    /// End of the backoff that it asked for.
     backoff_until: Option<Duration>,
-    trial: bool,
+    probing: bool,
 }
 
-/// The largest number of own requests in the last one to two reporting lags.
+/// The greatest number of own requests running at once during the last one to two times
+/// [`REPORT_LAG`].
 #[derive(Debug, Default)]
 struct Peak {
-    since: Duration,
-    before: u32,
-    now: u32,
+    window_start: Duration,
+    previous: u32,
+    current: u32,
 }
 
 impl Peak {
-    fn note(&mut self, running: u32, now: Duration) {
-        if self.since + REPORT_LAG <= now {
-            self.before = self.now;
-            self.now = running;
-            self.since = now;
+    fn record(&mut self, running: u32, now: Duration) {
+        if self.window_start + REPORT_LAG <= now {
+            self.previous = self.current;
+            self.current = running;
+            self.window_start = now;
         }
-        self.now = self.now.max(running);
+        self.current = self.current.max(running);
     }
 
     fn max(&self) -> u32 {
-        self.before.max(self.now)
+        self.previous.max(self.current)
     }
 }
 
 impl Upstream {
     fn free(&self) -> u32 {
-        if self.why_aside().is_some() {
+        if self.unavailable_reason().is_some() {
             return 0;
         }
-        let free = self.slots.saturating_sub(self.running + self.foreign);
-        // After failures a single request tries whether the upstream is well again.
+        let free = self.slots.saturating_sub(self.running + self.running_for_others);
+        // After failures a single request probes whether the upstream has recovered.
         if self.failures < FAILURES_MAX { free } else { free.min(1) }
     }
 
-    fn why_aside(&self) -> Option<UnavailableReason> {
-        if self.gone || self.draining {
+    fn unavailable_reason(&self) -> Option<UnavailableReason> {
+        if self.removed || self.draining {
             return Some(UnavailableReason::Draining);
         }
         if self.leaving || self.listed_leaving {
@@ -122,10 +123,10 @@
         if self.backoff_until.is_some() {
             return Some(UnavailableReason::Backoff);
         }
-        if self.retry_at.is_some() || self.trial {
+        if self.cooldown_until.is_some() || self.probing {
             return Some(UnavailableReason::Failing);
         }
-        if self.slots <= self.running + self.foreign {
+        if self.slots <= self.running + self.running_for_others {
             return Some(UnavailableReason::Full);
         }
         None
@@ -133,91 +134,94 @@
 }
 
 impl Upstreams {
-    /// Takes over the upstreams of a new configuration, keeping what is known of those that stay.
+    /// Applies a new configuration, and keeps the state of upstreams that stay.
     pub fn configure<'a>(&mut self, upstreams: impl Iterator<Item = &'a config::Upstream>) {
         for known in &mut self.all {
-            known.gone = true;
+            known.removed = true;
         }
         for cfg in upstreams {
             let i = self.find_or_add(&cfg.name);
             let known = &mut self.all[i];
-            known.gone = false;
+            known.removed = false;
             known.draining = cfg.draining;
             known.slots = cfg.slots;
         }
-        self.free.clear();
+        self.by_free_slots.clear();
         for i in 0..self.all.len() {
-            self.place(i, 0);
+            self.update_free_order(i, 0);
         }
     }
 
-    /// Whether any upstream could take a request now.
+    /// Whether any upstream can take a request now.
     pub fn has_free(&self) -> bool {
-        !self.free.is_empty()
+        !self.by_free_slots.is_empty()
     }
 
-    /// The number of slots of all upstreams that may get work.
+    /// The slots of all upstreams, except those that are draining or leaving.
     pub fn slots(&self) -> u32 {
         let usable = |u: &&Upstream| {
-            !matches!(u.why_aside(), Some(UnavailableReason::Draining | UnavailableReason::Leaving))
+            !matches!(
+                u.unavailable_reason(),
+                Some(UnavailableReason::Draining | UnavailableReason::Leaving)
+            )
         };
         self.all.iter().filter(usable).map(|u| u.slots).sum()
     }
 
-    /// How many requests run, by own grants.
+    /// The number of requests running by grants of this dispatcher.
     pub fn running(&self) -> u32 {
         self.all.iter().map(|u| u.running).sum()
     }
 
-    /// How many upstreams could take a request now.
+    /// The number of upstreams that can take a request now.
     pub fn candidates(&self) -> usize {
-        self.free.len()
+        self.by_free_slots.len()
     }
 
-    /// Each upstream's name and why it gets nothing now, if it doesn't.
+    /// Each upstream's name and, if it gets no requests now, the reason.
     pub fn states(&self) -> impl Iterator<Item = (&UpstreamName, Option<UnavailableReason>)> {
-        self.all.iter().map(|u| (&u.name, u.why_aside()))
+        self.all.iter().map(|u| (&u.name, u.unavailable_reason()))
     }
 
-    /// Chooses where a request goes: to the upstream that likely holds its prompt's prefix in its
-    /// cache, else to the one with the most free slots. Takes the slot.
-    pub fn take(
+    /// Acquires a slot for a request: at the upstream that likely has the prompt's prefix in its
+    /// cache, else at the one with the most free slots.
+    pub fn acquire_slot(
         &mut self,
         prefix: u64,
         avoid: Option<&UpstreamName>,
         now: Duration,
     ) -> Option<UpstreamName> {
-        let i = self.cached(prefix).or_else(|| self.roomiest(avoid))?;
-        self.occupy(i, now);
+        let i = self.cached_upstream(prefix).or_else(|| self.most_free(avoid))?;
+        self.occupy_index(i, now);
         let name = self.all[i].name.clone();
-        self.remember(prefix, &name);
+        self.remember_prefix(prefix, &name);
         Some(name)
     }
 
-    /// Takes a slot of a known upstream that somebody else decided on.
-    pub fn adopt(&mut self, name: &UpstreamName, now: Duration) {
+    /// Occupies a slot of an upstream that another dispatcher chose.
+    pub fn occupy_slot(&mut self, name: &UpstreamName, now: Duration) {
         if let Some(&i) = self.index.get(name) {
-            self.occupy(i, now);
+            self.occupy_index(i, now);
         }
     }
 
-    /// Gives a slot back and learns from how the request ended.
-    pub fn release(&mut self, name: &UpstreamName, ending: Ending, now: Duration) {
+    /// Releases a slot and records how the request ended.
+    pub fn release_slot(&mut self, name: &UpstreamName, ending: Ending, now: Duration) {
         let Some(&i) = self.index.get(name) else { return };
-        let before = self.all[i].free();
+        let old_free = self.all[i].free();
         let upstream = &mut self.all[i];
         upstream.running = upstream.running.saturating_sub(1);
         match ending {
             Ending::Answered => {
                 upstream.failures = 0;
-                upstream.aside = ASIDE_FIRST;
-                upstream.retry_at = None;
+                upstream.cooldown = COOLDOWN_MIN;
+                upstream.cooldown_until = None;
             }
             Ending::Failed => {
                 upstream.failures += 1;
                 if FAILURES_MAX <= upstream.failures {
-                    upstream.retry_at = Some(now + upstream.aside);
-                    upstream.aside = (upstream.aside * 2).min(ASIDE_MAX);
+                    upstream.cooldown_until = Some(now + upstream.cooldown);
+                    upstream.cooldown = (upstream.cooldown * 2).min(COOLDOWN_MAX);
                 }
             }
             Ending::Backoff(ms) => {
@@ -226,59 +230,60 @@
             }
             Ending::Cancelled | Ending::Unused => {}
         }
-        upstream.trial = false;
-        self.place(i, before);
+        upstream.probing = false;
+        self.update_free_order(i, old_free);
     }
 
-    /// Takes in what an upstream reports. Its load lags, so only what exceeds the most that this
-    /// dispatcher ran there lately counts as somebody else's.
+    /// Applies a load report. Since reports lag, only requests in excess of this dispatcher's
+    /// recent peak there count as those of others.
     pub fn apply_report(&mut self, name: &str, report: UpstreamReport, now: Duration) {
         let Some(&i) = self.index.get(name) else { return };
-        let before = self.all[i].free();
+        let old_free = self.all[i].free();
         let upstream = &mut self.all[i];
-        upstream.peak.note(upstream.running, now);
-        upstream.foreign = report.running.saturating_sub(upstream.peak.max());
+        upstream.peak.record(upstream.running, now);
+        upstream.running_for_others = report.running.saturating_sub(upstream.peak.max());
         upstream.leaving = report.leaving;
-        self.place(i, before);
+        self.update_free_order(i, old_free);
     }
 
-    /// Takes in which upstreams the box list shows as leaving.
+    /// Applies which upstreams the box list shows as leaving.
     pub fn set_listed_leaving(&mut self, leaving: &BTreeSet<BoxName>) {
         for i in 0..self.all.len() {
-            let before = self.all[i].free();
+            let old_free = self.all[i].free();
             self.all[i].listed_leaving = leaving.contains(self.all[i].name.as_str());
-            self.place(i, before);
+            self.update_free_order(i, old_free);
         }
     }
 
-    /// Lets upstreams whose time aside is over have a trial. Costs O(n): call it on ticks.
+    /// Ends the cooldowns and backoffs that are over, after which one request probes the upstream.
+    /// O(n): call it on ticks only.
     pub fn tick(&mut self, now: Duration) {
         for i in 0..self.all.len() {
-            let before = self.all[i].free();
+            let old_free = self.all[i].free();
             let upstream = &mut self.all[i];
             let is_over = |until: Option<Duration>| until.is_some_and(|at| at <= now);
-            let (backoff, aside) = (upstream.backoff_until, upstream.retry_at);
+            let (backoff, cooldown) = (upstream.backoff_until, upstream.cooldown_until);
             if is_over(backoff) {
                 upstream.backoff_until = None;
-                // One request tries, as after failures.
+                // One request probes the upstream, as after failures.
                 upstream.failures = upstream.failures.max(FAILURES_MAX);
             }
-            if is_over(aside) {
-                upstream.retry_at = None;
+            if is_over(cooldown) {
+                upstream.cooldown_until = None;
             }
-            if is_over(backoff) || is_over(aside) {
-                self.place(i, before);
+            if is_over(backoff) || is_over(cooldown) {
+                self.update_free_order(i, old_free);
             }
         }
     }
 
-    /// Takes in an upstream's word that it has put a prefix into its cache, or out of it. The word
-    /// may be late or missing: it only moves a preference.
+    /// Records that an upstream stored a prefix in its cache, or evicted it. Such events may be
+    /// late or lost: they only change a preference.
     pub fn record_cache_event(&mut self, name: &UpstreamName, prefix: u64, stored: bool) {
         if stored {
-            self.remember(prefix, name);
-        } else if self.prefixes.get(&prefix) == Some(name) {
-            self.prefixes.remove(&prefix);
+            self.remember_prefix(prefix, name);
+        } else if self.upstream_by_prefix.get(&prefix) == Some(name) {
+            self.upstream_by_prefix.remove(&prefix);
         }
     }
 
@@ -294,60 +299,61 @@
             draining: false,
             leaving: false,
             listed_leaving: false,
-            gone: false,
+            removed: false,
             running: 0,
             peak: Peak::default(),
-            foreign: 0,
+            running_for_others: 0,
             failures: 0,
-            aside: ASIDE_FIRST,
-            retry_at: None,
+            cooldown: COOLDOWN_MIN,
+            cooldown_until: None,
             backoff_until: None,
-            trial: false,
+            probing: false,
         });
         i
     }
 
-    fn cached(&self, prefix: u64) -> Option<usize> {
+    fn cached_upstream(&self, prefix: u64) -> Option<usize> {
         if prefix == 0 {
             return None;
         }
-        let i = *self.index.get(self.prefixes.get(&prefix)?)?;
+        let i = *self.index.get(self.upstream_by_prefix.get(&prefix)?)?;
         (self.all[i].free() != 0).then_some(i)
     }
 
-    fn roomiest(&self, avoid: Option<&UpstreamName>) -> Option<usize> {
+    fn most_free(&self, avoid: Option<&UpstreamName>) -> Option<usize> {
         let all = &self.all;
-        let other = self.free.iter().rev().map(|&(_, i)| i).find(|&i| Some(&all[i].name) != avoid);
-        other.or_else(|| self.free.last().map(|&(_, i)| i))
+        let other =
+            self.by_free_slots.iter().rev().map(|&(_, i)| i).find(|&i| Some(&all[i].name) != avoid);
+        other.or_else(|| self.by_free_slots.last().map(|&(_, i)| i))
     }
 
-    fn occupy(&mut self, i: usize, now: Duration) {
-        let before = self.all[i].free();
+    fn occupy_index(&mut self, i: usize, now: Duration) {
+        let old_free = self.all[i].free();
         let upstream = &mut self.all[i];
         upstream.running += 1;
-        upstream.peak.note(upstream.running, now);
-        upstream.trial = FAILURES_MAX <= upstream.failures;
-        self.place(i, before);
+        upstream.peak.record(upstream.running, now);
+        upstream.probing = FAILURES_MAX <= upstream.failures;
+        self.update_free_order(i, old_free);
     }
 
-    fn place(&mut self, i: usize, before: u32) {
-        self.free.remove(&(before, i));
+    fn update_free_order(&mut self, i: usize, old_free: u32) {
+        self.by_free_slots.remove(&(old_free, i));
         let free = self.all[i].free();
         if free != 0 {
-            self.free.insert((free, i));
+            self.by_free_slots.insert((free, i));
         }
     }
 
-    fn remember(&mut self, prefix: u64, name: &UpstreamName) {
+    fn remember_prefix(&mut self, prefix: u64, name: &UpstreamName) {
         if prefix == 0 {
             return;
         }
-        if self.prefixes.insert(prefix, name.clone()).is_none() {
+        if self.upstream_by_prefix.insert(prefix, name.clone()).is_none() {
             self.prefix_order.push_back(prefix);
         }
         if PREFIXES_MAX < self.prefix_order.len() {
-            let oldest = self.prefix_order.pop_front().expect("just seen to be long");
-            self.prefixes.remove(&oldest);
+            let oldest = self.prefix_order.pop_front().expect("it is longer than PREFIXES_MAX");
+            self.upstream_by_prefix.remove(&oldest);
         }
     }
 }
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -210,7 +210,7 @@
     other.zone = "elsewhere".into();
     other.replica.name = "box-5".into();
     pool.handle_report(&other, NOW, &mut out);
-    assert!(4_000_000 <= pool.ledger().known_time("a"));
+    assert!(4_000_000 <= pool.ledger().known_virtual_time("a"));
 }
 
 /// Found by the property test: the answer to a pull of an earlier start, from a zone that this one
@@ -262,7 +262,7 @@
     pool.handle_report(&new, NOW, &mut out);
     pool.handle_report(&new, NOW, &mut out);
     pool.handle_report(&old, NOW, &mut out);
-    assert_eq!(pool.ledger().known_time("a"), 30_000);
+    assert_eq!(pool.ledger().known_virtual_time("a"), 30_000);
 }
 
 #[test]
