--- a/src/claims/records.rs
+++ b/src/claims/records.rs
@@ -1,21 +1,22 @@
-//! The records of one shard and minute: what their object holds, and what a claim does to it. Pure.
+//! The records of one shard and minute, as an object stores them, and how a claim changes them. No
+//! I/O.
 
 use std::collections::BTreeMap;
 
 use serde::Deserialize;
 use serde::Serialize;
 
+use crate::claims::CLOCK_SKEW_MAX;
 use crate::claims::ClaimOp;
 use crate::claims::ClaimOutcome;
 use crate::claims::ClaimRequest;
-use crate::claims::FALLBACK;
-use crate::claims::SKEW;
-use crate::claims::WINDOW;
+use crate::claims::KEY_AGE_MAX;
+use crate::claims::LOCAL_ATTEMPT_BIT;
 
-/// Records in one object at most, which stays below the platform's megabyte.
+/// Records in one object. Keeps it below the platform's limit of a megabyte.
 pub const RECORDS_MAX: usize = 12_000;
 
-/// What an object holds.
+/// The content of an object.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClaimRecords {
     /// The minute of Unix time in which all these keys were made.
@@ -24,23 +25,24 @@
     pub records: BTreeMap<String, ClaimRecord>,
 }
 
-/// The attempt that has a key: when the key was made, which attempt, whether it was answered.
+/// When the key was made, in seconds of Unix time; the attempt that holds it; whether that attempt
+/// was answered.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClaimRecord(pub u64, pub u64, pub bool);
 
 impl ClaimRecords {
-    /// Does what a claim asks; tells the verdict. `now` is in seconds of Unix time.
+    /// Applies a claim and returns its outcome. `now` is in seconds of Unix time.
     pub fn apply(&mut self, claim: &ClaimRequest, now: u64) -> ClaimOutcome {
         match claim.op {
-            ClaimOp::Acquire => self.take(claim, now),
+            ClaimOp::Acquire => self.acquire(claim, now),
             ClaimOp::MarkRan => {
-                if let Some(record) = self.mine(claim) {
+                if let Some(record) = self.own_record(claim) {
                     record.2 = true;
                 }
                 ClaimOutcome::Ran
             }
             ClaimOp::Release => {
-                if self.mine(claim).is_some() {
+                if self.own_record(claim).is_some() {
                     self.records.remove(&claim.key);
                 }
                 ClaimOutcome::HeldByOther
@@ -48,16 +50,17 @@
         }
     }
 
-    fn take(&mut self, claim: &ClaimRequest, now: u64) -> ClaimOutcome {
-        // What is here is older by the whole ring: every router refuses such keys by now.
+    fn acquire(&mut self, claim: &ClaimRequest, now: u64) -> ClaimOutcome {
+        // The object holds records that are older by the whole ring; every router refuses their
+        // keys by now.
         if self.minute < claim.minute() {
             *self = ClaimRecords { minute: claim.minute(), records: BTreeMap::new() };
         }
         match self.records.get_mut(&claim.key) {
             Some(record) if record.1 == claim.attempt => return ClaimOutcome::Acquired,
-            // The router gave up its first attempt before it heard that it had been written. It
-            // sends nothing under that one any more, so the record can pass to the second.
-            Some(record) if record.1 | FALLBACK == claim.attempt && !record.2 => {
+            // The router gave up its first attempt before it learnt that the claim was written. It
+            // sends nothing under that attempt any more, so the record can pass to the second.
+            Some(record) if record.1 | LOCAL_ATTEMPT_BIT == claim.attempt && !record.2 => {
                 record.1 = claim.attempt;
                 return ClaimOutcome::Acquired;
             }
@@ -65,20 +68,20 @@
             Some(_) => return ClaimOutcome::HeldByOther,
             None => {}
         }
-        // Whoever is slow must not bring a key back whose record may be forgotten.
-        let is_old = claim.made + WINDOW.as_secs() + SKEW.as_secs() < now;
+        // A delayed claim must not bring back a key whose record may be deleted already.
+        let is_old = claim.made_at_s + KEY_AGE_MAX.as_secs() + CLOCK_SKEW_MAX.as_secs() < now;
         if is_old || claim.minute() < self.minute {
             return ClaimOutcome::HeldByOther;
         }
         if RECORDS_MAX <= self.records.len() {
             return ClaimOutcome::Full;
         }
-        let record = ClaimRecord(claim.made, claim.attempt, false);
+        let record = ClaimRecord(claim.made_at_s, claim.attempt, false);
         self.records.insert(claim.key.clone(), record);
         ClaimOutcome::Acquired
     }
 
-    fn mine(&mut self, claim: &ClaimRequest) -> Option<&mut ClaimRecord> {
+    fn own_record(&mut self, claim: &ClaimRequest) -> Option<&mut ClaimRecord> {
         self.records.get_mut(&claim.key).filter(|r| r.1 == claim.attempt)
     }
 }
--- a/src/claims/writer.rs
+++ b/src/claims/writer.rs
@@ -1,4 +1,4 @@
-//! Commits claims to the store, many in one conditional update, on a thread of its own.
+//! Commits claims to the store on a thread of its own, many in one conditional update.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -20,39 +20,39 @@
 use crate::claims::ClaimOutcome;
 use crate::claims::ClaimRequest;
 use crate::claims::records::ClaimRecords;
-use crate::claims::unix;
+use crate::claims::unix_seconds;
 use crate::platform::Error;
 use crate::platform::Objects;
 
-/// Claims that may wait for the writer; more are told that the store can't be reached.
+/// Claims that may wait for the writer; further ones get the outcome that the store can't be
+/// reached.
 const QUEUE_MAX: usize = 8192;
 
-/// Least time between two updates of one process, so that its writes stay flat under load.
-const SPACING: Duration = Duration::from_millis(55);
+/// Shortest time between two updates of one process, which bounds its writes under load.
+const WRITE_INTERVAL_MIN: Duration = Duration::from_millis(55);
 
-/// Tries of one update against others who write the same object.
+/// Attempts of one update when others write the same object.
 const TRIES_MAX: usize = 8;
 
-/// After a failure claims are refused at once, until the store has answered a probe. The first
-/// comes after this long, and so does each that follows a failed one.
-const REST: Duration = Duration::from_secs(1);
+/// Interval of the probes after a failure. Claims are refused at once until one succeeds.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What is read to find out whether the store is back; it need not be there.
-const PROBED: &str = "frostdyke/claims";
+/// The object read by a probe; it need not exist.
+const PROBE_OBJECT: &str = "frostdyke/claims";
 
-/// How long news that nobody waits for may wait for an update that is made anyway.
-const LAZY: Duration = Duration::from_secs(2);
+/// How long updates that nobody waits for may be deferred for another update of their object.
+const DEFERRED_DELAY_MAX: Duration = Duration::from_secs(2);
 
-/// News that nobody waits for and that the store hasn't taken in, at most.
-const LAZY_MAX: usize = 20_000;
+/// Deferred updates kept; further ones are dropped.
+const DEFERRED_UPDATES_MAX: usize = 20_000;
 
-/// One commit in so many goes to an object with overdue news, however many claims wait.
-const GOSSIP_INTERVAL: u64 = 4;
+/// One in this many commits prefers an object with overdue updates, however many claims wait.
+const OVERDUE_SELECTION_INTERVAL: u64 = 4;
 
-/// Called with the verdict on a claim.
-pub type Answer = Box<dyn FnOnce(ClaimOutcome) + Send>;
+/// Called with the outcome of a claim.
+pub type OutcomeCallback = Box<dyn FnOnce(ClaimOutcome) + Send>;
 
-/// The writing side of the claims.
+/// Hands claims to the writer thread.
 pub struct Writer {
     tx: Sender<Pending>,
     writes: Arc<AtomicU64>,
@@ -61,234 +61,237 @@
 
 struct Pending {
     claim: ClaimRequest,
-    answer: Answer,
-    since: Instant,
+    callback: OutcomeCallback,
+    queued_at: Instant,
 }
 
-/// News for one object, and since when there is any.
-struct News {
+/// The deferred updates of one object, and since when there are any.
+struct DeferredUpdates {
     claims: Vec<ClaimRequest>,
-    since: Instant,
+    oldest_at: Instant,
 }
 
-impl Default for News {
-    fn default() -> News {
-        News { claims: Vec::new(), since: Instant::now() }
+impl Default for DeferredUpdates {
+    fn default() -> DeferredUpdates {
+        DeferredUpdates { claims: Vec::new(), oldest_at: Instant::now() }
     }
 }
 
 impl Writer {
-    /// Starts the thread; it ends when the writer is dropped.
+    /// Starts the thread, which ends when the `Writer` is dropped.
     pub fn start(objects: Arc<dyn Objects>) -> Writer {
         let (tx, rx) = channel::bounded(QUEUE_MAX);
         let writes = Arc::new(AtomicU64::new(0));
         let down = Arc::new(AtomicBool::new(false));
-        let job = Job {
+        let worker = WriterThread {
             objects,
             rx,
             writes: writes.clone(),
             down: down.clone(),
-            known: HashMap::new(),
+            cache: HashMap::new(),
             waiting: BTreeMap::new(),
-            lazy: BTreeMap::new(),
-            turns: 0,
-            written: None,
-            failed: None,
+            deferred: BTreeMap::new(),
+            selections: 0,
+            last_write_at: None,
+            last_failure_at: None,
         };
-        thread::spawn(move || job.run());
+        thread::spawn(move || worker.run());
         Writer { tx, writes, down }
     }
 
-    /// Hands a claim over; doesn't block. While the store can't be reached, keys are refused here,
-    /// so that nobody waits for a call to it.
-    pub fn submit(&self, claim: ClaimRequest, answer: Answer) {
+    /// Submits a claim without blocking. While the store can't be reached, keys are refused here,
+    /// so that no request waits for a call to the store.
+    pub fn submit(&self, claim: ClaimRequest, callback: OutcomeCallback) {
         if claim.op == ClaimOp::Acquire && self.is_store_down() {
-            return answer(ClaimOutcome::Unavailable);
+            return callback(ClaimOutcome::Unavailable);
         }
-        if let Err(e) = self.tx.try_send(Pending { claim, answer, since: Instant::now() }) {
-            (e.into_inner().answer)(ClaimOutcome::Unavailable);
+        if let Err(e) = self.tx.try_send(Pending { claim, callback, queued_at: Instant::now() }) {
+            (e.into_inner().callback)(ClaimOutcome::Unavailable);
         }
     }
 
-    /// Conditional updates tried so far.
+    /// Number of conditional updates attempted so far.
     pub fn writes(&self) -> u64 {
         self.writes.load(Ordering::Relaxed)
     }
 
-    /// Whether the store could not be reached when it was last asked.
+    /// Whether the last call to the store failed.
     pub fn is_store_down(&self) -> bool {
         self.down.load(Ordering::Relaxed)
     }
 }
 
-struct Job {
+struct WriterThread {
     objects: Arc<dyn Objects>,
     rx: Receiver<Pending>,
     writes: Arc<AtomicU64>,
     down: Arc<AtomicBool>,
-    /// The objects as last seen, with their versions.
-    known: HashMap<ClaimObject, (u64, ClaimRecords)>,
-    /// Claims that somebody waits for, by their object.
+    /// The objects as last read or written, with their versions.
+    cache: HashMap<ClaimObject, (u64, ClaimRecords)>,
+    /// Claims whose requesters wait, by object.
     waiting: BTreeMap<ClaimObject, Vec<Pending>>,
-    /// News that nobody waits for, by their object.
-    lazy: BTreeMap<ClaimObject, News>,
-    turns: u64,
-    written: Option<Instant>,
-    failed: Option<Instant>,
+    /// Updates that nobody waits for, by object.
+    deferred: BTreeMap<ClaimObject, DeferredUpdates>,
+    selections: u64,
+    last_write_at: Option<Instant>,
+    last_failure_at: Option<Instant>,
 }
 
-impl Job {
+impl WriterThread {
     fn run(mut self) {
-        while self.gather() {
-            if self.failed.is_some() {
+        while self.receive() {
+            if self.last_failure_at.is_some() {
                 let waiting = std::mem::take(&mut self.waiting);
-                waiting.into_values().for_each(refuse);
+                waiting.into_values().for_each(reject);
                 self.probe();
                 continue;
             }
-            self.wait_for_turn();
+            self.wait_write_interval();
             while let Ok(pending) = self.rx.try_recv() {
-                self.sort_in(pending);
+                self.enqueue(pending);
             }
-            if let Some(place) = self.next_place() {
-                let waiting = self.waiting.remove(&place).unwrap_or_default();
-                let news = self.lazy.remove(&place).unwrap_or_default();
-                self.commit(place, waiting, news.claims);
+            if let Some(object) = self.next_object() {
+                let waiting = self.waiting.remove(&object).unwrap_or_default();
+                let deferred = self.deferred.remove(&object).unwrap_or_default();
+                self.commit(object, waiting, deferred.claims);
             }
         }
     }
 
-    /// Waits until there is something to do, or nothing came for a while; false at the end.
-    fn gather(&mut self) -> bool {
+    /// Waits for a claim, until the next probe or deferred update may be due. Returns false when
+    /// the `Writer` was dropped.
+    fn receive(&mut self) -> bool {
         if !self.waiting.is_empty() {
             return true;
         }
-        let wait = if self.failed.is_some() { REST } else { LAZY };
+        let wait = if self.last_failure_at.is_some() { PROBE_INTERVAL } else { DEFERRED_DELAY_MAX };
         match self.rx.recv_timeout(wait) {
-            Ok(pending) => self.sort_in(pending),
+            Ok(pending) => self.enqueue(pending),
             Err(channel::RecvTimeoutError::Timeout) => {}
             Err(channel::RecvTimeoutError::Disconnected) => return false,
         }
         true
     }
 
-    /// Claims are answered; other news goes along with them.
-    fn sort_in(&mut self, pending: Pending) {
-        let Some(place) = ClaimObject::for_request(&pending.claim) else {
-            return (pending.answer)(ClaimOutcome::Unavailable);
+    /// Queues an acquisition for a response; other updates are deferred.
+    fn enqueue(&mut self, pending: Pending) {
+        let Some(object) = ClaimObject::for_request(&pending.claim) else {
+            return (pending.callback)(ClaimOutcome::Unavailable);
         };
         if pending.claim.op == ClaimOp::Acquire {
-            self.waiting.entry(place).or_default().push(pending);
+            self.waiting.entry(object).or_default().push(pending);
         } else {
-            self.put_off(place, pending.claim);
+            self.defer(object, pending.claim);
         }
     }
 
-    /// Keeps news for the next commit of its object.
-    fn put_off(&mut self, place: ClaimObject, claim: ClaimRequest) {
-        let kept: usize = self.lazy.values().map(|news| news.claims.len()).sum();
-        if kept < LAZY_MAX {
-            self.lazy.entry(place).or_default().claims.push(claim);
+    /// Keeps an update for the next commit of its object, unless too many are kept.
+    fn defer(&mut self, object: ClaimObject, claim: ClaimRequest) {
+        let count: usize = self.deferred.values().map(|deferred| deferred.claims.len()).sum();
+        if count < DEFERRED_UPDATES_MAX {
+            self.deferred.entry(object).or_default().claims.push(claim);
         }
     }
 
-    /// The object to write next: the one for which claims have waited longest in sum, so that a full
-    /// one goes first and none waits for ever. Now and then, or when no claims wait, one with news
-    /// that is overdue.
-    fn next_place(&mut self) -> Option<ClaimObject> {
+    /// The object to write next: the one with the greatest total waiting time of its claims, so
+    /// that one with many claims goes first and none waits for ever. On every
+    /// [`OVERDUE_SELECTION_INTERVAL`]th call, or when no claims wait, one with overdue updates.
+    fn next_object(&mut self) -> Option<ClaimObject> {
         let overdue = || {
-            let oldest = self.lazy.iter().min_by_key(|(_, news)| news.since)?;
-            (LAZY <= oldest.1.since.elapsed()).then_some(*oldest.0)
+            let oldest = self.deferred.iter().min_by_key(|(_, deferred)| deferred.oldest_at)?;
+            (DEFERRED_DELAY_MAX <= oldest.1.oldest_at.elapsed()).then_some(*oldest.0)
+        };
+        let waited = |waiting: &[Pending]| -> Duration {
+            waiting.iter().map(|p| p.queued_at.elapsed()).sum()
         };
-        let waited =
-            |waiting: &[Pending]| -> Duration { waiting.iter().map(|p| p.since.elapsed()).sum() };
         let claimed = || {
-            let places = self.waiting.iter();
-            places.max_by_key(|(_, waiting)| waited(waiting)).map(|(place, _)| *place)
+            let objects = self.waiting.iter();
+            objects.max_by_key(|(_, waiting)| waited(waiting)).map(|(object, _)| *object)
         };
-        self.turns += 1;
-        match self.turns.is_multiple_of(GOSSIP_INTERVAL) {
+        self.selections += 1;
+        match self.selections.is_multiple_of(OVERDUE_SELECTION_INTERVAL) {
             true => overdue().or_else(claimed),
             false => claimed().or_else(overdue),
         }
     }
 
-    /// Looks whether the store is back, when it is time to.
+    /// Checks whether the store is reachable again, if a probe is due.
     fn probe(&mut self) {
-        if self.failed.is_some_and(|at| at.elapsed() < REST) {
+        if self.last_failure_at.is_some_and(|at| at.elapsed() < PROBE_INTERVAL) {
             return;
         }
-        let failed = self.objects.get(PROBED).is_err();
-        self.note_store(failed);
+        let failed = self.objects.get(PROBE_OBJECT).is_err();
+        self.set_store_failed(failed);
     }
 
-    fn note_store(&mut self, failed: bool) {
-        self.failed = failed.then(Instant::now);
+    fn set_store_failed(&mut self, failed: bool) {
+        self.last_failure_at = failed.then(Instant::now);
         self.down.store(failed, Ordering::Relaxed);
     }
 
-    fn wait_for_turn(&self) {
-        if let Some(at) = self.written {
-            thread::sleep(SPACING.saturating_sub(at.elapsed()));
+    fn wait_write_interval(&self) {
+        if let Some(at) = self.last_write_at {
+            thread::sleep(WRITE_INTERVAL_MIN.saturating_sub(at.elapsed()));
         }
     }
 
-    /// Commits claims and news of one object, and answers the claims.
-    fn commit(&mut self, place: ClaimObject, pending: Vec<Pending>, news: Vec<ClaimRequest>) {
+    /// Commits claims and deferred updates of one object, and passes the claims' outcomes on.
+    fn commit(&mut self, object: ClaimObject, pending: Vec<Pending>, deferred: Vec<ClaimRequest>) {
         let claims: Vec<ClaimRequest> = pending.iter().map(|p| p.claim.clone()).collect();
-        match self.update(place, &claims, &news) {
-            Ok(verdicts) => {
-                for (pending, verdict) in pending.into_iter().zip(verdicts) {
-                    (pending.answer)(verdict);
+        match self.update(object, &claims, &deferred) {
+            Ok(outcomes) => {
+                for (pending, outcome) in pending.into_iter().zip(outcomes) {
+                    (pending.callback)(outcome);
                 }
             }
             Err(_) => {
-                self.note_store(true);
-                self.known.remove(&place);
-                // The claims may have been written all the same, though nothing will be sent.
+                self.set_store_failed(true);
+                self.cache.remove(&object);
+                // The claims may have been written nevertheless, although no request will be sent.
                 let released =
                     claims.into_iter().map(|c| ClaimRequest { op: ClaimOp::Release, ..c });
-                for claim in released.chain(news) {
-                    self.put_off(place, claim);
+                for claim in released.chain(deferred) {
+                    self.defer(object, claim);
                 }
-                refuse(pending);
+                reject(pending);
             }
         }
     }
 
     fn update(
         &mut self,
-        place: ClaimObject,
+        object: ClaimObject,
         claims: &[ClaimRequest],
-        news: &[ClaimRequest],
+        deferred: &[ClaimRequest],
     ) -> Result<Vec<ClaimOutcome>, Error> {
         for _ in 0..TRIES_MAX {
-            let (version, mut book) = match self.known.remove(&place) {
-                Some(known) => known,
-                None => self.read(place)?,
+            let (version, mut records) = match self.cache.remove(&object) {
+                Some(cached) => cached,
+                None => self.read(object)?,
             };
-            let before = book.clone();
-            let now = unix(SystemTime::now());
-            for claim in news {
-                book.apply(claim, now);
+            let before = records.clone();
+            let now = unix_seconds(SystemTime::now());
+            for claim in deferred {
+                records.apply(claim, now);
             }
-            let verdicts = claims.iter().map(|c| book.apply(c, now)).collect();
-            if book == before {
-                // Only a fresh look tells that nothing has to be written.
-                let (version, fresh) = self.read(place)?;
+            let outcomes = claims.iter().map(|c| records.apply(c, now)).collect();
+            if records == before {
+                // Only a fresh read shows that nothing has to be written.
+                let (version, fresh) = self.read(object)?;
                 let same = fresh == before;
-                self.known.insert(place, (version, fresh));
+                self.cache.insert(object, (version, fresh));
                 if same {
-                    return Ok(verdicts);
+                    return Ok(outcomes);
                 }
                 continue;
             }
-            match self.write(place, &book, version) {
+            match self.write(object, &records, version) {
                 Ok(version) => {
-                    self.known.insert(place, (version, book));
-                    return Ok(verdicts);
+                    self.cache.insert(object, (version, records));
+                    return Ok(outcomes);
                 }
-                // Somebody else has written, or this did and its answer is lost: the records tell.
+                // Another box has written, or this write succeeded and its response is lost: the
+                // records of the next read show which.
                 Err(Error::Conflict { .. } | Error::Unknown(_)) => {}
                 Err(e) => return Err(e),
             }
@@ -296,29 +299,29 @@
         Err(Error::Unavailable("too many conflicts".to_owned()))
     }
 
-    fn read(&self, place: ClaimObject) -> Result<(u64, ClaimRecords), Error> {
-        let Some(object) = self.objects.get(&place.object())? else {
+    fn read(&self, object: ClaimObject) -> Result<(u64, ClaimRecords), Error> {
+        let Some(stored) = self.objects.get(&object.name())? else {
             return Ok((0, ClaimRecords::default()));
         };
-        let book = serde_json::from_slice(&object.value);
-        book.map(|b| (object.version, b)).map_err(|e| Error::Unexpected(e.to_string()))
+        let records = serde_json::from_slice(&stored.value);
+        records.map(|r| (stored.version, r)).map_err(|e| Error::Unexpected(e.to_string()))
     }
 
     fn write(
         &mut self,
-        place: ClaimObject,
-        book: &ClaimRecords,
+        object: ClaimObject,
+        records: &ClaimRecords,
         version: u64,
     ) -> Result<u64, Error> {
         self.writes.fetch_add(1, Ordering::Relaxed);
-        self.written = Some(Instant::now());
-        let value = serde_json::to_vec(book).expect("records serialize");
-        self.objects.put(&place.object(), &value, version)
+        self.last_write_at = Some(Instant::now());
+        let value = serde_json::to_vec(records).expect("records serialize");
+        self.objects.put(&object.name(), &value, version)
     }
 }
 
-fn refuse(pending: Vec<Pending>) {
+fn reject(pending: Vec<Pending>) {
     for p in pending {
-        (p.answer)(ClaimOutcome::Unavailable);
+        (p.callback)(ClaimOutcome::Unavailable);
     }
 }
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -11,6 +11,7 @@
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
 
+use frostdyke::claims::CLOCK_SKEW_MAX;
 use frostdyke::claims::ClaimObject;
 use frostdyke::claims::ClaimOp;
 use frostdyke::claims::ClaimOutcome;
@@ -18,10 +19,9 @@
 use frostdyke::claims::ClaimTransport;
 use frostdyke::claims::Claims;
 use frostdyke::claims::IdempotencyKey;
+use frostdyke::claims::KEY_AGE_MAX;
 use frostdyke::claims::KeyError;
-use frostdyke::claims::RING;
-use frostdyke::claims::SKEW;
-use frostdyke::claims::WINDOW;
+use frostdyke::claims::OBJECTS_PER_SHARD;
 use frostdyke::claims::records::ClaimRecords;
 use frostdyke::claims::records::RECORDS_MAX;
 use frostdyke::names::BoxName;
@@ -113,13 +113,13 @@
     }
 
     fn send(&self, _: &BoxName, claim: ClaimRequest) {
-        let name = ClaimObject::for_request(&claim).expect("it names a key").object();
+        let name = ClaimObject::for_request(&claim).expect("it names a key").name();
         let object = self.store.get(&name).expect("the store is well");
-        let mut book = object.as_ref().map_or_else(ClaimRecords::default, |o| {
-            serde_json::from_slice(&o.value).expect("a book")
+        let mut records = object.as_ref().map_or_else(ClaimRecords::default, |o| {
+            serde_json::from_slice(&o.value).expect("it holds records")
         });
-        book.apply(&claim, claim.made);
-        let value = serde_json::to_vec(&book).expect("it serializes");
+        records.apply(&claim, claim.made_at_s);
+        let value = serde_json::to_vec(&records).expect("it serializes");
         let version = object.map_or(0, |o| o.version);
         // Once others write, too, a conflict is as good as a lost message.
         let _ = self.store.put(&name, &value, version);
@@ -169,7 +169,7 @@
     for (k, result) in tasks.join_all().await {
         match result {
             Ok(_) => taken[k] += 1,
-            Err(verdict) => assert_eq!(verdict, ClaimOutcome::HeldByOther),
+            Err(outcome) => assert_eq!(outcome, ClaimOutcome::HeldByOther),
         }
     }
     assert_eq!(taken, vec![1; keys.len()]);
@@ -182,8 +182,8 @@
 async fn a_claim_whose_answer_is_late_still_belongs_to_who_asked() {
     let store = Arc::new(Store::default());
     // The release that is sent after the wait is lost, as the answer is.
-    let courier = LosesReleases(Unanswered { store: store.clone() });
-    let asks = Claims::new(store.clone(), Box::new(courier));
+    let transport = LosesReleases(Unanswered { store: store.clone() });
+    let asks = Claims::new(store.clone(), Box::new(transport));
     let others = claims(&store);
     let key = key(&new_key());
     let taken = asks.acquire(key, 7).await;
@@ -195,8 +195,8 @@
 #[tokio::test(start_paused = true)]
 async fn a_late_release_frees_nothing_that_was_claimed_again() {
     let store = Arc::new(Store::default());
-    let courier = LosesReleases(Unanswered { store: store.clone() });
-    let asks = Claims::new(store.clone(), Box::new(courier));
+    let transport = LosesReleases(Unanswered { store: store.clone() });
+    let asks = Claims::new(store.clone(), Box::new(transport));
     let key = key(&new_key());
     assert!(asks.acquire(key, 7).await.is_ok());
     let late = Claims::new(store.clone(), Box::new(Unanswered { store: store.clone() }));
@@ -233,15 +233,15 @@
     assert_eq!(IdempotencyKey::new("a", &v4, now), Err(KeyError::NotUuidV7));
     assert_eq!(IdempotencyKey::new("a", "theft-alarm-7", now), Err(KeyError::NotUuidV7));
     let key = new_key();
-    let later = now + WINDOW + Duration::from_secs(2);
+    let later = now + KEY_AGE_MAX + Duration::from_secs(2);
     assert_eq!(IdempotencyKey::new("a", &key, later), Err(KeyError::TooOld));
-    let earlier = now - SKEW - Duration::from_secs(2);
+    let earlier = now - CLOCK_SKEW_MAX - Duration::from_secs(2);
     assert_eq!(IdempotencyKey::new("a", &key, earlier), Err(KeyError::MadeInFuture));
     assert_ne!(IdempotencyKey::new("a", &key, now), IdempotencyKey::new("b", &key, now));
 }
 
 fn claim(attempt: u64, op: ClaimOp, made: u64) -> ClaimRequest {
-    ClaimRequest { key: "abc".to_owned(), made, attempt, op }
+    ClaimRequest { key: "abc".to_owned(), made_at_s: made, attempt, op }
 }
 
 /// A record is forgotten only when every router, whatever its clock within the skew, would refuse
@@ -249,60 +249,68 @@
 #[test]
 fn a_record_outlives_its_key() {
     let made = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_secs();
-    let mut book = ClaimRecords::default();
-    assert_eq!(book.apply(&claim(1, ClaimOp::Acquire, made), made), ClaimOutcome::Acquired);
-    let refused = made + WINDOW.as_secs() + SKEW.as_secs();
-    assert_eq!(book.apply(&claim(2, ClaimOp::Acquire, made), refused), ClaimOutcome::HeldByOther);
+    let mut records = ClaimRecords::default();
+    assert_eq!(records.apply(&claim(1, ClaimOp::Acquire, made), made), ClaimOutcome::Acquired);
+    let refused = made + KEY_AGE_MAX.as_secs() + CLOCK_SKEW_MAX.as_secs();
+    assert_eq!(
+        records.apply(&claim(2, ClaimOp::Acquire, made), refused),
+        ClaimOutcome::HeldByOther
+    );
     // The next keys in the same object, of a caller whose clock is ahead of the oldest router's
     // by all that is allowed, come when the key is refused everywhere.
     let minute = made / 60;
-    let next =
-        ClaimRequest { key: "def".to_owned(), ..claim(3, ClaimOp::Acquire, (minute + RING) * 60) };
-    let earliest = next.made - SKEW.as_secs();
-    assert!(refused + SKEW.as_secs() < earliest);
-    let again = ClaimRequest { made: next.made, ..claim(3, ClaimOp::Acquire, 0) };
+    let next = ClaimRequest {
+        key: "def".to_owned(),
+        ..claim(3, ClaimOp::Acquire, (minute + OBJECTS_PER_SHARD) * 60)
+    };
+    let earliest = next.made_at_s - CLOCK_SKEW_MAX.as_secs();
+    assert!(refused + CLOCK_SKEW_MAX.as_secs() < earliest);
+    let again = ClaimRequest { made_at_s: next.made_at_s, ..claim(3, ClaimOp::Acquire, 0) };
     assert_eq!(
         ClaimObject::for_request(&again),
         ClaimObject::for_request(&claim(1, ClaimOp::Acquire, made)),
         "the ring has come round"
     );
-    assert_eq!(book.apply(&next, earliest), ClaimOutcome::Acquired);
-    assert_eq!(book.records.len(), 1, "the old one is forgotten");
+    assert_eq!(records.apply(&next, earliest), ClaimOutcome::Acquired);
+    assert_eq!(records.records.len(), 1, "the old one is forgotten");
     // Nobody can bring it back, either, nor what is here now: not even with a clock that stands.
-    assert_eq!(book.apply(&claim(4, ClaimOp::Acquire, made), earliest), ClaimOutcome::HeldByOther);
-    assert_eq!(book.apply(&claim(5, ClaimOp::Acquire, made), made), ClaimOutcome::HeldByOther);
-    assert_eq!(book.records.len(), 1);
+    assert_eq!(
+        records.apply(&claim(4, ClaimOp::Acquire, made), earliest),
+        ClaimOutcome::HeldByOther
+    );
+    assert_eq!(records.apply(&claim(5, ClaimOp::Acquire, made), made), ClaimOutcome::HeldByOther);
+    assert_eq!(records.records.len(), 1);
 }
 
 #[test]
 fn only_the_attempt_that_has_a_key_can_release_it() {
-    let mut book = ClaimRecords::default();
-    assert_eq!(book.apply(&claim(1, ClaimOp::Acquire, 100), 100), ClaimOutcome::Acquired);
-    book.apply(&claim(2, ClaimOp::Release, 100), 100);
-    assert_eq!(book.apply(&claim(2, ClaimOp::Acquire, 100), 100), ClaimOutcome::HeldByOther);
+    let mut records = ClaimRecords::default();
+    assert_eq!(records.apply(&claim(1, ClaimOp::Acquire, 100), 100), ClaimOutcome::Acquired);
+    records.apply(&claim(2, ClaimOp::Release, 100), 100);
+    assert_eq!(records.apply(&claim(2, ClaimOp::Acquire, 100), 100), ClaimOutcome::HeldByOther);
     assert_eq!(
-        book.apply(&claim(1, ClaimOp::Acquire, 100), 100),
+        records.apply(&claim(1, ClaimOp::Acquire, 100), 100),
         ClaimOutcome::Acquired,
         "told again"
     );
-    book.apply(&claim(1, ClaimOp::Release, 100), 100);
-    assert_eq!(book.apply(&claim(2, ClaimOp::Acquire, 100), 100), ClaimOutcome::Acquired);
+    records.apply(&claim(1, ClaimOp::Release, 100), 100);
+    assert_eq!(records.apply(&claim(2, ClaimOp::Acquire, 100), 100), ClaimOutcome::Acquired);
 }
 
 #[test]
 fn a_full_shard_stays_below_a_megabyte() {
-    let mut book = ClaimRecords::default();
+    let mut records = ClaimRecords::default();
     let now = 1_790_000_000;
     let filler = |n: usize| ClaimRequest {
         key: format!("{:032x}", u128::MAX - n as u128),
-        made: now,
+        made_at_s: now,
         attempt: u64::MAX - n as u64,
         op: ClaimOp::Acquire,
     };
     for n in 0..RECORDS_MAX {
-        assert_eq!(book.apply(&filler(n), now), ClaimOutcome::Acquired);
+        assert_eq!(records.apply(&filler(n), now), ClaimOutcome::Acquired);
     }
-    assert_eq!(book.apply(&filler(RECORDS_MAX), now), ClaimOutcome::Full);
-    let size = serde_json::to_vec(&book).expect("it serializes").len();
+    assert_eq!(records.apply(&filler(RECORDS_MAX), now), ClaimOutcome::Full);
+    let size = serde_json::to_vec(&records).expect("it serializes").len();
     assert!(size < 1 << 20, "it has {size} bytes");
 }
