--- a/src/peer/connection.rs
+++ b/src/peer/connection.rs
@@ -1,8 +1,9 @@
 //! Persistent connections to other routers, one per box, by `jsonrpsee` over WebSocket.
 //!
-//! What comes up while a call is being made goes together in the next one. The answer to a call
-//! carries what the other side has for this one. A call that registers a ticket is answered when
-//! there is something to say, so the grant of a ticket that waits needs no call of its own.
+//! Messages that arise during a call are batched into the next one. The response to a call carries
+//! the messages that the other side has for this one. The response to a call that registers a
+//! ticket is held back until there are some, so the grant of a waiting ticket needs no call of its
+//! own.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -28,65 +29,64 @@
 use crate::names::BoxName;
 use crate::peer::message::Envelope;
 use crate::peer::message::Message;
-use crate::peer::traffic::Counted;
+use crate::peer::traffic::CountedStream;
 use crate::peer::traffic::Traffic;
 
-/// The one method that routers call on each other.
-pub const METHOD: &str = "p";
+/// The RPC method that carries messages.
+pub const MESSAGES_METHOD: &str = "p";
 
-/// Messages that may wait for one peer; more are dropped.
+/// Messages that may wait for one peer; further ones are dropped.
 const QUEUE_MAX: usize = 16_384;
 
-/// Messages that go in one call.
+/// Messages in one call.
 const BATCH_MAX: usize = 256;
 
-/// Calls under way at once on one link.
+/// Concurrent calls on one connection.
 const CALLS_MAX: usize = 64;
 
-/// How long connecting may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long a call may take.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long a link that failed rests. What comes up meanwhile is dropped: it would be stale.
-const REST: Duration = Duration::from_millis(200);
+/// Pause of a connection after a failure. Messages that arise meanwhile are dropped, since they
+/// would be stale.
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
 
-/// What the links tell the rest of the process.
+/// Handles the events of connections.
 pub trait ConnectionHandler: Send + Sync + 'static {
-    /// Messages came from a box.
+    /// Messages arrived from a box.
     fn receive(&self, from: &BoxName, messages: Vec<Message>);
 
-    /// A box refuses connections.
+    /// A box refused a connection.
     fn unreachable(&self, name: &BoxName);
 
-    /// These messages to a box were likely lost.
+    /// These messages to a box were probably lost.
     fn messages_lost(&self, name: &BoxName, messages: Vec<Message>);
 
-    /// Where a box's peer port is.
+    /// The address of a box's peer port.
     fn address(&self, name: &BoxName) -> Option<SocketAddr>;
 }
 
-/// Why a peer couldn't be told something.
+/// Why messages couldn't be sent to a peer.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// Neither the box list nor the settings name the box.
-    #[error("no address is known")]
+    #[error("no address is known for the box")]
     NoAddress,
-    /// Nothing listens there.
-    #[error("connecting: {0}")]
+    /// The connection was not established.
+    #[error("connecting failed: {0}")]
     Connect(std::io::Error),
-    /// It took too long.
-    #[error("too slow")]
+    /// Connecting or the call took too long.
+    #[error("timed out")]
     Timeout,
     /// The call failed.
-    #[error("calling: {0}")]
+    #[error("call failed: {0}")]
     Call(#[from] jsonrpsee::core::ClientError),
 }
 
-/// The links of one router to all others.
+/// The connections of one router to all others.
 pub struct PeerConnections {
-    me: BoxName,
+    own_name: BoxName,
     secret: Secret,
     traffic: Arc<Traffic>,
     runtime: Handle,
@@ -94,14 +94,14 @@
 }
 
 impl PeerConnections {
-    /// No links yet; they are made when something is sent, by any thread.
+    /// No connections yet. Any thread may open one by sending a message.
     ///
     /// # Panics
     ///
-    /// Outside of a runtime.
-    pub fn new(me: &BoxName, secret: &Secret, traffic: &Arc<Traffic>) -> PeerConnections {
+    /// Panics outside of a Tokio runtime.
+    pub fn new(own_name: &BoxName, secret: &Secret, traffic: &Arc<Traffic>) -> PeerConnections {
         PeerConnections {
-            me: me.clone(),
+            own_name: own_name.clone(),
             secret: secret.clone(),
             traffic: traffic.clone(),
             runtime: Handle::current(),
@@ -109,32 +109,32 @@
         }
     }
 
-    /// Sends a message soon, or drops it when too many wait. Doesn't block. `inbox` hears what
-    /// comes back.
-    pub fn send(&self, to: &BoxName, message: Message, inbox: &Arc<dyn ConnectionHandler>) {
+    /// Queues a message without blocking, or drops it when too many wait. Responses are passed to
+    /// `handler`.
+    pub fn send(&self, to: &BoxName, message: Message, handler: &Arc<dyn ConnectionHandler>) {
         let mut queues = self.queues.lock().expect("no panic under lock");
-        let queue = queues.entry(to.clone()).or_insert_with(|| self.open(to, inbox));
+        let queue = queues.entry(to.clone()).or_insert_with(|| self.open(to, handler));
         if queue.try_send(message).is_err() {
             self.traffic.messages_lost.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    fn open(&self, to: &BoxName, inbox: &Arc<dyn ConnectionHandler>) -> mpsc::Sender<Message> {
+    fn open(&self, to: &BoxName, handler: &Arc<dyn ConnectionHandler>) -> mpsc::Sender<Message> {
         let (tx, rx) = mpsc::channel(QUEUE_MAX);
-        let link = PeerConnection {
-            me: self.me.clone(),
+        let connection = PeerConnection {
+            own_name: self.own_name.clone(),
             peer: to.clone(),
             secret: self.secret.clone(),
             traffic: self.traffic.clone(),
-            inbox: inbox.clone(),
+            handler: handler.clone(),
             client: None,
         };
-        self.runtime.spawn(link.run(rx));
+        self.runtime.spawn(connection.run(rx));
         tx
     }
 }
 
-/// Connects to a router's port for peers.
+/// Connects to a router's peer port.
 pub async fn connect(
     addr: SocketAddr,
     secret: &Secret,
@@ -152,30 +152,30 @@
     let client = WsClientBuilder::default()
         .set_headers(headers)
         .request_timeout(CALL_TIMEOUT)
-        .build_with_stream(format!("ws://{addr}"), Counted::new(stream, traffic));
+        .build_with_stream(format!("ws://{addr}"), CountedStream::new(stream, traffic));
     Ok(timeout(CONNECT_TIMEOUT, client).await.map_err(|_| Error::Timeout)??)
 }
 
-/// The link to one peer.
+/// The connection to one peer.
 struct PeerConnection {
-    me: BoxName,
+    own_name: BoxName,
     peer: BoxName,
     secret: Secret,
     traffic: Arc<Traffic>,
-    inbox: Arc<dyn ConnectionHandler>,
+    handler: Arc<dyn ConnectionHandler>,
     client: Option<(SocketAddr, Arc<WsClient>)>,
 }
 
 impl PeerConnection {
     async fn run(mut self, mut rx: mpsc::Receiver<Message>) {
         let calls = Arc::new(Semaphore::new(CALLS_MAX));
-        let (failed, mut failures) = mpsc::channel::<Error>(CALLS_MAX);
+        let (failures_tx, mut failures) = mpsc::channel::<Error>(CALLS_MAX);
         let mut messages = Vec::new();
         loop {
             tokio::select! {
                 biased;
                 Some(e) = failures.recv() => {
-                    self.rest(&e, &mut rx).await;
+                    self.back_off(&e, &mut rx).await;
                     while failures.try_recv().is_ok() {}
                 }
                 n = rx.recv_many(&mut messages, BATCH_MAX) => {
@@ -184,57 +184,57 @@
                     }
                     let batch = std::mem::take(&mut messages);
                     let permit = calls.clone().acquire_owned().await.expect("never closed");
-                    self.tell(batch, permit, &failed).await;
+                    self.send_batch(batch, permit, &failures_tx).await;
                 }
             }
         }
     }
 
-    /// Sends a batch; its answer is awaited aside.
-    async fn tell(
+    /// Sends a batch and awaits the response in a task of its own.
+    async fn send_batch(
         &mut self,
         messages: Vec<Message>,
         permit: OwnedSemaphorePermit,
-        failed: &mpsc::Sender<Error>,
+        failures_tx: &mpsc::Sender<Error>,
     ) {
         let count = messages.len() as u64;
         let client = match self.client().await {
             Ok(client) => client,
             Err(e) => {
                 self.traffic.messages_lost.fetch_add(count, Ordering::Relaxed);
-                self.inbox.messages_lost(&self.peer, messages);
-                // There is room: one failure at a time is reported from here.
-                let _ = failed.try_send(e);
+                self.handler.messages_lost(&self.peer, messages);
+                // The channel has room, because only one failure at a time is reported from here.
+                let _ = failures_tx.try_send(e);
                 return;
             }
         };
-        let envelope = Envelope(self.me.clone(), messages);
-        let (inbox, traffic) = (self.inbox.clone(), self.traffic.clone());
-        let (peer, failed) = (self.peer.clone(), failed.clone());
+        let envelope = Envelope(self.own_name.clone(), messages);
+        let (handler, traffic) = (self.handler.clone(), self.traffic.clone());
+        let (peer, failures_tx) = (self.peer.clone(), failures_tx.clone());
         tokio::spawn(async move {
-            let answer = call(&client, &envelope).await;
+            let response = call(&client, &envelope).await;
             drop(permit);
-            match answer {
-                Ok(answer) => {
+            match response {
+                Ok(response) => {
                     traffic.messages_out.fetch_add(count, Ordering::Relaxed);
-                    if !answer.is_empty() {
-                        inbox.receive(&peer, answer);
+                    if !response.is_empty() {
+                        handler.receive(&peer, response);
                     }
                 }
                 Err(e) => {
                     traffic.messages_lost.fetch_add(count, Ordering::Relaxed);
-                    inbox.messages_lost(&peer, envelope.1);
-                    // When more fail than fit, the link rests all the same.
-                    let _ = failed.try_send(e);
+                    handler.messages_lost(&peer, envelope.1);
+                    // The connection backs off even if there is no room for this failure.
+                    let _ = failures_tx.try_send(e);
                 }
             }
         });
     }
 
     async fn client(&mut self) -> Result<Arc<WsClient>, Error> {
-        let addr = self.inbox.address(&self.peer).ok_or(Error::NoAddress)?;
-        if let Some((known, client)) = &self.client
-            && *known == addr
+        let addr = self.handler.address(&self.peer).ok_or(Error::NoAddress)?;
+        if let Some((connected_addr, client)) = &self.client
+            && *connected_addr == addr
             && client.is_connected()
         {
             return Ok(client.clone());
@@ -244,22 +244,22 @@
         Ok(client)
     }
 
-    async fn rest(&mut self, error: &Error, rx: &mut mpsc::Receiver<Message>) {
+    async fn back_off(&mut self, error: &Error, rx: &mut mpsc::Receiver<Message>) {
         self.client = None;
         if matches!(error, Error::Connect(_)) {
-            self.inbox.unreachable(&self.peer);
+            self.handler.unreachable(&self.peer);
         }
-        tokio::time::sleep(REST).await;
+        tokio::time::sleep(RECONNECT_DELAY).await;
         let mut stale = Vec::new();
         while let Ok(message) = rx.try_recv() {
             stale.push(message);
         }
         self.traffic.messages_lost.fetch_add(stale.len() as u64, Ordering::Relaxed);
-        self.inbox.messages_lost(&self.peer, stale);
+        self.handler.messages_lost(&self.peer, stale);
     }
 }
 
 async fn call(client: &WsClient, envelope: &Envelope) -> Result<Vec<Message>, Error> {
-    let calling = client.request(METHOD, rpc_params![envelope]);
+    let calling = client.request(MESSAGES_METHOD, rpc_params![envelope]);
     Ok(timeout(CALL_TIMEOUT, calling).await.map_err(|_| Error::Timeout)??)
 }
--- a/src/peer/member.rs
+++ b/src/peer/member.rs
@@ -1,10 +1,10 @@
-//! Which boxes of a fleet are alive, as one box sees it.
+//! Membership: which boxes of the fleet are alive, as one box sees it.
 //!
-//! Inside an availability zone the boxes gossip: each keeps a table with a counter per box, raises
-//! its own and sends the table to a few others at every heartbeat. Gossip takes its time: a box whose
-//! counter hasn't risen for a while is probed directly, and if that is left unanswered, suspected: it gets no role, but is still told things, until the box list drops
-//! it. What costs traffic is the zone's size, not the fleet's; of other zones only the box list is
-//! known.
+//! The boxes of an availability zone gossip: each keeps a table of heartbeat counters, raises its
+//! own and sends the table to a few others at every heartbeat. Since gossip is slow, a box whose
+//! counter hasn't risen for a while is probed directly, and suspected if it doesn't answer. A
+//! suspected box gets no roles, but is still sent messages until the box list drops it. Traffic
+//! grows with the size of the zone, not of the fleet: of other zones only the box list is known.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,19 +21,19 @@
 use crate::peer::message::HeartbeatEntry;
 use crate::util;
 
-/// A box counts as departed after this many times the silence that makes it suspected.
-const DEPARTED_FACTOR: u32 = 3;
+/// A box counts as dead after this many times [`GossipSettings::suspect_after`] without a
+/// heartbeat.
+const DEAD_FACTOR: u32 = 3;
 
-/// How membership behaves; the benches vary it.
+/// Parameters of the membership protocol; the benches vary them.
 #[derive(Clone, Copy, Debug)]
 pub struct GossipSettings {
-    /// Time between heartbeats.
     pub interval: Duration,
-    /// Boxes told at each heartbeat.
+    /// Boxes that each heartbeat is sent to.
     pub fanout: usize,
-    /// Silence after which a box is probed.
+    /// Time without a heartbeat after which a box is probed.
     pub probe_after: Duration,
-    /// Silence after which a box is suspected.
+    /// Time without a heartbeat after which a box is suspected.
     pub suspect_after: Duration,
 }
 
@@ -51,13 +51,11 @@
 /// A box as the platform's box list or the settings name it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedBox {
-    /// Unique name.
     pub name: BoxName,
-    /// Its availability zone.
     pub zone: ZoneName,
-    /// Where its peers reach it.
+    /// Its peer port.
     pub peer: SocketAddr,
-    /// Whether it is about to go.
+    /// Whether it is shutting down.
     #[serde(default)]
     pub leaving: bool,
 }
@@ -65,85 +63,102 @@
 /// What one box knows of the others.
 #[derive(Debug)]
 pub struct Members {
-    me: BoxName,
+    own_name: BoxName,
     zone: ZoneName,
-    gossip: GossipSettings,
+    settings: GossipSettings,
     listed: BTreeMap<BoxName, ListedBox>,
-    heard: BTreeMap<BoxName, Heard>,
-    own: HeartbeatEntry,
-    next: Duration,
+    states: BTreeMap<BoxName, MemberState>,
+    own_heartbeat: HeartbeatEntry,
+    next_heartbeat_at: Duration,
 }
 
 #[derive(Debug)]
-struct Heard {
-    beat: HeartbeatEntry,
-    at: Duration,
-    /// Whether it was asked for a sign of life since.
+struct MemberState {
+    heartbeat: HeartbeatEntry,
+    received_at: Duration,
+    /// Whether a probe was sent since the last heartbeat.
     probed: bool,
-    failed: bool,
-    departed: bool,
+    unreachable: bool,
+    reported_dead: bool,
 }
 
-impl Heard {
-    fn new(beat: &HeartbeatEntry, now: Duration) -> Heard {
-        let beat = beat.clone();
-        Heard { beat, at: now, probed: false, failed: false, departed: false }
+impl MemberState {
+    fn new(heartbeat: &HeartbeatEntry, now: Duration) -> MemberState {
+        let heartbeat = heartbeat.clone();
+        MemberState {
+            heartbeat,
+            received_at: now,
+            probed: false,
+            unreachable: false,
+            reported_dead: false,
+        }
     }
 }
 
 impl Members {
-    /// Knows only the own box.
-    pub fn new(me: &BoxName, zone: &ZoneName, incarnation: u64, gossip: GossipSettings) -> Members {
+    /// A table that contains only the own box.
+    pub fn new(
+        own_name: &BoxName,
+        zone: &ZoneName,
+        incarnation: u64,
+        settings: GossipSettings,
+    ) -> Members {
         Members {
-            me: me.clone(),
+            own_name: own_name.clone(),
             zone: zone.clone(),
-            gossip,
+            settings,
             listed: BTreeMap::new(),
-            heard: BTreeMap::new(),
-            own: HeartbeatEntry { name: me.clone(), incarnation, counter: 0, leaving: false },
-            next: Duration::ZERO,
+            states: BTreeMap::new(),
+            own_heartbeat: HeartbeatEntry {
+                name: own_name.clone(),
+                incarnation,
+                counter: 0,
+                leaving: false,
+            },
+            next_heartbeat_at: Duration::ZERO,
         }
     }
 
-    /// Takes over a newer box list. Boxes that are gone from it are forgotten unless they still
-    /// give signs of life: the list lags.
+    /// Applies a newer box list. Boxes that it drops are forgotten unless they are alive, because
+    /// the list lags.
     pub fn update_box_list(&mut self, boxes: &[ListedBox], now: Duration) {
         let alive: Vec<BoxName> = self.live(now).cloned().collect();
         let fresh: BTreeMap<_, _> = boxes.iter().map(|b| (b.name.clone(), b.clone())).collect();
-        // A list that doesn't name this box is older than this box: it only adds.
-        if fresh.contains_key(&self.me) {
+        // A list without this box is older than this box, so it may only add.
+        if fresh.contains_key(&self.own_name) {
             self.listed.retain(|name, _| alive.contains(name));
         }
         self.listed.extend(fresh);
         let listed = &self.listed;
-        self.heard.retain(|name, _| listed.contains_key(name));
+        self.states.retain(|name, _| listed.contains_key(name));
     }
 
-    /// Where a box's peer port is.
+    /// The address of a box's peer port.
     pub fn address(&self, name: &str) -> Option<SocketAddr> {
         self.listed.get(name).map(|b| b.peer)
     }
 
-    /// The own box and those of its zone that gave a sign of life lately and stay.
+    /// The own box and those of its zone with a recent heartbeat, except leaving ones.
     pub fn live(&self, now: Duration) -> impl Iterator<Item = &BoxName> {
-        let heard = self.heard.iter().filter(move |(_, h)| self.is_live(h, now));
-        let me = (!self.own.leaving).then_some(&self.me);
-        me.into_iter().chain(heard.map(|(name, _)| name))
+        let others = self.states.iter().filter(move |(_, state)| self.is_live(state, now));
+        let own = (!self.own_heartbeat.leaving).then_some(&self.own_name);
+        own.into_iter().chain(others.map(|(name, _)| name))
     }
 
-    /// The box of the own zone that has the role `key`. A box that leaves gives its roles up, but
-    /// the last one alive keeps them.
+    /// The box of the own zone that has the role `key`. A leaving box gives its roles up, unless it
+    /// is the last one alive.
     pub fn owner(&self, key: &str, now: Duration) -> &BoxName {
-        util::rendezvous(key, self.live(now)).unwrap_or(&self.me)
+        util::rendezvous(key, self.live(now)).unwrap_or(&self.own_name)
     }
 
-    /// The box that would have the role `key` if its owner were gone.
+    /// The box that would take the role `key` over from its owner.
     pub fn standby(&self, key: &str, now: Duration) -> Option<&BoxName> {
         let owner = self.owner(key, now);
         util::rendezvous(key, self.live(now).filter(|name| *name != owner))
     }
 
-    /// For each other zone, the box that likely has the role `key` there, by the box list alone.
+    /// For each other zone, the box that probably has the role `key` there, judged by the box list
+    /// alone.
     pub fn owners_in_other_zones(&self, key: &str) -> Vec<(ZoneName, BoxName)> {
         let mut zones: BTreeMap<&ZoneName, Vec<&BoxName>> = BTreeMap::new();
         for listed in self.listed.values().filter(|b| b.zone != self.zone && !b.leaving) {
@@ -156,119 +171,122 @@
         zones.into_iter().filter_map(guess).collect()
     }
 
-    /// The signs of life to send now, and to whom. Empty between heartbeats.
+    /// The heartbeat to send now and its receivers; `None` between heartbeats.
     pub fn next_heartbeat(
         &mut self,
         now: Duration,
         rng: &mut SmallRng,
     ) -> Option<(Vec<HeartbeatEntry>, Vec<BoxName>)> {
-        if now < self.next {
+        if now < self.next_heartbeat_at {
             return None;
         }
-        // Some jitter keeps the boxes of a zone from beating in step.
-        let jitter = rng.random_range(0..=self.gossip.interval.as_millis() as u64 / 10);
-        self.next = now + self.gossip.interval + Duration::from_millis(jitter);
-        self.own.counter += 1;
-        // The first one goes to all, so that a box that comes back gets its roles at once.
-        let fanout = if self.own.counter == 1 { usize::MAX } else { self.gossip.fanout };
+        // Jitter prevents that the boxes of a zone send in step.
+        let jitter = rng.random_range(0..=self.settings.interval.as_millis() as u64 / 10);
+        self.next_heartbeat_at = now + self.settings.interval + Duration::from_millis(jitter);
+        self.own_heartbeat.counter += 1;
+        // The first one goes to all, so that a restarted box gets its roles at once.
+        let fanout =
+            if self.own_heartbeat.counter == 1 { usize::MAX } else { self.settings.fanout };
         let fanout = fanout.min(self.listed.len());
         let to = self.zone_peers().choose_multiple(rng, fanout);
-        Some((self.table(now), to))
+        Some((self.heartbeat_entries(now), to))
     }
 
-    /// Boxes that haven't been heard for so long that they are to be asked now, each once per
-    /// silence.
+    /// The boxes to probe now: those without a recent heartbeat, each once until its next
+    /// heartbeat.
     pub fn take_due_probes(&mut self, now: Duration) -> Vec<BoxName> {
         let mut names = Vec::new();
-        for (name, heard) in &mut self.heard {
-            let silent = heard.at + self.gossip.probe_after <= now;
-            if silent && !heard.probed && !heard.failed && !heard.beat.leaving {
-                heard.probed = true;
+        for (name, state) in &mut self.states {
+            let is_due = state.received_at + self.settings.probe_after <= now;
+            if is_due && !state.probed && !state.unreachable && !state.heartbeat.leaving {
+                state.probed = true;
                 names.push(name.clone());
             }
         }
         names
     }
 
-    /// The own sign of life, for whoever asks.
     pub fn own_heartbeat(&self) -> &HeartbeatEntry {
-        &self.own
+        &self.own_heartbeat
     }
 
-    /// Tells everybody in the zone that this box is about to stop.
+    /// Marks this box as leaving. Returns the heartbeat that announces it, and its receivers.
     pub fn leave(&mut self, now: Duration) -> (Vec<HeartbeatEntry>, Vec<BoxName>) {
-        self.own.leaving = true;
-        self.own.counter += 1;
-        (self.table(now), self.zone_peers().collect())
+        self.own_heartbeat.leaving = true;
+        self.own_heartbeat.counter += 1;
+        (self.heartbeat_entries(now), self.zone_peers().collect())
     }
 
-    /// Whether this box has said that it is about to stop.
+    /// Whether this box has announced that it is leaving.
     pub fn is_leaving(&self) -> bool {
-        self.own.leaving
+        self.own_heartbeat.leaving
     }
 
-    /// Takes in signs of life. Older ones than known change nothing.
-    pub fn receive(&mut self, table: &[HeartbeatEntry], now: Duration) {
-        for beat in table.iter().filter(|b| b.name != self.me) {
-            let fresher = self.heard.get(&beat.name).is_none_or(|known| {
-                (known.beat.incarnation, known.beat.counter) < (beat.incarnation, beat.counter)
+    /// Merges heartbeats. Those older than the known ones change nothing.
+    pub fn receive(&mut self, entries: &[HeartbeatEntry], now: Duration) {
+        for entry in entries.iter().filter(|e| e.name != self.own_name) {
+            let is_newer = self.states.get(&entry.name).is_none_or(|known| {
+                (known.heartbeat.incarnation, known.heartbeat.counter)
+                    < (entry.incarnation, entry.counter)
             });
-            if fresher {
-                self.heard.insert(beat.name.clone(), Heard::new(beat, now));
+            if is_newer {
+                self.states.insert(entry.name.clone(), MemberState::new(entry, now));
             }
         }
     }
 
-    /// Notes that a box refuses connections: it is suspected until its next sign of life.
+    /// Marks a box that refuses connections as suspected until its next heartbeat.
     pub fn mark_unreachable(&mut self, name: &str) {
-        if let Some(heard) = self.heard.get_mut(name) {
-            heard.failed = true;
+        if let Some(state) = self.states.get_mut(name) {
+            state.unreachable = true;
         }
     }
 
-    /// Any box of another zone.
+    /// A random box of another zone.
     pub fn random_box_in_other_zone(&self, rng: &mut SmallRng) -> Option<BoxName> {
-        let abroad = |b: &&ListedBox| b.zone != self.zone && !b.leaving;
-        self.listed.values().filter(abroad).choose(rng).map(|b| b.name.clone())
+        let is_elsewhere = |b: &&ListedBox| b.zone != self.zone && !b.leaving;
+        self.listed.values().filter(is_elsewhere).choose(rng).map(|b| b.name.clone())
     }
 
-    /// Boxes that have been silent for so long that what they held counts as lost. Each is told
-    /// once per silence.
+    /// The boxes without a heartbeat for so long that their tickets and grants count as lost; each
+    /// is returned once until its next heartbeat.
     pub fn take_dead(&mut self, now: Duration) -> Vec<BoxName> {
-        let after = self.gossip.suspect_after * DEPARTED_FACTOR;
+        let after = self.settings.suspect_after * DEAD_FACTOR;
         let mut names = Vec::new();
-        for (name, heard) in &mut self.heard {
-            if !heard.departed && heard.at + after <= now {
-                heard.departed = true;
+        for (name, state) in &mut self.states {
+            if !state.reported_dead && state.received_at + after <= now {
+                state.reported_dead = true;
                 names.push(name.clone());
             }
         }
         names
     }
 
-    /// Whether a box is of the own zone.
     pub fn is_in_own_zone(&self, name: &str) -> bool {
         self.listed.get(name).is_some_and(|b| b.zone == self.zone)
     }
 
-    /// Which start of a box was heard last.
+    /// The incarnation in a box's latest heartbeat.
     pub fn incarnation(&self, name: &str) -> Option<u64> {
-        self.heard.get(name).map(|h| h.beat.incarnation)
+        self.states.get(name).map(|s| s.heartbeat.incarnation)
     }
 
-    fn is_live(&self, heard: &Heard, now: Duration) -> bool {
-        now < heard.at + self.gossip.suspect_after && !heard.failed && !heard.beat.leaving
+    fn is_live(&self, state: &MemberState, now: Duration) -> bool {
+        now < state.received_at + self.settings.suspect_after
+            && !state.unreachable
+            && !state.heartbeat.leaving
     }
 
     fn zone_peers(&self) -> impl Iterator<Item = BoxName> {
-        let here = |b: &&ListedBox| b.zone == self.zone && b.name != self.me;
-        self.listed.values().filter(here).map(|b| b.name.clone())
+        let is_here = |b: &&ListedBox| b.zone == self.zone && b.name != self.own_name;
+        self.listed.values().filter(is_here).map(|b| b.name.clone())
     }
 
-    /// Only boxes that were heard lately are passed on, lest a dead one's last beat circulates.
-    fn table(&self, now: Duration) -> Vec<HeartbeatEntry> {
-        let fresh = |h: &&Heard| now < h.at + self.gossip.suspect_after;
-        let others = self.heard.values().filter(fresh).map(|h| h.beat.clone());
-        std::iter::once(self.own.clone()).chain(others).collect()
+    /// Includes only boxes with a recent heartbeat, so that a dead box's last one doesn't circulate
+    /// for ever.
+    fn heartbeat_entries(&self, now: Duration) -> Vec<HeartbeatEntry> {
+        let is_fresh = |s: &&MemberState| now < s.received_at + self.settings.suspect_after;
+        let others = self.states.values().filter(is_fresh).map(|s| s.heartbeat.clone());
+        std::iter::once(self.own_heartbeat.clone()).chain(others).collect()
     }
 }
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -1,7 +1,7 @@
-//! What the routers of a fleet tell each other.
+//! The messages between the routers of a fleet.
 //!
-//! Everything here is soft state: a message may be lost, doubled or late. Field names on the wire
-//! are short because control traffic is one of the figures the fleet is judged by.
+//! All of this is soft state: a message may be lost, duplicated or late. Names on the wire have one
+//! letter, because control traffic is one of the figures by which the fleet is judged.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -21,98 +21,94 @@
 use crate::names::WorkspaceName;
 use crate::names::ZoneName;
 
-/// Names one attempt of a request to be placed; unique over all routers.
+/// Identifies one attempt to place a request; unique over all routers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TicketId(pub u64);
 
-/// Names one grant; unique over all dispatchers.
+/// Identifies one grant; unique over all dispatchers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct GrantId(pub u64);
 
-/// How much a request is in a hurry, most urgent first.
+/// Priority class of a request, most urgent first.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub enum Class {
-    /// Goes ahead of its workspace's other work, and of other workspaces within a stated lead.
+    /// Goes before other work of its workspace, and before other workspaces within the pool's
+    /// urgent lead.
     #[serde(rename = "u")]
     Urgent,
-    /// The usual.
     #[default]
     #[serde(rename = "n")]
     Normal,
-    /// May be late, but gets a minimum share of its workspace.
+    /// May be delayed, but gets a minimum share of its workspace's service.
     #[serde(rename = "b")]
     Background,
 }
 
-/// A request that waits to be placed, as its router registers it with a dispatcher.
+/// A request waiting to be placed, as its router registers it with a dispatcher.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Ticket {
-    /// Unique name.
     #[serde(rename = "i")]
     pub id: TicketId,
-    /// The router that holds the request; on the wire none for the sender.
+    /// The router that holds the request; omitted on the wire if it is the sender.
     #[serde(rename = "r", default = "BoxName::none", skip_serializing_if = "BoxName::is_none")]
     pub router: BoxName,
-    /// The workspace that is charged.
+    /// The workspace to charge.
     #[serde(rename = "w")]
     pub workspace: WorkspaceName,
-    /// The service that was asked for.
+    /// The requested service.
     #[serde(rename = "s")]
     pub service: ServiceName,
-    /// The pool that serves it; on the wire none, since the service tells it.
+    /// The pool that serves it; omitted on the wire, because the service determines it.
     #[serde(rename = "p", default = "PoolName::none", skip_serializing_if = "PoolName::is_none")]
     pub pool: PoolName,
-    /// Its class.
     #[serde(rename = "c", default, skip_serializing_if = "is_normal")]
     pub class: Class,
-    /// Milliseconds from now until nobody wants the answer any more.
+    /// Milliseconds from now until the response is no longer wanted.
     #[serde(rename = "d")]
     pub deadline_ms: u64,
-    /// Hash of the prompt's prefix; 0 where there is none.
+    /// Hash of the prompt's prefix; 0 if there is none.
     #[serde(rename = "x", default, skip_serializing_if = "is_zero")]
     pub prefix: u64,
-    /// Upstream to avoid, since the last attempt failed there.
+    /// Upstream to avoid, because the previous attempt failed there.
     #[serde(rename = "a", default, skip_serializing_if = "Option::is_none")]
     pub avoid: Option<UpstreamName>,
-    /// Whether another box already passed this on.
+    /// Whether another box has forwarded this already.
     #[serde(rename = "f", default, skip_serializing_if = "is_false")]
     pub forwarded: bool,
 }
 
-/// The word to a router that a ticket may run now.
+/// Permission for a router to run a ticket's request.
 #[derive(Clone, Debug, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct Grant {
-    /// Unique name.
     pub id: GrantId,
-    /// The ticket that is granted.
     pub ticket: TicketId,
-    /// Where to send it.
+    /// The upstream to send the request to.
     pub upstream: UpstreamName,
-    /// Cost that is charged already, in the pool's unit.
+    /// Cost charged already, in the pool's unit.
     pub charged_cost: u64,
-    /// The dispatcher that wants to hear how it went; on the wire none for the sender.
+    /// The dispatcher to report to; `BoxName::none` on the wire if it is the sender.
     pub dispatcher: BoxName,
 }
 
-/// Grants in a few bytes: how many there are from one to another, and a sum of their hashes.
+/// A digest of the grants in a range of ids: their number and a sum of their hashes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct GrantDigest {
-    /// The first that is covered.
+    /// First id of the range.
     pub first: GrantId,
-    /// The last that is covered.
+    /// Last id of the range.
     pub last: GrantId,
-    /// How many there are.
+    /// Number of grants.
     pub count: u32,
-    /// What tells them from as many others, but for one time in four billion.
+    /// Sum of their hashes. Two sets of the same size collide once in four billion cases.
     pub sum: u32,
 }
 
 impl GrantDigest {
-    /// The digest of those of `grants` that are in the range.
+    /// The digest of those of `grants` that lie in the range.
     pub fn new(
         first: GrantId,
         last: GrantId,
@@ -128,25 +124,25 @@
         digest
     }
 
-    /// Whether a grant is in the range.
+    /// Whether a grant's id lies in the range.
     pub fn covers(&self, grant: GrantId) -> bool {
         (self.first..=self.last).contains(&grant)
     }
 }
 
-/// How a granted request ended.
+/// How the request of a grant ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Ending {
-    /// Answered in full.
+    /// It was answered in full.
     #[serde(rename = "o")]
     Answered,
     /// The caller left or the deadline passed; says nothing about the upstream.
     #[serde(rename = "c")]
     Cancelled,
-    /// The upstream refused, cut or muddled the answer.
+    /// The upstream refused it, or cut or corrupted the response.
     #[serde(rename = "f")]
     Failed,
-    /// The upstream refused, and asked for a backoff of so many milliseconds.
+    /// The upstream refused it and asked for a backoff of this many milliseconds.
     #[serde(rename = "p")]
     Backoff(u32),
     /// The grant wasn't used.
@@ -154,56 +150,50 @@
     Unused,
 }
 
-/// The end of a grant.
+/// Reports the end of a grant.
 #[derive(Clone, Debug, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct CompletionReport {
-    /// The pool of the grant.
     pub pool: PoolName,
-    /// Which grant.
     pub grant: GrantId,
     /// Its exact cost, in the pool's unit.
     pub cost: u64,
-    /// How it ended.
     pub ending: Ending,
 }
 
-/// A grant in use, as a router reports it to a dispatcher that may not know it.
+/// A grant in use, as reported to a dispatcher that may not know it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RunningGrant {
-    /// Which grant.
     #[serde(rename = "g")]
     pub grant: GrantId,
-    /// The workspace that is charged.
+    /// The workspace to charge.
     #[serde(rename = "w")]
     pub workspace: WorkspaceName,
-    /// The service that was asked for.
+    /// The requested service.
     #[serde(rename = "s")]
     pub service: ServiceName,
-    /// Where it runs.
+    /// The upstream where it runs.
     #[serde(rename = "u")]
     pub upstream: UpstreamName,
-    /// Cost that is charged already.
+    /// Cost charged already.
     #[serde(rename = "e")]
     pub charged_cost: u64,
 }
 
-/// One line of a heartbeat: the freshest sign of life known of a box.
+/// The latest heartbeat known of one box.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct HeartbeatEntry {
-    /// Whose.
     pub name: BoxName,
-    /// Which start of that box.
+    /// Distinguishes the runs of the box.
     pub incarnation: u64,
-    /// Counter that the box raises with every heartbeat.
+    /// Raised by the box with every heartbeat.
     pub counter: u64,
-    /// Whether the box is about to stop.
+    /// Whether the box is shutting down.
     pub leaving: bool,
 }
 
-/// What dispatchers of one pool tell each other.
+/// Reports a dispatcher's state to the other dispatchers of the same pool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DispatcherReport {
-    /// Which pool.
     #[serde(rename = "p")]
     pub pool: PoolName,
     /// The sender's availability zone.
@@ -212,111 +202,105 @@
     /// The sender.
     #[serde(rename = "b")]
     pub dispatcher: BoxName,
-    /// The sender's own cell.
+    /// The sender's replica of the counters.
     #[serde(rename = "c")]
     pub replica: ReplicaId,
-    /// Version of the sender's cell that this brings the receiver to.
+    /// Version of that replica after merging `entries`.
     #[serde(rename = "t")]
     pub version: u64,
-    /// Version of the receiver's cell that the sender has merged.
+    /// Version of the receiver's replica that the sender has merged.
     #[serde(rename = "k")]
     pub merged_version: u64,
     /// Virtual time of the sender's last grant.
     #[serde(rename = "v")]
     pub virtual_time: i64,
-    /// Free slots that the sender has no work for.
+    /// Free slots for which the sender has no work.
     #[serde(rename = "n", default, skip_serializing_if = "is_none_free")]
     pub idle_slots: u32,
-    /// Routers of the sender's zone that were found to be gone since the receiver was last told.
+    /// Routers of the sender's zone found dead since the previous report to the receiver.
     #[serde(rename = "g", default, skip_serializing_if = "Vec::is_empty")]
     pub lost_routers: Vec<BoxName>,
-    /// Entries of the sender's cell that changed since the receiver's `seen`.
+    /// Entries of the sender's replica that changed since the version that the receiver has merged.
     #[serde(rename = "e", default, skip_serializing_if = "Vec::is_empty")]
     pub entries: Vec<CounterEntry>,
-    /// Cells of other dispatchers, for a receiver that knows nothing yet.
+    /// Replicas of other dispatchers, for a receiver that may lack them.
     #[serde(rename = "o", default, skip_serializing_if = "Vec::is_empty")]
     pub relayed: Vec<RelayedCounters>,
-    /// Whether another box already passed this on.
+    /// Whether another box has forwarded this already.
     #[serde(rename = "f", default, skip_serializing_if = "is_false")]
     pub forwarded: bool,
 }
 
-/// A copy of another dispatcher's cell.
+/// A copy of another dispatcher's replica.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RelayedCounters {
-    /// Whose.
     #[serde(rename = "c")]
     pub replica: ReplicaId,
-    /// Its version.
     #[serde(rename = "t")]
     pub version: u64,
-    /// All its entries.
     #[serde(rename = "e")]
     pub entries: Vec<CounterEntry>,
 }
 
-/// A dispatcher with a free slot asks another zone's dispatcher for a waiting ticket.
+/// A dispatcher with a free slot requests a waiting ticket from another zone's dispatcher.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PullRequest {
-    /// Which pool.
     #[serde(rename = "p")]
     pub pool: PoolName,
-    /// The workspace that is furthest behind there.
+    /// The workspace with the smallest virtual time there.
     #[serde(rename = "w")]
     pub workspace: WorkspaceName,
-    /// The grant that is offered.
+    /// Id of the offered grant.
     #[serde(rename = "g")]
     pub grant: GrantId,
     /// The upstream with the free slot.
     #[serde(rename = "u")]
     pub upstream: UpstreamName,
-    /// The dispatcher that asks.
+    /// The requesting dispatcher.
     #[serde(rename = "b")]
     pub dispatcher: BoxName,
-    /// Whether any workspace's ticket will do, since the asker has nothing of its own.
+    /// Whether a ticket of any workspace will do, because the requester has no work of its own.
     #[serde(rename = "a", default, skip_serializing_if = "is_false")]
     pub any_workspace: bool,
-    /// Whether another box already passed this on.
+    /// Whether another box has forwarded this already.
     #[serde(rename = "f", default, skip_serializing_if = "is_false")]
     pub forwarded: bool,
 }
 
-/// The answer to a pull.
+/// The response to a [`PullRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PullResponse {
-    /// Which pool.
     #[serde(rename = "p")]
     pub pool: PoolName,
-    /// The grant that was offered.
+    /// Id of the offered grant.
     #[serde(rename = "g")]
     pub grant: GrantId,
-    /// The workspace that was asked for.
+    /// The requested workspace.
     #[serde(rename = "w")]
     pub workspace: WorkspaceName,
-    /// The zone that answers.
+    /// The responding zone.
     #[serde(rename = "z")]
     pub zone: ZoneName,
-    /// The ticket that took the offer; none when nothing waits there any more.
+    /// The ticket that takes the grant; `None` if none waits there any more.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
     pub ticket: Option<PulledTicket>,
-    /// How many tickets of that workspace still wait there.
+    /// Tickets of that workspace that still wait there.
     #[serde(rename = "n")]
     pub still_waiting: u32,
 }
 
-/// The ticket that took an offered grant.
+/// The ticket that takes an offered grant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PulledTicket {
-    /// Which ticket.
     #[serde(rename = "i")]
     pub ticket: TicketId,
-    /// The router that holds it.
+    /// The router that holds the request.
     #[serde(rename = "r")]
     pub router: BoxName,
-    /// The workspace that is charged.
+    /// The workspace to charge.
     #[serde(rename = "w")]
     pub workspace: WorkspaceName,
-    /// The service that was asked for.
+    /// The requested service.
     #[serde(rename = "s")]
     pub service: ServiceName,
     /// Cost that the granting dispatcher charges now.
@@ -327,7 +311,7 @@
 /// One message between routers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Signs of life of a zone's boxes, and the revision of the sender's configuration.
+    /// Heartbeats known to the sender, and its configuration's revision.
     #[serde(rename = "H")]
     Heartbeat {
         #[serde(rename = "t")]
@@ -335,13 +319,13 @@
         #[serde(rename = "v")]
         revision: u64,
     },
-    /// Ask for a sign of life, since none was heard for long.
+    /// Requests a heartbeat, because none has arrived for long.
     #[serde(rename = "B")]
     Probe {},
-    /// Register a ticket.
+    /// Registers a ticket.
     #[serde(rename = "T")]
     Ticket(Ticket),
-    /// Forget a ticket.
+    /// Withdraws a ticket.
     #[serde(rename = "C")]
     Cancel {
         #[serde(rename = "p")]
@@ -349,10 +333,10 @@
         #[serde(rename = "i")]
         ticket: TicketId,
     },
-    /// A ticket may run.
+    /// Lets a ticket's request run.
     #[serde(rename = "G")]
     Grant(Grant),
-    /// A request outgrew what was charged for it.
+    /// A request has cost more than was charged for it.
     #[serde(rename = "P")]
     Progress {
         #[serde(rename = "p")]
@@ -365,8 +349,7 @@
     /// A grant has ended.
     #[serde(rename = "D")]
     CompletionReport(CompletionReport),
-    /// Grants of one pool that a router uses (on the wire none for the sender) and that the
-    /// receiver inherits.
+    /// Grants that a router uses (`BoxName::none` for the sender) and that the receiver takes over.
     #[serde(rename = "R")]
     RunningGrants {
         #[serde(rename = "p")]
@@ -376,8 +359,8 @@
         #[serde(rename = "r")]
         grants: Vec<RunningGrant>,
     },
-    /// Asks which of these grants the receiver still uses, and whether it uses just those that the
-    /// digest tells.
+    /// Asks which of `grants` the receiver still uses, and whether the grants that it uses in the
+    /// digest's range match the digest.
     #[serde(rename = "K")]
     GrantCheckRequest {
         #[serde(rename = "p")]
@@ -387,7 +370,7 @@
         #[serde(rename = "d", default, skip_serializing_if = "Option::is_none")]
         digest: Option<GrantDigest>,
     },
-    /// The digest told others: these are the grants from `f` to `u` that the sender uses.
+    /// Response to a digest that didn't match: the grants that the sender uses in the range.
     #[serde(rename = "U")]
     GrantsInUse {
         #[serde(rename = "p")]
@@ -399,7 +382,7 @@
         #[serde(rename = "g")]
         grants: Vec<GrantId>,
     },
-    /// These grants aren't used (any more).
+    /// The sender doesn't use these grants.
     #[serde(rename = "X")]
     GrantsNotInUse {
         #[serde(rename = "p")]
@@ -407,10 +390,10 @@
         #[serde(rename = "g")]
         grants: Vec<GrantId>,
     },
-    /// State of a pool, from dispatcher to dispatcher.
+    /// A dispatcher's state, for the other dispatchers of the pool.
     #[serde(rename = "S")]
     DispatcherReport(Box<DispatcherReport>),
-    /// The sender, which would follow the receiver, has a copy of its cell at version `t`.
+    /// The sender, which is the receiver's standby, has merged its replica up to `version`.
     #[serde(rename = "Y")]
     StandbyAck {
         #[serde(rename = "p")]
@@ -422,16 +405,15 @@
         #[serde(rename = "t")]
         version: u64,
     },
-    /// Ask for a ticket.
+    /// Requests a waiting ticket.
     #[serde(rename = "L")]
     PullRequest(PullRequest),
-    /// Answer to a pull.
     #[serde(rename = "Q")]
     PullResponse(PullResponse),
-    /// Claim a key; the receiver writes for many.
+    /// Claims an idempotency key; the receiver writes for many boxes.
     #[serde(rename = "M")]
     ClaimRequest(ClaimRequest),
-    /// The verdict on the claim of an attempt.
+    /// The outcome of an attempt's claim.
     #[serde(rename = "N")]
     ClaimResponse {
         #[serde(rename = "a")]
@@ -439,7 +421,7 @@
         #[serde(rename = "v")]
         outcome: ClaimOutcome,
     },
-    /// Ask for the configuration, since the receiver has a newer one.
+    /// Requests the configuration, because the receiver has a newer one.
     #[serde(rename = "W")]
     ConfigurationRequest {
         #[serde(rename = "v")]
@@ -455,7 +437,7 @@
     },
 }
 
-/// What one call between routers carries: the sending box, and the messages in order.
+/// The content of one call between routers: the sending box, and its messages in order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Envelope(pub BoxName, pub Vec<Message>);
 
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,4 +1,4 @@
-//! How the routers of a fleet talk: messages, membership and links.
+//! Communication between the routers of a fleet: connections, messages and membership.
 
 pub mod connection;
 pub mod member;
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! The port where other routers connect. Who doesn't show the shared secret gets nowhere.
+//! The peer port, to which other routers connect. Calls without the shared secret are refused.
 
 use std::future::Future;
 use std::io;
@@ -26,53 +26,50 @@
 
 use crate::config::settings::Secret;
 use crate::names::BoxName;
-use crate::peer::connection::METHOD;
+use crate::peer::connection::MESSAGES_METHOD;
 use crate::peer::message::Envelope;
 use crate::peer::message::Message;
-use crate::peer::traffic::Counted;
+use crate::peer::traffic::CountedStream;
 use crate::peer::traffic::Traffic;
 use crate::status::Explanation;
 use crate::status::Status;
 
-/// The method that answers why a request was placed as it was.
+/// The method that explains how a request was placed.
 pub const EXPLAIN: &str = "explain";
 
-/// The method that gives the state of a box.
+/// The method that returns the state of a box.
 pub const STATUS: &str = "status";
 
-/// Connections that peers may hold.
 const CONNECTIONS_MAX: u32 = 1024;
 
-/// Largest call, in bytes: a configuration fits.
-const CALL_MAX: u32 = 4 << 20;
+/// Largest call; a configuration fits.
+const CALL_MAX_BYTES: u32 = 4 << 20;
 
 /// Pause after a failure to accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
-/// How long the answer to a call may be held back until there is something to say.
-const HOLD: Duration = Duration::from_secs(1);
+/// How long a response without messages may be held back until there are some.
+const RESPONSE_DELAY_MAX: Duration = Duration::from_secs(1);
 
-/// The answer to a call.
+/// The response to a call.
 pub enum CallResponse {
-    /// There is something to say, or nothing is expected.
+    /// The messages for the caller, if there are any.
     Ready(Vec<Message>),
-    /// There may be something to say soon.
+    /// Messages may follow soon.
     Pending(oneshot::Receiver<Vec<Message>>),
 }
 
-/// Takes in calls of peers.
+/// Handles the calls of peers.
 pub trait CallHandler: Send + Sync + 'static {
-    /// Handles messages; gives those that are for the caller.
+    /// Handles messages and returns those for the caller.
     fn call(&self, from: &BoxName, messages: Vec<Message>) -> CallResponse;
 
-    /// Answers why a request was placed as it was, as far as this box knows.
+    /// Explains how a request was placed, as far as this box knows.
     fn explain(&self, request: &str) -> Explanation;
 
-    /// The state of this box.
     fn status(&self) -> Status;
 }
 
-/// Serves peers until the process ends.
 pub async fn serve(
     listener: TcpListener,
     secret: Secret,
@@ -83,14 +80,14 @@
     let (stop, _server) = stop_channel();
     let config = ServerConfig::builder()
         .max_connections(CONNECTIONS_MAX)
-        .max_request_body_size(CALL_MAX)
-        .max_response_body_size(CALL_MAX)
+        .max_request_body_size(CALL_MAX_BYTES)
+        .max_response_body_size(CALL_MAX_BYTES)
         .build();
     let builder = jsonrpsee::server::Server::builder().set_config(config).to_service_builder();
     loop {
         let (stream, _) = match listener.accept().await {
             Ok(accepted) => accepted,
-            // Out of descriptors, say: others may be closed meanwhile.
+            // For example out of file descriptors: others may be closed meanwhile.
             Err(_) => {
                 tokio::time::sleep(ACCEPT_PAUSE).await;
                 continue;
@@ -102,20 +99,20 @@
         let stopped = stop.clone().shutdown();
         let service = tower::service_fn(move |req: Request<hyper::body::Incoming>| {
             let mut service = builder.clone().build(methods.clone(), stop.clone());
-            let known = shows_secret(&req, &secret);
+            let authorized = has_secret(&req, &secret);
             async move {
-                if !known {
-                    return Ok(refused());
+                if !authorized {
+                    return Ok(unauthorized());
                 }
                 service.call(req).await
             }
         });
-        tokio::spawn(serve_connection(Counted::new(stream, &traffic), service, stopped));
+        tokio::spawn(serve_connection(CountedStream::new(stream, &traffic), service, stopped));
     }
 }
 
 async fn serve_connection<S>(
-    stream: Counted<tokio::net::TcpStream>,
+    stream: CountedStream<tokio::net::TcpStream>,
     service: S,
     stopped: impl Future<Output = ()>,
 ) where
@@ -125,45 +122,47 @@
         + 'static,
     S::Future: Send,
 {
-    // A peer that leaves in the middle of a call is no news.
+    // A peer may disconnect in the middle of a call; that needs no handling.
     let _ = serve_with_graceful_shutdown(stream, service, stopped).await;
 }
 
 fn methods(handler: Arc<dyn CallHandler>, traffic: &Arc<Traffic>) -> Methods {
     let mut module = RpcModule::new((handler, traffic.clone()));
     module
-        .register_async_method(METHOD, |params, cx, _| async move {
+        .register_async_method(MESSAGES_METHOD, |params, cx, _| async move {
             let (handler, traffic) = &*cx;
             let Envelope(from, messages) = params.one()?;
             let count = messages.len() as u64;
             traffic.messages_in.fetch_add(count, Ordering::Relaxed);
-            let answer = match handler.call(&from, messages) {
-                CallResponse::Ready(answer) => answer,
-                CallResponse::Pending(rx) => {
-                    timeout(HOLD, rx).await.map_or(Vec::new(), Result::unwrap_or_default)
-                }
+            let response = match handler.call(&from, messages) {
+                CallResponse::Ready(response) => response,
+                CallResponse::Pending(rx) => timeout(RESPONSE_DELAY_MAX, rx)
+                    .await
+                    .map_or(Vec::new(), Result::unwrap_or_default),
             };
-            traffic.messages_out.fetch_add(answer.len() as u64, Ordering::Relaxed);
-            Ok::<_, ErrorObjectOwned>(answer)
+            traffic.messages_out.fetch_add(response.len() as u64, Ordering::Relaxed);
+            Ok::<_, ErrorObjectOwned>(response)
         })
-        .expect("the name is new");
+        .expect("each method is registered once");
     module
         .register_method(EXPLAIN, |params, cx, _| {
             let request: String = params.one()?;
             Ok::<_, ErrorObjectOwned>(cx.0.explain(&request))
         })
-        .expect("the name is new");
-    module.register_method(STATUS, |_, cx, _| cx.0.status()).expect("the name is new");
+        .expect("each method is registered once");
+    module
+        .register_method(STATUS, |_, cx, _| cx.0.status())
+        .expect("each method is registered once");
     module.into()
 }
 
-fn shows_secret<B>(req: &Request<B>, secret: &Secret) -> bool {
-    let shown = req.headers().get(AUTHORIZATION).map_or(&[][..], |v| v.as_bytes());
+fn has_secret<B>(req: &Request<B>, secret: &Secret) -> bool {
+    let presented = req.headers().get(AUTHORIZATION).map_or(&[][..], |v| v.as_bytes());
     let expected = format!("Bearer {}", secret.expose());
-    shown.ct_eq(expected.as_bytes()).into()
+    presented.ct_eq(expected.as_bytes()).into()
 }
 
-fn refused() -> Response<HttpBody> {
+fn unauthorized() -> Response<HttpBody> {
     let mut resp = Response::new(HttpBody::empty());
     *resp.status_mut() = StatusCode::UNAUTHORIZED;
     resp
--- a/src/peer/traffic.rs
+++ b/src/peer/traffic.rs
@@ -1,4 +1,5 @@
-//! Counts every byte between routers: control traffic is one of the figures the fleet is judged by.
+//! Counts every byte between routers, because control traffic is one of the figures by which the
+//! fleet is judged.
 
 use std::io;
 use std::pin::Pin;
@@ -15,33 +16,31 @@
 /// Bytes and messages to and from other routers, since the start.
 #[derive(Debug, Default)]
 pub struct Traffic {
-    /// Bytes written to peers' connections, all protocol overhead above TCP included.
+    /// Bytes written to peers' connections, including all protocol overhead above TCP.
     pub bytes_out: AtomicU64,
     /// Bytes read from peers' connections.
     pub bytes_in: AtomicU64,
-    /// Messages sent.
     pub messages_out: AtomicU64,
-    /// Messages received.
     pub messages_in: AtomicU64,
-    /// Messages given up because a peer couldn't be told in time.
+    /// Messages dropped because a peer couldn't be reached in time.
     pub messages_lost: AtomicU64,
 }
 
-/// A stream whose bytes are counted.
+/// A stream that counts its bytes.
 #[derive(Debug)]
-pub struct Counted<S> {
+pub struct CountedStream<S> {
     inner: S,
     traffic: Arc<Traffic>,
 }
 
-impl<S> Counted<S> {
-    /// Counts the bytes of `inner` into `traffic`.
-    pub fn new(inner: S, traffic: &Arc<Traffic>) -> Counted<S> {
-        Counted { inner, traffic: traffic.clone() }
+impl<S> CountedStream<S> {
+    /// Counts the bytes of `inner` in `traffic`.
+    pub fn new(inner: S, traffic: &Arc<Traffic>) -> CountedStream<S> {
+        CountedStream { inner, traffic: traffic.clone() }
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Counted<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for CountedStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -55,7 +54,7 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Counted<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for CountedStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
