--- a/src/claims/mod.rs
+++ b/src/claims/mod.rs
@@ -112,6 +112,7 @@
     /// The key's hash, in hexadecimal.
     #[serde(rename = "k")]
     pub key: String,
+    /// When the key was made, in seconds of Unix time.
     #[serde(rename = "m")]
     pub made_at_s: u64,
     /// Identifies the attempt to send the request; unique over all routers.
--- a/src/claims/writer.rs
+++ b/src/claims/writer.rs
@@ -34,7 +34,7 @@
 /// Attempts of one update when others write the same object.
 const TRIES_MAX: usize = 8;
 
-/// Interval of the probes after a failure. Claims are refused at once until one succeeds.
+/// Interval of the probes after a failure. Claims are refused at once until a probe succeeds.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The object read by a probe; it need not exist.
--- a/src/peer/member.rs
+++ b/src/peer/member.rs
@@ -180,7 +180,7 @@
         if now < self.next_heartbeat_at {
             return None;
         }
-        // Jitter prevents that the boxes of a zone send in step.
+        // Jitter keeps the boxes of a zone from sending in step.
         let jitter = rng.random_range(0..=self.settings.interval.as_millis() as u64 / 10);
         self.next_heartbeat_at = now + self.settings.interval + Duration::from_millis(jitter);
         self.own_heartbeat.counter += 1;
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -319,7 +319,7 @@
         #[serde(rename = "v")]
         revision: u64,
     },
-    /// Requests a heartbeat, because none has arrived for long.
+    /// Requests a heartbeat, because none has arrived for some time.
     #[serde(rename = "B")]
     Probe {},
     /// Registers a ticket.
@@ -393,7 +393,7 @@
     /// A dispatcher's state, for the other dispatchers of the pool.
     #[serde(rename = "S")]
     DispatcherReport(Box<DispatcherReport>),
-    /// The sender, which is the receiver's standby, has merged its replica up to `version`.
+    /// The sender, the receiver's standby, has merged the receiver's replica up to `version`.
     #[serde(rename = "Y")]
     StandbyAck {
         #[serde(rename = "p")]
