--- a/src/dispatch/pool/exchange.rs
+++ b/src/dispatch/pool/exchange.rs
@@ -331,7 +331,7 @@
     }
 
     /// Begins to dispatch with the state left by the predecessor. Until the other zones have
-    /// reported, or [`SYNC_TIMEOUT`] has passed, no workspace is lifted: with counters missing, a
+    /// reported, or `SYNC_TIMEOUT` has passed, no workspace is lifted: with counters missing, a
     /// lift would set a workspace back by the missing amount.
     pub fn start_dispatching(&mut self, now: Duration) {
         self.lift_allowed_at = now + SYNC_TIMEOUT;
