--- a/src/router/cost_meter.rs
+++ b/src/router/cost_meter.rs
@@ -1,33 +1,33 @@
-//! Counts what an answer costs while it streams.
+//! Measures the cost of a response while it streams.
 
 use serde::Deserialize;
 
 use crate::config::Unit;
 
-/// Longest event that is looked into for the usage, in bytes.
-const EVENT_MAX: usize = 4096;
+/// Longest event that is parsed for the usage. Longer events count as one token.
+const EVENT_MAX_BYTES: usize = 4096;
 
-/// Counts the cost of one answer.
+/// Measures the cost of one response.
 pub trait CostMeter: Send + Sync {
-    /// Takes in the next piece of the answer. Gives the cost so far.
-    fn add_chunk(&mut self, piece: &[u8]) -> u64;
+    /// Adds the next chunk of the response and returns the cost so far.
+    fn add_chunk(&mut self, chunk: &[u8]) -> u64;
 
-    /// The cost so far; exact when the answer has ended.
+    /// The cost so far; exact when the response has ended.
     fn cost(&self) -> u64;
 }
 
-/// A meter for a pool's unit.
+/// Creates a meter for a pool's unit.
 pub fn for_unit(unit: Unit) -> Box<dyn CostMeter> {
     match unit {
-        Unit::Tokens => Box::new(Tokens::default()),
-        Unit::Calls => Box::new(Calls),
+        Unit::Tokens => Box::new(TokenMeter::default()),
+        Unit::Calls => Box::new(CallMeter),
     }
 }
 
-/// Every call costs one.
-struct Calls;
+/// Every call costs 1.
+struct CallMeter;
 
-impl CostMeter for Calls {
+impl CostMeter for CallMeter {
     fn add_chunk(&mut self, _: &[u8]) -> u64 {
         1
     }
@@ -37,17 +37,17 @@
     }
 }
 
-/// One token per server-sent event, until an event tells the usage.
+/// Counts one token per server-sent event, until an event reports the usage.
 #[derive(Default)]
-struct Tokens {
+struct TokenMeter {
     events: u64,
-    total: Option<u64>,
-    event: Vec<u8>,
-    in_line: bool,
+    reported_total: Option<u64>,
+    buffer: Vec<u8>,
+    mid_line: bool,
 }
 
 #[derive(Deserialize)]
-struct Event {
+struct UsageEvent {
     usage: Usage,
 }
 
@@ -56,35 +56,35 @@
     total_tokens: u64,
 }
 
-impl CostMeter for Tokens {
-    fn add_chunk(&mut self, piece: &[u8]) -> u64 {
-        for &byte in piece {
+impl CostMeter for TokenMeter {
+    fn add_chunk(&mut self, chunk: &[u8]) -> u64 {
+        for &byte in chunk {
             match byte {
                 b'\r' => continue,
-                b'\n' if !self.in_line => self.end_event(),
-                _ if self.event.len() < EVENT_MAX => self.event.push(byte),
+                b'\n' if !self.mid_line => self.end_event(),
+                _ if self.buffer.len() < EVENT_MAX_BYTES => self.buffer.push(byte),
                 _ => {}
             }
-            self.in_line = byte != b'\n';
+            self.mid_line = byte != b'\n';
         }
         self.cost()
     }
 
     fn cost(&self) -> u64 {
-        self.total.unwrap_or(self.events)
+        self.reported_total.unwrap_or(self.events)
     }
 }
 
-impl Tokens {
+impl TokenMeter {
     fn end_event(&mut self) {
-        if self.event.is_empty() {
+        if self.buffer.is_empty() {
             return;
         }
-        let data = self.event.strip_prefix(b"data:").unwrap_or(&self.event);
-        match serde_json::from_slice::<Event>(data) {
-            Ok(event) => self.total = Some(event.usage.total_tokens),
+        let data = self.buffer.strip_prefix(b"data:").unwrap_or(&self.buffer);
+        match serde_json::from_slice::<UsageEvent>(data) {
+            Ok(event) => self.reported_total = Some(event.usage.total_tokens),
             Err(_) => self.events += 1,
         }
-        self.event.clear();
+        self.buffer.clear();
     }
 }
--- a/src/router/hub.rs
+++ b/src/router/hub.rs
@@ -1,5 +1,4 @@
-//! The one place where the node's decisions meet the network: a lock around the node, and what to
-//! do with each of its outputs.
+//! Connects the node to the network: holds it behind a lock and performs its outputs.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -42,199 +41,203 @@
 use crate::peer::server::Answer;
 use crate::peer::server::Handler;
 use crate::platform::Objects;
-use crate::router::request_history::Records;
+use crate::router::request_history::RequestHistory;
 use crate::status::Explanation;
 use crate::status::PoolStatus;
 use crate::status::Status;
 use crate::status::UpstreamStatus;
 use crate::status::WorkspaceStatus;
 
-/// Waiting workspaces shown per pool in a status.
-const WORKSPACES_SHOWN: usize = 100;
+/// Most waiting workspaces per pool in a status.
+const STATUS_WORKSPACES_MAX: usize = 100;
 
-/// Calls of one peer whose answers may be held back at once.
-const HELD_MAX: usize = 32;
+/// Most calls of one box whose responses are pending at once.
+const PENDING_RESPONSES_MAX: usize = 32;
 
-/// A grant, as the request that waits for it gets it.
+/// Where a granted request is sent.
 #[derive(Clone, Debug)]
-pub struct Start {
-    /// Where to send the request.
+pub struct Assignment {
+    /// The upstream that runs the request.
     pub upstream: UpstreamName,
-    /// Cost charged already, in the pool's unit.
+    /// Cost that is charged already, in the pool's unit.
     pub cover: u64,
 }
 
-/// What becomes of a request that waits.
-pub type Placement = Result<Start, Refusal>;
+/// The result for a waiting request.
+pub type AssignmentResult = Result<Assignment, Refusal>;
 
-/// The node of this process with what its outputs need.
+/// The node of this process, with what is needed to perform its outputs.
 pub struct Hub {
     inner: Mutex<Inner>,
-    epoch: Instant,
-    links: Links,
-    records: Records,
+    started_at: Instant,
+    connections: Links,
+    history: RequestHistory,
     metrics: Metrics,
     log: Logger,
     claims: OnceLock<Arc<Claims>>,
-    this: Weak<Hub>,
+    weak_self: Weak<Hub>,
 }
 
 struct Inner {
     node: Node,
-    starts: HashMap<TicketId, oneshot::Sender<Placement>>,
-    /// Calls of peers whose answers are held back.
-    held: HashMap<BoxName, VecDeque<oneshot::Sender<Vec<Message>>>>,
+    pending_assignments: HashMap<TicketId, oneshot::Sender<AssignmentResult>>,
+    /// Calls of other boxes that are not responded to yet.
+    pending_responses: HashMap<BoxName, VecDeque<oneshot::Sender<Vec<Message>>>>,
 }
 
 impl Hub {
-    /// A hub around `node`.
-    pub fn new(node: Node, links: Links, metrics: Metrics, log: Logger) -> Arc<Hub> {
+    /// Creates a hub for `node`.
+    pub fn new(node: Node, connections: Links, metrics: Metrics, log: Logger) -> Arc<Hub> {
         Arc::new_cyclic(|this| Hub {
-            inner: Mutex::new(Inner { node, starts: HashMap::new(), held: HashMap::new() }),
-            epoch: Instant::now(),
-            links,
-            records: Records::default(),
+            inner: Mutex::new(Inner {
+                node,
+                pending_assignments: HashMap::new(),
+                pending_responses: HashMap::new(),
+            }),
+            started_at: Instant::now(),
+            connections,
+            history: RequestHistory::default(),
             metrics,
             log,
             claims: OnceLock::new(),
-            this: this.clone(),
+            weak_self: this.clone(),
         })
     }
 
-    /// The configuration in force.
+    /// The applied configuration.
     pub fn configuration(&self) -> Arc<Revision> {
         self.read(|node, _| node.configuration().clone())
     }
 
-    /// The figures of this process.
     pub fn metrics(&self) -> &Metrics {
         &self.metrics
     }
 
-    /// What this process remembers.
-    pub fn records(&self) -> &Records {
-        &self.records
+    /// The latest decisions and requests of this process.
+    pub fn history(&self) -> &RequestHistory {
+        &self.history
     }
 
-    /// Begins to claim keys in `objects`.
-    pub fn open_claims(self: &Arc<Hub>, objects: Arc<dyn Objects>) {
-        let claims = Claims::new(objects, Box::new(HubCourier(Arc::downgrade(self))));
-        // Set once, at the start.
+    /// Starts the claims, stored in `objects`.
+    pub fn start_claims(self: &Arc<Hub>, objects: Arc<dyn Objects>) {
+        let claims = Claims::new(objects, Box::new(HubClaimTransport(Arc::downgrade(self))));
+        // Called once, at the start.
         let _ = self.claims.set(claims);
     }
 
-    /// The claims, once they are open.
+    /// The claims, once started.
     pub fn claims(&self) -> Option<&Arc<Claims>> {
         self.claims.get()
     }
 
-    /// The log.
     pub fn log(&self) -> &Logger {
         &self.log
     }
 
-    /// A new ticket name.
     pub fn new_ticket_id(&self) -> TicketId {
-        self.with(|node, _| node.new_ticket_id())
+        self.update(|node, _| node.new_ticket_id())
     }
 
-    /// Lets a request wait; the receiver gets its grant.
-    pub fn submit(&self, ticket: Ticket) -> Result<oneshot::Receiver<Placement>, Refusal> {
+    /// Queues a request for a grant, which the receiver gets.
+    pub fn submit(&self, ticket: Ticket) -> Result<oneshot::Receiver<AssignmentResult>, Refusal> {
         let (tx, rx) = oneshot::channel();
         let id = ticket.id;
         let mut inner = self.inner.lock().expect("no panic under lock");
-        inner.starts.insert(id, tx);
+        inner.pending_assignments.insert(id, tx);
         let result = inner.node.submit(ticket, self.now());
         if result.is_err() {
-            inner.starts.remove(&id);
+            inner.pending_assignments.remove(&id);
         }
-        self.act(&mut inner, None);
+        self.perform_outputs(&mut inner, None);
         result.map(|()| rx)
     }
 
-    /// Takes back a request that waits; false when it doesn't wait (any more).
+    /// Withdraws a waiting request; `false` if it doesn't wait (any more).
     pub fn withdraw(&self, id: TicketId) -> bool {
         let mut inner = self.inner.lock().expect("no panic under lock");
-        inner.starts.remove(&id);
+        inner.pending_assignments.remove(&id);
         let waited = inner.node.withdraw(id, self.now());
-        self.act(&mut inner, None);
+        self.perform_outputs(&mut inner, None);
         waited
     }
 
-    /// Notes what a running request has produced; gives what is charged.
-    pub fn produced(&self, id: TicketId, cost: u64) -> u64 {
-        self.with(|node, now| node.record_progress(id, cost, now))
+    /// Records the cost of a running request so far; returns the cost above which this must be
+    /// called again.
+    pub fn record_progress(&self, id: TicketId, cost: u64) -> u64 {
+        self.update(|node, now| node.record_progress(id, cost, now))
     }
 
     /// Ends a running request.
     pub fn finish(&self, id: TicketId, cost: u64, ending: Ending) {
-        self.with(|node, now| node.finish(id, cost, ending, now));
+        self.update(|node, now| node.finish(id, cost, ending, now));
     }
 
-    /// Takes a retry out of a pool's budget, and counts it.
+    /// Takes a retry from a pool's budget and counts it; `false` if the budget is exhausted.
     pub fn try_take_retry(&self, pool: &PoolName) -> bool {
-        let allowed = self.with(|node, _| node.try_take_retry(pool));
+        let allowed = self.update(|node, _| node.try_take_retry(pool));
         if allowed {
             self.metrics.retries.add(1, &[KeyValue::new("pool", pool.to_string())]);
         }
         allowed
     }
 
-    /// Changes the node and does what comes of it.
-    pub fn with<T>(&self, f: impl FnOnce(&mut Node, Duration) -> T) -> T {
+    /// Updates the node and performs its outputs.
+    pub fn update<T>(&self, f: impl FnOnce(&mut Node, Duration) -> T) -> T {
         let mut inner = self.inner.lock().expect("no panic under lock");
         let result = f(&mut inner.node, self.now());
-        self.act(&mut inner, None);
+        self.perform_outputs(&mut inner, None);
         result
     }
 
-    /// Looks at the node.
+    /// Reads the node.
     pub fn read<T>(&self, f: impl FnOnce(&Node, Duration) -> T) -> T {
         let inner = self.inner.lock().expect("no panic under lock");
         f(&inner.node, self.now())
     }
 
     fn now(&self) -> Duration {
-        self.epoch.elapsed()
+        self.started_at.elapsed()
     }
 
-    /// Does what the node wants done. Messages for `caller` are given back instead of sent.
-    fn act(&self, inner: &mut Inner, caller: Option<&BoxName>) -> Vec<Message> {
-        let mut answer = Vec::new();
+    /// Performs the outputs of the node. Messages for `caller` are returned instead of sent.
+    fn perform_outputs(&self, inner: &mut Inner, caller: Option<&BoxName>) -> Vec<Message> {
+        let mut replies = Vec::new();
         for output in inner.node.take_output() {
             match output {
-                Output::Send { to, message } if Some(&to) == caller => answer.push(message),
+                Output::Send { to, message } if Some(&to) == caller => replies.push(message),
                 Output::Send { to, message } => self.send(inner, &to, message),
                 Output::Start { ticket, upstream, cover } => {
-                    place(inner, ticket, Ok(Start { upstream, cover }));
+                    deliver_assignment(inner, ticket, Ok(Assignment { upstream, cover }));
                 }
-                Output::Refuse { ticket, refusal } => place(inner, ticket, Err(refusal)),
-                Output::RecordDecision(decision) => self.decided(decision),
-                Output::LogChange(change) => self.changed(&change),
+                Output::Refuse { ticket, refusal } => {
+                    deliver_assignment(inner, ticket, Err(refusal))
+                }
+                Output::RecordDecision(decision) => self.record_decision(decision),
+                Output::LogChange(change) => self.log_change(&change),
             }
         }
-        answer
+        replies
     }
 
-    /// Sends a message in the answer to a call that is held back, or else in a call.
+    /// Sends a message in a pending response to a call of that box, or else in a call.
     fn send(&self, inner: &mut Inner, to: &BoxName, message: Message) {
         let mut messages = vec![message];
-        while let Some(tx) = inner.held.get_mut(to).and_then(VecDeque::pop_front) {
+        while let Some(tx) = inner.pending_responses.get_mut(to).and_then(VecDeque::pop_front) {
             match tx.send(messages) {
                 Ok(()) => return,
-                // The peer gave that call up.
+                // The call has timed out.
                 Err(unsent) => messages = unsent,
             }
         }
         let Some(message) = messages.pop() else { return };
-        if let Some(this) = self.this.upgrade() {
+        if let Some(this) = self.weak_self.upgrade() {
             let inbox: Arc<dyn Inbox> = this;
-            self.links.send(to, message, &inbox);
+            self.connections.send(to, message, &inbox);
         }
     }
 
-    /// The users ask for a line for each placement decision, so there is one.
-    fn decided(&self, decision: Decision) {
+    /// Logs a placement decision and records it. Users require a log line for every decision.
+    fn record_decision(&self, decision: Decision) {
         info!(self.log, "placed";
             "ticket" => format!("{:016x}", decision.ticket.0),
             "router" => %decision.router,
@@ -255,13 +258,14 @@
             KeyValue::new("why", format!("{:?}", decision.why)),
         ];
         self.metrics.decisions.add(1, &labels);
-        self.records.decided(decision);
+        self.history.add_decision(decision);
     }
 
-    fn changed(&self, change: &Change) {
+    fn log_change(&self, change: &Change) {
         match change {
             Change::Dispatcher { pool, dispatcher, is_local } => {
-                info!(self.log, "dispatcher"; "pool" => %pool, "is" => %dispatcher, "mine" => is_local);
+                info!(self.log, "dispatcher changed";
+                    "pool" => %pool, "is" => %dispatcher, "mine" => is_local);
             }
             Change::ConfigurationApplied { revision } => {
                 info!(self.log, "configuration in force"; "revision" => revision);
@@ -271,16 +275,16 @@
                     "revision" => revision, "from" => %from, "fault" => fault);
             }
             Change::Member { name, live } => {
-                info!(self.log, "member"; "name" => %name, "live" => live);
+                info!(self.log, "box liveness changed"; "name" => %name, "live" => live);
             }
         }
     }
 }
 
-/// Carries claims over the links.
-struct HubCourier(Weak<Hub>);
+/// Sends claims to other boxes over the connections of the hub.
+struct HubClaimTransport(Weak<Hub>);
 
-impl Courier for HubCourier {
+impl Courier for HubClaimTransport {
     fn writer_of(&self, shard: u64) -> Option<BoxName> {
         self.0.upgrade()?.read(|node, now| node.claims_writer(shard, now))
     }
@@ -294,13 +298,13 @@
 }
 
 impl Hub {
-    /// Handles the messages about claims, and gives the others back.
-    fn sift(&self, from: &BoxName, messages: Vec<Message>) -> Vec<Message> {
+    /// Handles the messages about claims and returns the others.
+    fn handle_claim_messages(&self, from: &BoxName, messages: Vec<Message>) -> Vec<Message> {
         let Some(claims) = self.claims.get() else { return messages };
         let mut others = Vec::with_capacity(messages.len());
         for message in messages {
             match message {
-                Message::Claim(claim) => self.claim(claims, from, claim),
+                Message::Claim(claim) => self.handle_claim(claims, from, claim),
                 Message::Claimed { a, v } => claims.answered(a, v),
                 other => others.push(other),
             }
@@ -308,8 +312,8 @@
         others
     }
 
-    fn claim(&self, claims: &Claims, from: &BoxName, claim: Claim) {
-        let (this, from, a) = (self.this.clone(), from.clone(), claim.attempt);
+    fn handle_claim(&self, claims: &Claims, from: &BoxName, claim: Claim) {
+        let (this, from, a) = (self.weak_self.clone(), from.clone(), claim.attempt);
         let wants = claim.op == Op::Take;
         claims.asked(claim, move |v| {
             if let Some(hub) = this.upgrade().filter(|_| wants) {
@@ -322,16 +326,16 @@
 
 impl Inbox for Hub {
     fn receive(&self, from: &BoxName, messages: Vec<Message>) {
-        let messages = self.sift(from, messages);
-        self.with(|node, now| node.receive(from, messages, now));
+        let messages = self.handle_claim_messages(from, messages);
+        self.update(|node, now| node.receive(from, messages, now));
     }
 
     fn unreachable(&self, name: &BoxName) {
-        self.with(|node, now| node.mark_unreachable(name, now));
+        self.update(|node, now| node.mark_unreachable(name, now));
     }
 
     fn lost(&self, name: &BoxName, messages: Vec<Message>) {
-        self.with(|node, now| node.messages_lost(name, messages, now));
+        self.update(|node, now| node.messages_lost(name, messages, now));
     }
 
     fn address(&self, name: &BoxName) -> Option<SocketAddr> {
@@ -341,26 +345,26 @@
 
 impl Handler for Hub {
     fn call(&self, from: &BoxName, messages: Vec<Message>) -> Answer {
-        let messages = self.sift(from, messages);
-        let expects = messages.iter().any(|m| matches!(m, Message::Ticket(_)));
+        let messages = self.handle_claim_messages(from, messages);
+        let expects_grant = messages.iter().any(|m| matches!(m, Message::Ticket(_)));
         let mut inner = self.inner.lock().expect("no panic under lock");
         inner.node.receive(from, messages, self.now());
-        let answer = self.act(&mut inner, Some(from));
-        if !expects || !answer.is_empty() {
-            return Answer::Now(answer);
+        let replies = self.perform_outputs(&mut inner, Some(from));
+        if !expects_grant || !replies.is_empty() {
+            return Answer::Now(replies);
         }
         let (tx, rx) = oneshot::channel();
-        let held = inner.held.entry(from.clone()).or_default();
-        held.retain(|tx| !tx.is_closed());
-        if HELD_MAX <= held.len() {
-            return Answer::Now(answer);
+        let pending_responses = inner.pending_responses.entry(from.clone()).or_default();
+        pending_responses.retain(|tx| !tx.is_closed());
+        if PENDING_RESPONSES_MAX <= pending_responses.len() {
+            return Answer::Now(replies);
         }
-        held.push_back(tx);
+        pending_responses.push_back(tx);
         Answer::Later(rx)
     }
 
     fn explain(&self, request: &str) -> Explanation {
-        self.records.explain(request)
+        self.history.explain(request)
     }
 
     fn status(&self) -> Status {
@@ -368,11 +372,11 @@
     }
 }
 
-fn place(inner: &mut Inner, ticket: TicketId, placement: Placement) {
-    // The request may have left at this very moment; it then finds that it was granted when it
-    // takes its ticket back.
-    if let Some(tx) = inner.starts.remove(&ticket) {
-        let _ = tx.send(placement);
+fn deliver_assignment(inner: &mut Inner, ticket: TicketId, result: AssignmentResult) {
+    // The request may have been dropped just now; it finds out that it was granted when it
+    // withdraws its ticket.
+    if let Some(tx) = inner.pending_assignments.remove(&ticket) {
+        let _ = tx.send(result);
     }
 }
 
@@ -399,7 +403,7 @@
     };
     let mut workspaces: Vec<WorkspaceStatus> = pool.queue().workspaces().map(status).collect();
     workspaces.sort_by_key(|w| w.virtual_time);
-    workspaces.truncate(WORKSPACES_SHOWN);
+    workspaces.truncate(STATUS_WORKSPACES_MAX);
     let upstreams = pool.upstreams().states().map(|(name, aside)| UpstreamStatus {
         upstream: name.clone(),
         aside: aside.map(|a| format!("{a:?}").to_lowercase()),
--- a/src/router/listener.rs
+++ b/src/router/listener.rs
@@ -1,4 +1,4 @@
-//! The callers' port: HTTP/1.1 by `hyper`.
+//! The callers' port, HTTP/1.1 by `hyper`.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -21,34 +21,34 @@
 use crate::names::BoxName;
 use crate::router::refusal;
 use crate::router::refusal::Body;
-use crate::router::refusal::Cause;
+use crate::router::refusal::RequestError;
 use crate::router::request_handler;
-use crate::router::request_handler::Service;
-use crate::router::request_handler::Tale;
+use crate::router::request_handler::RequestTrace;
+use crate::router::request_handler::RouterContext;
 use crate::router::service_request;
 use crate::web;
 
-/// Where services are.
-const SERVICES: &str = "/v1/services/";
+/// Path prefix of all services.
+const SERVICES_PATH: &str = "/v1/services/";
 
-/// Smallest buffer that `hyper` reads a head into, in bytes.
-const HEAD_BUF_MIN: usize = 8 << 10;
+/// Smallest buffer for a request head that `hyper` allows.
+const HEAD_BUF_MIN_BYTES: usize = 8 << 10;
 
-/// Serves callers until `stopped`; then finishes what is under way and returns.
+/// Serves callers until `stopped`, then completes the requests in progress and returns.
 pub async fn serve(
     listener: TcpListener,
-    service: Arc<Service>,
-    me: BoxName,
+    context: Arc<RouterContext>,
+    own_name: BoxName,
     stopped: impl Future<Output = ()>,
 ) {
-    let max = service.limits.max_connections;
-    web::accept(listener, max, stopped, |stream| connection(stream, &service, &me)).await;
+    let max = context.limits.max_connections;
+    web::accept(listener, max, stopped, |stream| connection(stream, &context, &own_name)).await;
 }
 
 fn connection(
     stream: TcpStream,
-    service: &Arc<Service>,
-    me: &BoxName,
+    context: &Arc<RouterContext>,
+    own_name: &BoxName,
 ) -> http1::Connection<
     TokioIo<TcpStream>,
     impl hyper::service::Service<
@@ -58,47 +58,51 @@
         Future: Send,
     > + use<>,
 > {
-    let limits = &service.limits;
+    let limits = &context.limits;
     let mut builder = http1::Builder::new();
     builder
         .timer(TokioTimer::new())
         .header_read_timeout(limits.head_timeout)
-        .max_buf_size(limits.max_header.max(HEAD_BUF_MIN))
+        .max_buf_size(limits.max_header.max(HEAD_BUF_MIN_BYTES))
         .half_close(false);
-    let (service, me) = (service.clone(), me.clone());
+    let (context, own_name) = (context.clone(), own_name.clone());
     let handle = service_fn(move |req| {
-        let (service, me) = (service.clone(), me.clone());
-        async move { Ok::<_, Infallible>(handle(&service, &me, req).await) }
+        let (context, own_name) = (context.clone(), own_name.clone());
+        async move { Ok::<_, Infallible>(handle(&context, &own_name, req).await) }
     });
     builder.serve_connection(TokioIo::new(stream), handle)
 }
 
-async fn handle(service: &Arc<Service>, me: &BoxName, req: Request<Incoming>) -> Response<Body> {
+async fn handle(
+    context: &Arc<RouterContext>,
+    own_name: &BoxName,
+    req: Request<Incoming>,
+) -> Response<Body> {
     if req.method() == Method::GET
-        && let Some(resp) = probe(service, req.uri().path())
+        && let Some(resp) = probe_response(context, req.uri().path())
     {
         return resp;
     }
-    let ticket = service.hub.new_ticket_id();
-    let request = format!("{me}-{:016x}", ticket.0);
-    let result = match read(service, req).await {
-        Ok((ask, body)) => {
-            let tale = Tale::new(&service.hub, request.clone(), ticket, &ask);
-            request_handler::serve(service, ask, body, tale).await
+    let ticket = context.hub.new_ticket_id();
+    let request_id = format!("{own_name}-{:016x}", ticket.0);
+    let result = match read_request(context, req).await {
+        Ok((request, body)) => {
+            let trace = RequestTrace::new(&context.hub, request_id.clone(), ticket, &request);
+            request_handler::serve(context, request, body, trace).await
         }
-        Err(cause) => Err(cause),
+        Err(error) => Err(error),
     };
-    result.unwrap_or_else(|cause| {
-        service.hub.metrics().refused.add(1, &[KeyValue::new("cause", cause.code())]);
-        refusal::response(&cause, &request)
+    result.unwrap_or_else(|error| {
+        context.hub.metrics().refused.add(1, &[KeyValue::new("cause", error.code())]);
+        refusal::response(&error, &request_id)
     })
 }
 
-/// Answers to the platform's balancer.
-fn probe(service: &Service, path: &str) -> Option<Response<Body>> {
+/// The response to a health probe of the platform's balancer.
+fn probe_response(context: &RouterContext, path: &str) -> Option<Response<Body>> {
     let ready = match path {
         "/healthz" => true,
-        "/readyz" => is_ready(service) && !*service.stopping.borrow(),
+        "/readyz" => is_ready(context) && !*context.stopping.borrow(),
         _ => return None,
     };
     let mut resp = Response::new(refusal::full(""));
@@ -108,28 +112,28 @@
     Some(resp)
 }
 
-fn is_ready(service: &Service) -> bool {
-    service.hub.read(|node, _| node.is_ready())
+fn is_ready(context: &RouterContext) -> bool {
+    context.hub.read(|node, _| node.is_ready())
 }
 
-async fn read(
-    service: &Service,
+async fn read_request(
+    context: &RouterContext,
     req: Request<Incoming>,
-) -> Result<(service_request::ServiceRequest, Bytes), Cause> {
+) -> Result<(service_request::ServiceRequest, Bytes), RequestError> {
     let (head, body) = req.into_parts();
-    let name = head.uri.path().strip_prefix(SERVICES).ok_or(Cause::NoPath)?;
+    let name = head.uri.path().strip_prefix(SERVICES_PATH).ok_or(RequestError::NoPath)?;
     if head.method != Method::POST {
-        return Err(Cause::Method);
+        return Err(RequestError::MethodNotAllowed);
     }
-    if *service.stopping.borrow() {
-        return Err(Cause::Stopping);
+    if *context.stopping.borrow() {
+        return Err(RequestError::Stopping);
     }
-    if !is_ready(service) {
-        return Err(Cause::NotReady);
+    if !is_ready(context) {
+        return Err(RequestError::NotReady);
     }
-    let cfg = service.hub.configuration();
-    let ask = service_request::parse(name, &head.headers, &cfg, &service.limits)?;
-    let limits = &service.limits;
+    let cfg = context.hub.configuration();
+    let request = service_request::parse(name, &head.headers, &cfg, &context.limits)?;
+    let limits = &context.limits;
     let body = web::read_body(body, limits.max_body, limits.head_timeout).await?;
-    Ok((ask, body))
+    Ok((request, body))
 }
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -1,4 +1,5 @@
-//! The router: the process that holds the callers' connections.
+//! The router process: it accepts callers' requests, obtains a grant for each from the dispatcher
+//! of its pool, and forwards it to an upstream.
 
 pub mod cost_meter;
 pub mod hub;
@@ -37,40 +38,40 @@
 use crate::platform::client::Client;
 use crate::platform::watch::News;
 use crate::router::hub::Hub;
-use crate::router::request_handler::Service;
-use crate::router::upstream_sender::Senders;
+use crate::router::request_handler::RouterContext;
+use crate::router::upstream_sender::SendingThreads;
 use crate::stop::Signals;
 use crate::util;
 
 /// Time between ticks of the node.
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long a call to the store for a claim may take: somebody waits for it.
+/// Timeout of a store call for a claim; a caller waits for it.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Threads of the asynchronous runtime: the boxes are small.
-const WORKERS: usize = 4;
+/// Threads of the asynchronous runtime; the boxes are small.
+const RUNTIME_THREADS: usize = 4;
 
-/// Why a router can't run.
+/// Why a router cannot run.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A socket or the runtime can't be had.
+    /// A socket or the runtime could not be created.
     #[error("{what}: {source}")]
     Io { what: &'static str, source: io::Error },
-    /// The metrics can't be had.
+    /// The metrics could not be set up.
     #[error(transparent)]
     Metrics(#[from] metrics::Error),
 }
 
-/// Runs a router until it is told to stop (SIGTERM). A second SIGTERM stops it at once.
+/// Runs a router until SIGTERM or SIGINT. A second signal stops it at once.
 pub fn run(cfg: settings::Router) -> Result<(), Error> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
-        .worker_threads(WORKERS)
+        .worker_threads(RUNTIME_THREADS)
         .enable_all()
         .build()
         .map_err(|source| Error::Io { what: "starting the runtime", source })?;
     let result = runtime.block_on(serve(cfg));
-    // Threads that watch the platform have nothing to finish.
+    // The threads that watch the platform have no work to complete.
     runtime.shutdown_background();
     result
 }
@@ -79,28 +80,28 @@
     let (log, _guard) = log::open(&cfg.log, "frostdyke-router", &cfg.identity.name);
     let metrics = Metrics::new()?;
     let traffic = Arc::new(Traffic::default());
-    let callers = bind("[listen] callers", cfg.callers).await?;
-    let peers = bind("[listen] peers", cfg.peers).await?;
-    let page = bind("[listen] metrics", cfg.metrics).await?;
+    let caller_listener = bind("[listen] callers", cfg.callers).await?;
+    let peer_listener = bind("[listen] peers", cfg.peers).await?;
+    let metrics_listener = bind("[listen] metrics", cfg.metrics).await?;
     let signals = Signals::new().map_err(|source| Error::Io { what: "signals", source })?;
     let hub = start_hub(&cfg, &metrics, &traffic, log.clone());
     info!(log, "listening"; "callers" => %cfg.callers, "peers" => %cfg.peers);
 
     let (stop, stopping) = watch::channel(false);
-    let service = Arc::new(Service {
+    let context = Arc::new(RouterContext {
         hub: hub.clone(),
-        senders: Senders::new(cfg.limits.max_running),
+        sending_threads: SendingThreads::new(cfg.limits.max_running),
         limits: cfg.limits.clone(),
         stopping,
     });
-    show(&metrics, &traffic, &service);
-    tokio::spawn(metrics.clone().serve(page));
-    follow_platform(&cfg, &hub);
-    upstream_health::watch(hub.clone());
-    tokio::spawn(server::serve(peers, cfg.secret.clone(), hub.clone(), traffic));
+    register_gauges(&metrics, &traffic, &context);
+    tokio::spawn(metrics.clone().serve(metrics_listener));
+    watch_platform(&cfg, &hub);
+    upstream_health::poll_upstreams(hub.clone());
+    tokio::spawn(server::serve(peer_listener, cfg.secret.clone(), hub.clone(), traffic));
     tokio::spawn(tick(hub.clone()));
     let stopped = wait_for_stop(hub.clone(), signals, stop);
-    listener::serve(callers, service, cfg.identity.name.clone(), stopped).await;
+    listener::serve(caller_listener, context, cfg.identity.name.clone(), stopped).await;
     info!(log, "stopped");
     metrics.stop();
     Ok(())
@@ -124,67 +125,67 @@
     let links = Links::new(&id.name, &cfg.secret, traffic);
     let node = Node::new(id, Tuning::default(), Gossip::default());
     let hub = Hub::new(node, links, metrics.clone(), log);
-    hub.with(|node, now| node.set_box_list(&cfg.seeds, now));
+    hub.update(|node, now| node.set_box_list(&cfg.seeds, now));
     hub
 }
 
-fn follow_platform(cfg: &settings::Router, hub: &Arc<Hub>) {
+fn watch_platform(cfg: &settings::Router, hub: &Arc<Hub>) {
     let client = Arc::new(Client::new(cfg.platform));
     hub.metrics().store_calls(client.calls());
-    let tell = |hub: Arc<Hub>| move |news| take_in(&hub, news);
-    platform::watch::configuration(client.clone(), tell(hub.clone()));
-    hub.open_claims(Arc::new(client.with_timeout(CLAIM_TIMEOUT)));
-    platform::watch::boxes(client, tell(hub.clone()));
+    let apply = |hub: Arc<Hub>| move |update| apply_platform_update(&hub, update);
+    platform::watch::configuration(client.clone(), apply(hub.clone()));
+    hub.start_claims(Arc::new(client.with_timeout(CLAIM_TIMEOUT)));
+    platform::watch::boxes(client, apply(hub.clone()));
 }
 
-fn take_in(hub: &Hub, news: News) {
-    match news {
+fn apply_platform_update(hub: &Hub, update: News) {
+    match update {
         News::Configuration { version, revision } => match *revision {
-            Ok(revision) => hub.with(|node, now| node.configure(revision, now)),
+            Ok(revision) => hub.update(|node, now| node.configure(revision, now)),
             Err(faults) => {
                 let fault = faults.first().map(ToString::to_string);
                 warn!(hub.log(), "configuration refused"; "revision" => version, "fault" => fault);
             }
         },
-        News::Boxes(list) => hub.with(|node, now| node.set_box_list(&list, now)),
-        News::Reach(Some(e)) => warn!(hub.log(), "platform lost"; "error" => %e),
-        News::Reach(None) => info!(hub.log(), "platform back"),
+        News::Boxes(list) => hub.update(|node, now| node.set_box_list(&list, now)),
+        News::Reach(Some(e)) => warn!(hub.log(), "platform unreachable"; "error" => %e),
+        News::Reach(None) => info!(hub.log(), "platform reachable again"),
     }
 }
 
 async fn tick(hub: Arc<Hub>) {
-    let mut interval = tokio::time::interval(TICK);
+    let mut interval = tokio::time::interval(TICK_INTERVAL);
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         interval.tick().await;
-        hub.with(|node, now| node.tick(now));
+        hub.update(|node, now| node.tick(now));
     }
 }
 
 /// Waits for SIGTERM or SIGINT, then for all requests to end. The port stays open meanwhile, so
-/// that callers the balancer still sends here hear that their request did not run.
+/// that callers that the balancer still sends here are told that their request did not run.
 async fn wait_for_stop(hub: Arc<Hub>, mut signals: Signals, stop: watch::Sender<bool>) {
     signals.next().await;
     info!(hub.log(), "stopping"; "running" => hub.read(|node, _| node.running_count()));
-    hub.with(|node, now| node.leave(now));
+    hub.update(|node, now| node.leave(now));
     let _ = stop.send(true);
     tokio::spawn(async move {
         signals.next().await;
         std::process::exit(1);
     });
     while hub.read(|node, _| node.running_count() + node.waiting_count()) != 0 {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
     }
 }
 
-/// Shows the figures that are read when the page is.
-fn show(metrics: &Metrics, traffic: &Arc<Traffic>, service: &Arc<Service>) {
+/// Registers the gauges and counters that are read when the metrics page is requested.
+fn register_gauges(metrics: &Metrics, traffic: &Arc<Traffic>, context: &Arc<RouterContext>) {
     metrics.traffic(traffic);
-    let senders = service.clone();
+    let threads = context.clone();
     metrics.gauge("frostdyke_sending_threads", move || {
-        vec![(senders.senders.live() as f64, Vec::new())]
+        vec![(threads.sending_threads.live_count() as f64, Vec::new())]
     });
-    let hub = service.hub.clone();
+    let hub = context.hub.clone();
     metrics.gauge("frostdyke_router", move || {
         hub.read(|node, _| {
             let label = |state: &'static str| vec![KeyValue::new("state", state)];
@@ -194,43 +195,43 @@
             ]
         })
     });
-    let hub = service.hub.clone();
+    let hub = context.hub.clone();
     metrics.count("frostdyke_claim_writes", move || hub.claims().map_or(0, |c| c.writes()));
-    let hub = service.hub.clone();
+    let hub = context.hub.clone();
     metrics.gauge("frostdyke_claims_down", move || {
         let down = hub.claims().is_some_and(|c| c.is_down());
         vec![(f64::from(u8::from(down)), Vec::new())]
     });
-    let hub = service.hub.clone();
+    let hub = context.hub.clone();
     metrics.gauge("frostdyke_live_boxes", move || {
         vec![(hub.read(|node, now| node.members().live(now).count()) as f64, Vec::new())]
     });
-    let hub = service.hub.clone();
+    let hub = context.hub.clone();
     metrics.gauge("frostdyke_revision", move || {
         vec![(hub.read(|node, _| node.configuration().number) as f64, Vec::new())]
     });
-    let hub = service.hub.clone();
-    metrics.gauge("frostdyke_pool", move || hub.read(|node, _| pool_figures(node)));
+    let hub = context.hub.clone();
+    metrics.gauge("frostdyke_pool", move || hub.read(|node, _| pool_gauges(node)));
 }
 
-/// For each dispatcher on this box: waiting, running, slots, utilisation and fairness gap.
-fn pool_figures(node: &Node) -> Vec<(f64, Vec<KeyValue>)> {
-    let mut figures = Vec::new();
+/// Gauges of each dispatcher on this box: waiting, running, slots, utilisation and fairness gap.
+fn pool_gauges(node: &Node) -> Vec<(f64, Vec<KeyValue>)> {
+    let mut gauges = Vec::new();
     for pool in node.pools() {
         let running = f64::from(pool.upstreams().running());
         let slots = f64::from(pool.upstreams().slots());
-        let shown = [
+        let values = [
             ("waiting", pool.queue().len() as f64),
             ("running", running),
             ("slots", slots),
             ("utilisation", if slots == 0.0 { 0.0 } else { running / slots }),
             ("gap", pool.gap()),
         ];
-        for (what, value) in shown {
+        for (what, value) in values {
             let labels =
                 vec![KeyValue::new("pool", pool.name().to_string()), KeyValue::new("what", what)];
-            figures.push((value, labels));
+            gauges.push((value, labels));
         }
     }
-    figures
+    gauges
 }
--- a/src/router/refusal.rs
+++ b/src/router/refusal.rs
@@ -1,4 +1,5 @@
-//! What callers are told: outcome headers, refusals with their cause, and when to come back.
+//! Responses to requests that no upstream answered: outcome headers, problem bodies and
+//! `retry-after`.
 
 use std::io;
 use std::time::Duration;
@@ -19,35 +20,35 @@
 use crate::router::service_request::InvalidRequest;
 use crate::web::BodyFault;
 
-/// Names the request, for whoever asks about it.
+/// Id of the request, by which its explanation is requested.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("frostdyke-request-id");
 
 /// `ran`, `not-run` or `unknown`.
 pub const OUTCOME: HeaderName = HeaderName::from_static("frostdyke-outcome");
 
-/// When to come back where nothing better is known.
+/// `retry-after` where no better estimate is known.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// When to come back while the platform can't be reached.
+/// `retry-after` while the platform is unreachable.
 const RETRY_AFTER_OUTAGE: Duration = Duration::from_secs(5);
 
-/// An answer's body; its error ends the connection where the caller can see it.
+/// A response body. An error ends the connection, so that the caller notices it.
 pub type Body = BoxBody<Bytes, io::Error>;
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// An upstream answered.
+    /// An upstream responded.
     Ran,
-    /// No byte of it can have reached an upstream.
+    /// No byte of the request can have reached an upstream.
     NotRun,
-    /// It was sent, but what became of it isn't known.
+    /// The request was sent, but whether it ran isn't known.
     Unknown,
 }
 
 impl Outcome {
-    /// The outcome as callers and figures name it.
+    /// The name of the outcome in headers and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Outcome::Ran => "ran",
@@ -57,35 +58,35 @@
     }
 }
 
-/// Why a request wasn't answered by an upstream.
+/// Why a request got no response from an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Cause {
-    /// The caller asked for something that can't be.
+pub enum RequestError {
+    /// The request is invalid.
     #[error(transparent)]
-    Bad(#[from] InvalidRequest),
-    /// Not `POST /v1/services/NAME`.
+    Invalid(#[from] InvalidRequest),
+    /// The path is not `/v1/services/NAME`.
     #[error("there is nothing at this path")]
     NoPath,
-    /// Another method than POST.
+    /// The method is not POST.
     #[error("only POST is served here")]
-    Method,
-    /// The body is longer than the limit, or didn't come whole in time.
+    MethodNotAllowed,
+    /// The body is longer than the limit, or was incomplete at the time limit.
     #[error(transparent)]
     Body(#[from] BodyFault),
-    /// The router refused to let it wait.
+    /// The request may not wait at this router.
     #[error(transparent)]
     Refused(#[from] Refusal),
-    /// Another attempt with the same key was answered.
+    /// Another attempt with the same key got a response.
     #[error("another attempt with this key has run")]
     DuplicateRan,
-    /// Another attempt with the same key runs, or nobody knows.
+    /// Another attempt with the same key runs, or its outcome is unknown.
     #[error("another attempt with this key runs, or its outcome is not known")]
     DuplicateElsewhere,
-    /// The key can't be claimed now. This attempt did not run; an earlier one may have, unless the
-    /// caller said that there is none.
+    /// The key cannot be claimed now. This attempt did not run; an earlier one may have run, unless
+    /// the caller stated that this is the first.
     #[error("the key can't be claimed now")]
-    NoClaim { first: bool },
-    /// Its deadline passed while it waited.
+    ClaimUnavailable { is_first_attempt: bool },
+    /// The deadline passed while the request waited.
     #[error("the deadline passed before an upstream was free")]
     Expired,
     /// This router has no configuration yet.
@@ -94,112 +95,118 @@
     /// This router is about to stop.
     #[error("this router is stopping")]
     Stopping,
-    /// All of the router's threads to upstreams are in use.
+    /// All sending threads that the workspace may use are busy.
     #[error("this router runs as many requests as it can")]
     Busy,
-    /// No upstream could be reached, on any try.
+    /// No upstream could be reached in any attempt.
     #[error("no upstream could be reached")]
     Unreachable,
-    /// It was sent, and the upstream failed before it answered.
+    /// The request was sent, and the upstream failed before it responded.
     #[error("the upstream failed: {0}")]
     UpstreamFailed(String),
-    /// It was sent, and the deadline passed before the answer began.
+    /// The request was sent, and the deadline passed before the response began.
     #[error("the deadline passed before the upstream answered")]
     TooLate,
 }
 
-impl Cause {
-    /// A short name for figures and for the page of refusals.
+impl RequestError {
+    /// A short name for metrics and for the problem type.
     pub fn code(&self) -> &'static str {
         match self {
-            Cause::Bad(InvalidRequest::Unauthorized) => "unauthorized",
-            Cause::Bad(InvalidRequest::NoWorkspace) => "no-workspace",
-            Cause::Bad(InvalidRequest::NoService) => "no-service",
-            Cause::Bad(InvalidRequest::NotAllowed) => "not-allowed",
-            Cause::Bad(InvalidRequest::Header(..)) => "bad-header",
-            Cause::Bad(InvalidRequest::Key(KeyFault::Old)) => "key-too-old",
-            Cause::Bad(InvalidRequest::Key(_)) => "bad-key",
-            Cause::DuplicateRan => "duplicate-ran",
-            Cause::DuplicateElsewhere => "duplicate-elsewhere",
-            Cause::NoClaim { .. } => "no-claim",
-            Cause::NoPath => "no-path",
-            Cause::Method => "method",
-            Cause::Body(BodyFault::TooLong) => "body-too-long",
-            Cause::Body(BodyFault::Cut) => "body-cut",
-            Cause::Refused(Refusal::WaitingLimit { .. }) => "waiting-limit",
-            Cause::Refused(Refusal::DeadlineTooShort { .. }) => "deadline-hopeless",
-            Cause::Refused(Refusal::NoPool) => "no-pool",
-            Cause::Expired => "expired",
-            Cause::NotReady => "not-ready",
-            Cause::Stopping => "stopping",
-            Cause::Busy => "busy",
-            Cause::Unreachable => "unreachable",
-            Cause::UpstreamFailed(_) => "upstream-failed",
-            Cause::TooLate => "too-late",
+            RequestError::Invalid(InvalidRequest::Unauthorized) => "unauthorized",
+            RequestError::Invalid(InvalidRequest::NoWorkspace) => "no-workspace",
+            RequestError::Invalid(InvalidRequest::NoService) => "no-service",
+            RequestError::Invalid(InvalidRequest::NotAllowed) => "not-allowed",
+            RequestError::Invalid(InvalidRequest::Header(..)) => "bad-header",
+            RequestError::Invalid(InvalidRequest::Key(KeyFault::Old)) => "key-too-old",
+            RequestError::Invalid(InvalidRequest::Key(_)) => "bad-key",
+            RequestError::DuplicateRan => "duplicate-ran",
+            RequestError::DuplicateElsewhere => "duplicate-elsewhere",
+            RequestError::ClaimUnavailable { .. } => "no-claim",
+            RequestError::NoPath => "no-path",
+            RequestError::MethodNotAllowed => "method",
+            RequestError::Body(BodyFault::TooLong) => "body-too-long",
+            RequestError::Body(BodyFault::Cut) => "body-cut",
+            RequestError::Refused(Refusal::WaitingLimit { .. }) => "waiting-limit",
+            RequestError::Refused(Refusal::DeadlineTooShort { .. }) => "deadline-hopeless",
+            RequestError::Refused(Refusal::NoPool) => "no-pool",
+            RequestError::Expired => "expired",
+            RequestError::NotReady => "not-ready",
+            RequestError::Stopping => "stopping",
+            RequestError::Busy => "busy",
+            RequestError::Unreachable => "unreachable",
+            RequestError::UpstreamFailed(_) => "upstream-failed",
+            RequestError::TooLate => "too-late",
         }
     }
 
     fn status(&self) -> StatusCode {
         match self {
-            Cause::Bad(InvalidRequest::Unauthorized) => StatusCode::UNAUTHORIZED,
-            Cause::Bad(InvalidRequest::NoWorkspace | InvalidRequest::NotAllowed) => {
+            RequestError::Invalid(InvalidRequest::Unauthorized) => StatusCode::UNAUTHORIZED,
+            RequestError::Invalid(InvalidRequest::NoWorkspace | InvalidRequest::NotAllowed) => {
                 StatusCode::FORBIDDEN
             }
-            Cause::Bad(InvalidRequest::NoService) | Cause::NoPath => StatusCode::NOT_FOUND,
-            Cause::Bad(InvalidRequest::Key(KeyFault::Old)) => StatusCode::GONE,
-            Cause::Bad(InvalidRequest::Header(..) | InvalidRequest::Key(_)) => {
+            RequestError::Invalid(InvalidRequest::NoService) | RequestError::NoPath => {
+                StatusCode::NOT_FOUND
+            }
+            RequestError::Invalid(InvalidRequest::Key(KeyFault::Old)) => StatusCode::GONE,
+            RequestError::Invalid(InvalidRequest::Header(..) | InvalidRequest::Key(_)) => {
                 StatusCode::BAD_REQUEST
             }
-            Cause::DuplicateRan | Cause::DuplicateElsewhere => StatusCode::CONFLICT,
-            Cause::Method => StatusCode::METHOD_NOT_ALLOWED,
-            Cause::Body(BodyFault::TooLong) => StatusCode::PAYLOAD_TOO_LARGE,
-            Cause::Body(BodyFault::Cut) => StatusCode::REQUEST_TIMEOUT,
-            Cause::Refused(Refusal::WaitingLimit { .. }) => StatusCode::TOO_MANY_REQUESTS,
-            Cause::Refused(Refusal::DeadlineTooShort { .. }) => StatusCode::SERVICE_UNAVAILABLE,
-            Cause::Refused(Refusal::NoPool)
-            | Cause::NoClaim { .. }
-            | Cause::NotReady
-            | Cause::Stopping
-            | Cause::Busy
-            | Cause::Unreachable => StatusCode::SERVICE_UNAVAILABLE,
-            Cause::UpstreamFailed(_) => StatusCode::BAD_GATEWAY,
-            Cause::Expired | Cause::TooLate => StatusCode::GATEWAY_TIMEOUT,
+            RequestError::DuplicateRan | RequestError::DuplicateElsewhere => StatusCode::CONFLICT,
+            RequestError::MethodNotAllowed => StatusCode::METHOD_NOT_ALLOWED,
+            RequestError::Body(BodyFault::TooLong) => StatusCode::PAYLOAD_TOO_LARGE,
+            RequestError::Body(BodyFault::Cut) => StatusCode::REQUEST_TIMEOUT,
+            RequestError::Refused(Refusal::WaitingLimit { .. }) => StatusCode::TOO_MANY_REQUESTS,
+            RequestError::Refused(Refusal::DeadlineTooShort { .. }) => {
+                StatusCode::SERVICE_UNAVAILABLE
+            }
+            RequestError::Refused(Refusal::NoPool)
+            | RequestError::ClaimUnavailable { .. }
+            | RequestError::NotReady
+            | RequestError::Stopping
+            | RequestError::Busy
+            | RequestError::Unreachable => StatusCode::SERVICE_UNAVAILABLE,
+            RequestError::UpstreamFailed(_) => StatusCode::BAD_GATEWAY,
+            RequestError::Expired | RequestError::TooLate => StatusCode::GATEWAY_TIMEOUT,
         }
     }
 
-    /// What became of the request.
+    /// The outcome that the caller is told.
     pub fn outcome(&self) -> Outcome {
         match self {
-            Cause::UpstreamFailed(_)
-            | Cause::TooLate
-            | Cause::DuplicateElsewhere
-            | Cause::NoClaim { first: false }
-            | Cause::Bad(InvalidRequest::Key(KeyFault::Old)) => Outcome::Unknown,
-            Cause::DuplicateRan => Outcome::Ran,
+            RequestError::UpstreamFailed(_)
+            | RequestError::TooLate
+            | RequestError::DuplicateElsewhere
+            | RequestError::ClaimUnavailable { is_first_attempt: false }
+            | RequestError::Invalid(InvalidRequest::Key(KeyFault::Old)) => Outcome::Unknown,
+            RequestError::DuplicateRan => Outcome::Ran,
             _ => Outcome::NotRun,
         }
     }
 
-    /// When to come back; nothing where the same request would fail again, or where sending it
-    /// again is the caller's own risk.
+    /// When to retry; `None` where the same request would fail again, or where a retry is at the
+    /// caller's own risk.
     fn retry_after(&self) -> Option<Duration> {
         match self {
-            Cause::Refused(Refusal::WaitingLimit { retry_after })
-            | Cause::Refused(Refusal::DeadlineTooShort { retry_after }) => Some(*retry_after),
-            Cause::NoClaim { .. } => Some(RETRY_AFTER_OUTAGE),
-            Cause::Refused(Refusal::NoPool)
-            | Cause::NotReady
-            | Cause::Stopping
-            | Cause::Busy
-            | Cause::DuplicateElsewhere
-            | Cause::Expired
-            | Cause::Unreachable => Some(RETRY_AFTER),
+            RequestError::Refused(Refusal::WaitingLimit { retry_after })
+            | RequestError::Refused(Refusal::DeadlineTooShort { retry_after }) => {
+                Some(*retry_after)
+            }
+            RequestError::ClaimUnavailable { .. } => Some(RETRY_AFTER_OUTAGE),
+            RequestError::Refused(Refusal::NoPool)
+            | RequestError::NotReady
+            | RequestError::Stopping
+            | RequestError::Busy
+            | RequestError::DuplicateElsewhere
+            | RequestError::Expired
+            | RequestError::Unreachable => Some(RETRY_AFTER),
             _ => None,
         }
     }
 }
 
-/// The body of a refusal (RFC 9457).
+/// Problem details (RFC 9457).
 #[derive(Serialize)]
 struct Problem<'a> {
     r#type: String,
@@ -209,35 +216,35 @@
     request: &'a str,
 }
 
-/// The answer that tells a cause.
-pub fn response(cause: &Cause, request: &str) -> Response<Body> {
-    let status = cause.status();
+/// The response for a request that failed with `error`.
+pub fn response(error: &RequestError, request_id: &str) -> Response<Body> {
+    let status = error.status();
     let problem = Problem {
-        r#type: format!("urn:frostdyke:{}", cause.code()),
-        title: cause.to_string(),
+        r#type: format!("urn:frostdyke:{}", error.code()),
+        title: error.to_string(),
         status: status.as_u16(),
-        outcome: cause.outcome(),
-        request,
+        outcome: error.outcome(),
+        request: request_id,
     };
     let text = serde_json::to_vec(&problem).expect("plain text serializes");
     let mut resp = Response::new(full(text));
     *resp.status_mut() = status;
     let headers = resp.headers_mut();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/problem+json"));
-    headers.insert(OUTCOME, HeaderValue::from_static(cause.outcome().as_str()));
-    if let Some(after) = cause.retry_after() {
+    headers.insert(OUTCOME, HeaderValue::from_static(error.outcome().as_str()));
+    if let Some(after) = error.retry_after() {
         headers.insert(header::RETRY_AFTER, HeaderValue::from(after.as_secs().max(1)));
     }
-    if *cause == Cause::Stopping {
+    if *error == RequestError::Stopping {
         headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
-    if let Ok(id) = HeaderValue::from_str(request) {
+    if let Ok(id) = HeaderValue::from_str(request_id) {
         headers.insert(REQUEST_ID, id);
     }
     resp
 }
 
-/// A body that is all there.
+/// A body whose bytes are all available.
 pub fn full(data: impl Into<Bytes>) -> Body {
     Full::new(data.into()).map_err(|never| match never {}).boxed()
 }
--- a/src/router/request_handler.rs
+++ b/src/router/request_handler.rs
@@ -1,4 +1,4 @@
-//! The life of one request: wait for a grant, send, and pass the answer on.
+//! Serves one request: waits for a grant, sends the request and forwards the response.
 
 use std::sync::Arc;
 use std::time::SystemTime;
@@ -32,362 +32,393 @@
 use crate::retry_after;
 use crate::router::hub::Hub;
 use crate::router::refusal::Body;
-use crate::router::refusal::Cause;
 use crate::router::refusal::OUTCOME;
 use crate::router::refusal::Outcome;
 use crate::router::refusal::REQUEST_ID;
+use crate::router::refusal::RequestError;
 use crate::router::response_body;
-use crate::router::response_body::Answer;
-use crate::router::response_body::Placed;
+use crate::router::response_body::PlacedRequest;
+use crate::router::response_body::UpstreamBody;
 use crate::router::service_request::PREFIX;
 use crate::router::service_request::ServiceRequest;
-use crate::router::stream_resume::Resume;
-use crate::router::upstream_sender::Event;
-use crate::router::upstream_sender::Incoming;
-use crate::router::upstream_sender::Outgoing;
-use crate::router::upstream_sender::Senders;
+use crate::router::stream_resume::StreamResume;
+use crate::router::upstream_sender::ResponseEvent;
+use crate::router::upstream_sender::ResponseReceiver;
+use crate::router::upstream_sender::SendingThreads;
+use crate::router::upstream_sender::UpstreamRequest;
 use crate::status::Attempt;
 use crate::status::RequestRecord;
 
-/// Tries of one request, however much the retry budget holds.
-const TRIES_MAX: usize = 3;
+/// Most attempts of one request, independent of the retry budget.
+const ATTEMPTS_MAX: usize = 3;
 
-/// Headers of an upstream's answer that concern its own connection only.
+/// Headers of an upstream's response that apply to its connection only.
 const HOP_BY_HOP: [header::HeaderName; 4] =
     [header::CONNECTION, header::TRANSFER_ENCODING, header::UPGRADE, header::TRAILER];
 
-/// What serving a request needs.
-pub struct Service {
-    /// The node.
+/// What all requests of the router share.
+pub struct RouterContext {
     pub hub: Arc<Hub>,
-    /// Threads to upstreams.
-    pub senders: Senders,
+    /// The threads that send requests to upstreams.
+    pub sending_threads: SendingThreads,
     /// Limits of the callers' port.
     pub limits: Limits,
     /// Whether this process is about to stop.
     pub stopping: watch::Receiver<bool>,
 }
 
-/// Serves a request that was read and checked.
+/// Serves a request that was read and validated.
 pub async fn serve(
-    service: &Arc<Service>,
-    ask: ServiceRequest,
+    context: &Arc<RouterContext>,
+    request: ServiceRequest,
     body: Bytes,
-    tale: Tale,
-) -> Result<Response<Body>, Cause> {
-    let mut flow = Flow { service: service.clone(), ask, body, tale, claimed: None, failed: None };
-    // A request that was sent once doesn't become "not run" because its next try wasn't sent.
-    let result = flow.run().await.map_err(|cause| match (cause.outcome(), flow.failed.take()) {
-        (Outcome::NotRun, Some(earlier)) => earlier,
-        _ => cause,
-    });
-    if let Err(cause) = &result {
-        flow.tale.end(cause.outcome());
+    trace: RequestTrace,
+) -> Result<Response<Body>, RequestError> {
+    let mut handler = RequestHandler {
+        context: context.clone(),
+        request,
+        body,
+        trace,
+        claim: None,
+        last_failure: None,
+    };
+    // A request that was sent once doesn't become "not run" because its next attempt wasn't sent.
+    let result =
+        handler.run().await.map_err(|error| match (error.outcome(), handler.last_failure.take()) {
+            (Outcome::NotRun, Some(earlier)) => earlier,
+            _ => error,
+        });
+    if let Err(error) = &result {
+        handler.trace.finish(error.outcome());
     }
     result
 }
 
-struct Flow {
-    service: Arc<Service>,
-    ask: ServiceRequest,
+struct RequestHandler {
+    context: Arc<RouterContext>,
+    request: ServiceRequest,
     body: Bytes,
-    tale: Tale,
-    claimed: Option<Claimed>,
-    /// Why the last try failed of which a byte may have left.
-    failed: Option<Cause>,
+    trace: RequestTrace,
+    claim: Option<ClaimGuard>,
+    /// Why the last attempt failed of which a byte may have been sent.
+    last_failure: Option<RequestError>,
 }
 
-/// What sending came to.
-enum Sent {
-    /// The answer has begun.
-    Answered(Response<Body>),
-    /// It failed in a way that allows another try.
-    Again(Cause),
+/// The result of sending a request.
+enum SendOutcome {
+    /// The response has begun.
+    Responded(Response<Body>),
+    /// It failed in a way that allows another attempt.
+    Retry(RequestError),
 }
 
-impl Flow {
-    async fn run(&mut self) -> Result<Response<Body>, Cause> {
-        let deadline = Instant::now() + self.ask.deadline;
-        self.claim().await?;
-        let mut id = self.tale.first;
+impl RequestHandler {
+    async fn run(&mut self) -> Result<Response<Body>, RequestError> {
+        let deadline = Instant::now() + self.request.deadline;
+        self.acquire_claim().await?;
+        let mut id = self.trace.first_ticket;
         let mut avoid = None;
         loop {
-            let placed = self.place(id, avoid.take(), deadline).await?;
+            let placed = self.wait_for_grant(id, avoid.take(), deadline).await?;
             avoid = Some(placed.upstream.clone());
-            let cause = match self.send(placed, deadline).await? {
-                Sent::Answered(resp) => return Ok(resp),
-                Sent::Again(cause) => cause,
+            let error = match self.send(placed, deadline).await? {
+                SendOutcome::Responded(resp) => return Ok(resp),
+                SendOutcome::Retry(error) => error,
             };
-            if cause.outcome() != Outcome::NotRun {
-                self.failed = Some(cause.clone());
+            if error.outcome() != Outcome::NotRun {
+                self.last_failure = Some(error.clone());
             }
-            if TRIES_MAX <= self.tale.attempts.len()
-                || !self.service.hub.try_take_retry(&self.ask.pool)
+            if ATTEMPTS_MAX <= self.trace.attempts.len()
+                || !self.context.hub.try_take_retry(&self.request.pool)
             {
-                return Err(cause);
+                return Err(error);
             }
-            id = self.service.hub.new_ticket_id();
+            id = self.context.hub.new_ticket_id();
         }
     }
 
-    /// Claims the key of a request that must not be repeated.
-    async fn claim(&mut self) -> Result<(), Cause> {
-        let Some(key) = self.ask.key else { return Ok(()) };
-        let unavailable = Cause::NoClaim { first: self.ask.first };
-        let Some(claims) = self.service.hub.claims() else { return Err(unavailable) };
-        // Goes on by itself when the caller leaves meanwhile, so that the claim is released.
+    /// Claims the idempotency key of a request that must not be repeated.
+    async fn acquire_claim(&mut self) -> Result<(), RequestError> {
+        let Some(key) = self.request.idempotency_key else { return Ok(()) };
+        let unavailable =
+            RequestError::ClaimUnavailable { is_first_attempt: self.request.is_first_attempt };
+        let Some(claims) = self.context.hub.claims() else { return Err(unavailable) };
+        // A separate task, so that the claim is released if the caller disconnects meanwhile.
         let (tx, rx) = oneshot::channel();
-        let taker = claims.clone();
+        let task_claims = claims.clone();
         tokio::spawn(async move {
-            let result = taker.take(key, rand::random::<u64>() >> 1).await;
+            let result = task_claims.take(key, rand::random::<u64>() >> 1).await;
             if let Err(Ok(attempt)) = tx.send(result) {
-                taker.settle(key, attempt, false);
+                task_claims.settle(key, attempt, false);
             }
         });
         let result = rx.await.unwrap_or(Err(Verdict::Unavailable));
         let attempt = result.map_err(|v| match v {
-            Verdict::Ran => Cause::DuplicateRan,
-            Verdict::Elsewhere => Cause::DuplicateElsewhere,
+            Verdict::Ran => RequestError::DuplicateRan,
+            Verdict::Elsewhere => RequestError::DuplicateElsewhere,
             Verdict::Taken | Verdict::Unavailable | Verdict::Full => unavailable,
         })?;
-        self.claimed = Some(Claimed { claims: claims.clone(), key, attempt, sent: false });
+        self.claim = Some(ClaimGuard { claims: claims.clone(), key, attempt, sent: false });
         Ok(())
     }
 
-    /// Notes whether any byte of the request may have left, for the key it holds.
-    fn note_sent(&mut self, sent: bool) {
-        if let Some(claimed) = &mut self.claimed {
-            claimed.sent = sent;
+    /// Records whether any byte of the request may have been sent, which decides whether its claim
+    /// is released.
+    fn set_sent(&mut self, sent: bool) {
+        if let Some(claim) = &mut self.claim {
+            claim.sent = sent;
         }
     }
 
-    /// Waits for a grant.
-    async fn place(
+    /// Submits a ticket and waits for its grant.
+    async fn wait_for_grant(
         &mut self,
         id: TicketId,
         avoid: Option<UpstreamName>,
         deadline: Instant,
-    ) -> Result<Placed, Cause> {
-        let hub = &self.service.hub;
+    ) -> Result<PlacedRequest, RequestError> {
+        let hub = &self.context.hub;
         let arrived = Instant::now();
         let rx = hub.submit(self.ticket(id, avoid, deadline))?;
-        let mut waiting = Waiting { hub: hub.clone(), id, granted: false };
-        self.tale.attempts.push(Attempt {
+        let mut guard = WaitingGuard { hub: hub.clone(), id, granted: false };
+        self.trace.attempts.push(Attempt {
             ticket: id,
             upstream: None,
             waited_ms: 0,
             ending: "waiting".to_owned(),
         });
-        let mut stopping = self.service.stopping.clone();
-        let start = tokio::select! {
+        let mut stopping = self.context.stopping.clone();
+        let assignment = tokio::select! {
             biased;
-            placement = rx => match placement {
-                Ok(placement) => placement.map_err(Cause::from),
-                Err(_) => Err(Cause::NotReady),
+            result = rx => match result {
+                Ok(result) => result.map_err(RequestError::from),
+                Err(_) => Err(RequestError::NotReady),
             },
-            _ = tokio::time::sleep_until(deadline) => Err(Cause::Expired),
-            _ = stopping.wait_for(|&s| s) => Err(Cause::Stopping),
+            _ = tokio::time::sleep_until(deadline) => Err(RequestError::Expired),
+            _ = stopping.wait_for(|&s| s) => Err(RequestError::Stopping),
         };
         let waited = arrived.elapsed();
-        let attempt = self.tale.attempts.last_mut().expect("pushed above");
+        let attempt = self.trace.attempts.last_mut().expect("pushed above");
         attempt.waited_ms = waited.as_millis() as u64;
-        let start = start.inspect_err(|cause| attempt.ending = cause.code().to_owned())?;
-        waiting.granted = true;
-        attempt.upstream = Some(start.upstream.clone());
+        let assignment =
+            assignment.inspect_err(|error| attempt.ending = error.code().to_owned())?;
+        guard.granted = true;
+        attempt.upstream = Some(assignment.upstream.clone());
         attempt.ending = "sent".to_owned();
-        let class = KeyValue::new("class", class_name(self.ask.class));
+        let class = KeyValue::new("class", class_label(self.request.class));
         hub.metrics().waits.record(waited.as_secs_f64(), &[class]);
-        Ok(Placed::new(hub, id, start, &self.ask))
+        Ok(PlacedRequest::new(hub, id, assignment, &self.request))
     }
 
-    /// Sends the request where it was placed, and waits until the answer begins.
-    async fn send(&mut self, mut placed: Placed, deadline: Instant) -> Result<Sent, Cause> {
-        let cfg = self.service.hub.configuration();
+    /// Sends the request to its upstream and waits until the response begins.
+    async fn send(
+        &mut self,
+        mut placed: PlacedRequest,
+        deadline: Instant,
+    ) -> Result<SendOutcome, RequestError> {
+        let cfg = self.context.hub.configuration();
         let upstream = cfg.upstream(&placed.upstream);
-        // The last word on an upstream that leaves is had here, right before sending.
+        // An upstream that began draining after the grant is detected here, right before sending.
         let Some(upstream) = upstream.filter(|u| !u.draining) else {
-            placed.end(Ending::Unused);
-            self.note_ending("drained");
-            return Ok(Sent::Again(Cause::Unreachable));
+            placed.finish(Ending::Unused);
+            self.set_attempt_ending("drained");
+            return Ok(SendOutcome::Retry(RequestError::Unreachable));
         };
-        info!(self.service.hub.log(), "routed";
-            "request" => &self.tale.request,
-            "ticket" => format!("{:016x}", placed.id.0),
-            "workspace" => %self.ask.workspace,
-            "service" => %self.ask.service,
+        info!(self.context.hub.log(), "routed";
+            "request" => &self.trace.request_id,
+            "ticket" => format!("{:016x}", placed.ticket.0),
+            "workspace" => %self.request.workspace,
+            "service" => %self.request.service,
             "upstream" => %upstream.name,
-            "attempt" => self.tale.attempts.len(),
+            "attempt" => self.trace.attempts.len(),
         );
-        let outgoing = Outgoing {
+        let upstream_request = UpstreamRequest {
             method: Method::POST,
             addr: upstream.address,
-            path: self.ask.path.clone(),
-            headers: self.outgoing_headers(),
+            path: self.request.upstream_path.clone(),
+            headers: self.upstream_headers(),
             body: self.body.clone(),
-            idle_timeout: self.service.limits.idle_timeout,
+            idle_timeout: self.context.limits.idle_timeout,
         };
-        self.note_sent(true);
-        let resume = self.resume(&outgoing);
-        let Ok(mut incoming) = self.service.senders.send(&self.ask.workspace, outgoing) else {
-            self.note_sent(false);
-            placed.end(Ending::Unused);
-            self.note_ending("busy");
-            return Err(Cause::Busy);
+        self.set_sent(true);
+        let resume = self.stream_resume(&upstream_request);
+        let Ok(mut receiver) =
+            self.context.sending_threads.send(&self.request.workspace, upstream_request)
+        else {
+            self.set_sent(false);
+            placed.finish(Ending::Unused);
+            self.set_attempt_ending("busy");
+            return Err(RequestError::Busy);
         };
         let first = tokio::select! {
-            first = incoming.next() => first,
+            first = receiver.next() => first,
             _ = tokio::time::sleep_until(deadline) => {
-                self.note_ending("too-late");
-                return Err(Cause::TooLate);
+                self.set_attempt_ending("too-late");
+                return Err(RequestError::TooLate);
             }
         };
         match first {
-            Some(Event::Head { status, headers }) => {
-                self.answer(placed, status, headers, incoming, resume)
+            Some(ResponseEvent::Head { status, headers }) => {
+                self.start_response(placed, status, headers, receiver, resume)
             }
-            Some(Event::Failed { sent, reason }) => {
-                placed.end(Ending::Failed);
-                self.failed(sent, reason)
+            Some(ResponseEvent::Failed { sent, reason }) => {
+                placed.finish(Ending::Failed);
+                self.handle_failure(sent, reason)
             }
             _ => {
-                placed.end(Ending::Failed);
-                self.failed(true, "the sending thread ended".to_owned())
+                placed.finish(Ending::Failed);
+                self.handle_failure(true, "the sending thread ended".to_owned())
             }
         }
     }
 
-    /// Decides what a failure before the answer means.
-    fn failed(&mut self, sent: bool, reason: String) -> Result<Sent, Cause> {
-        self.note_ending(&reason);
-        self.note_sent(sent);
-        match (sent, self.ask.repeatable) {
-            (false, _) => Ok(Sent::Again(Cause::Unreachable)),
-            (true, true) => Ok(Sent::Again(Cause::UpstreamFailed(reason))),
-            (true, false) => Err(Cause::UpstreamFailed(reason)),
+    /// Decides whether the request may be retried after a failure before the response.
+    fn handle_failure(&mut self, sent: bool, reason: String) -> Result<SendOutcome, RequestError> {
+        self.set_attempt_ending(&reason);
+        self.set_sent(sent);
+        match (sent, self.request.repeatable) {
+            (false, _) => Ok(SendOutcome::Retry(RequestError::Unreachable)),
+            (true, true) => Ok(SendOutcome::Retry(RequestError::UpstreamFailed(reason))),
+            (true, false) => Err(RequestError::UpstreamFailed(reason)),
         }
     }
 
-    fn answer(
+    fn start_response(
         &mut self,
-        mut placed: Placed,
+        mut placed: PlacedRequest,
         status: StatusCode,
         headers: HeaderMap,
-        incoming: Incoming,
-        resume: Option<Resume>,
-    ) -> Result<Sent, Cause> {
+        receiver: ResponseReceiver,
+        resume: Option<StreamResume>,
+    ) -> Result<SendOutcome, RequestError> {
         let echoed = headers.get(REQUEST_ID).map(HeaderValue::as_bytes);
-        if echoed.is_some_and(|id| id != self.tale.request.as_bytes()) {
-            placed.end(Ending::Failed);
-            return self.failed(true, "the answer belongs to another request".to_owned());
+        if echoed.is_some_and(|id| id != self.trace.request_id.as_bytes()) {
+            placed.finish(Ending::Failed);
+            return self.handle_failure(true, "the response belongs to another request".to_owned());
         }
         if status == StatusCode::SERVICE_UNAVAILABLE
             && let Some(backoff) = retry_after::read(&headers, SystemTime::now())
         {
-            placed.back_off(backoff);
+            placed.set_backoff(backoff);
         }
-        if self.ask.repeatable && is_refusal(status) && self.tale.attempts.len() < TRIES_MAX {
-            placed.end(Ending::Failed);
-            return self.failed(true, format!("the upstream refused with {status}"));
+        if self.request.repeatable
+            && is_rejection(status)
+            && self.trace.attempts.len() < ATTEMPTS_MAX
+        {
+            placed.finish(Ending::Failed);
+            return self.handle_failure(true, format!("the upstream refused with {status}"));
         }
-        if let Some(claimed) = self.claimed.take() {
-            claimed.claims.settle(claimed.key, claimed.attempt, true);
+        if let Some(claim) = self.claim.take() {
+            claim.claims.settle(claim.key, claim.attempt, true);
         }
         let length =
             headers.get(header::CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.parse().ok());
         let framed = response_body::is_framed(&headers);
         let resume = resume.filter(|_| status == StatusCode::OK && is_event_stream(&headers));
-        let request = self.tale.request.clone();
-        let tale = self.tale.take();
-        let answer = Answer::new(placed, tale, incoming, length, framed, resume);
-        let mut resp = Response::new(answer.boxed());
+        let request_id = self.trace.request_id.clone();
+        let trace = self.trace.take();
+        let body = UpstreamBody::new(placed, trace, receiver, length, framed, resume);
+        let mut resp = Response::new(body.boxed());
         *resp.status_mut() = status;
         *resp.headers_mut() = headers;
         for name in HOP_BY_HOP {
             resp.headers_mut().remove(name);
         }
         resp.headers_mut().insert(OUTCOME, HeaderValue::from_static(Outcome::Ran.as_str()));
-        if let Ok(id) = HeaderValue::from_str(&request) {
+        if let Ok(id) = HeaderValue::from_str(&request_id) {
             resp.headers_mut().insert(REQUEST_ID, id);
         }
-        Ok(Sent::Answered(resp))
+        Ok(SendOutcome::Responded(resp))
     }
 
-    /// How to go on with the answer if it is cut, where the service's upstreams can.
-    fn resume(&self, outgoing: &Outgoing) -> Option<Resume> {
-        let path = self.ask.resume.as_deref()?;
-        let (workspace, pool) = (&self.ask.workspace, &self.ask.pool);
-        let request = &self.tale.request;
-        Some(Resume::new(&self.service, workspace, pool, request, outgoing.clone(), path))
+    /// The state to resume the response if it breaks off; `None` if the service's upstreams can't.
+    fn stream_resume(&self, upstream_request: &UpstreamRequest) -> Option<StreamResume> {
+        let path = self.request.resume_path.as_deref()?;
+        let (workspace, pool) = (&self.request.workspace, &self.request.pool);
+        let request_id = &self.trace.request_id;
+        Some(StreamResume::new(
+            &self.context,
+            workspace,
+            pool,
+            request_id,
+            upstream_request.clone(),
+            path,
+        ))
     }
 
     fn ticket(&self, id: TicketId, avoid: Option<UpstreamName>, deadline: Instant) -> Ticket {
-        let left = deadline.saturating_duration_since(Instant::now());
+        let remaining = deadline.saturating_duration_since(Instant::now());
         Ticket {
             id,
-            router: self.tale.router(),
-            workspace: self.ask.workspace.clone(),
-            service: self.ask.service.clone(),
-            pool: self.ask.pool.clone(),
-            class: self.ask.class,
-            deadline_ms: left.as_millis() as u64,
-            prefix: self.ask.prefix,
+            router: self.trace.router_name(),
+            workspace: self.request.workspace.clone(),
+            service: self.request.service.clone(),
+            pool: self.request.pool.clone(),
+            class: self.request.class,
+            deadline_ms: remaining.as_millis() as u64,
+            prefix: self.request.prefix_hash,
             avoid,
             forwarded: false,
         }
     }
 
-    fn outgoing_headers(&self) -> HeaderMap {
-        let mut headers = self.ask.headers.clone();
-        if let Ok(id) = HeaderValue::from_str(&self.tale.request) {
+    fn upstream_headers(&self) -> HeaderMap {
+        let mut headers = self.request.forwarded_headers.clone();
+        if let Ok(id) = HeaderValue::from_str(&self.trace.request_id) {
             headers.insert(REQUEST_ID, id);
         }
-        if self.ask.prefix != 0 {
-            headers.insert(PREFIX, HeaderValue::from(self.ask.prefix));
+        if self.request.prefix_hash != 0 {
+            headers.insert(PREFIX, HeaderValue::from(self.request.prefix_hash));
         }
         headers
     }
 
-    fn note_ending(&mut self, ending: &str) {
-        self.tale.note_ending(ending);
+    fn set_attempt_ending(&mut self, ending: &str) {
+        self.trace.set_attempt_ending(ending);
     }
 }
 
-/// What is remembered of a request, to be told when it has ended.
-pub struct Tale {
+/// Collects what is recorded of a request when it ends.
+pub struct RequestTrace {
     hub: Arc<Hub>,
-    /// The request's id, as the caller is told.
-    pub request: String,
-    first: TicketId,
+    /// The id that the caller gets.
+    pub request_id: String,
+    first_ticket: TicketId,
     workspace: WorkspaceName,
     service: ServiceName,
     attempts: Vec<Attempt>,
     arrived: Instant,
 }
 
-impl Tale {
-    /// Begins with the request's arrival.
-    pub fn new(hub: &Arc<Hub>, request: String, first: TicketId, ask: &ServiceRequest) -> Tale {
-        Tale {
+impl RequestTrace {
+    /// Starts at the request's arrival.
+    pub fn new(
+        hub: &Arc<Hub>,
+        request_id: String,
+        first_ticket: TicketId,
+        request: &ServiceRequest,
+    ) -> RequestTrace {
+        RequestTrace {
             hub: hub.clone(),
-            request,
-            first,
-            workspace: ask.workspace.clone(),
-            service: ask.service.clone(),
+            request_id,
+            first_ticket,
+            workspace: request.workspace.clone(),
+            service: request.service.clone(),
             attempts: Vec::new(),
             arrived: Instant::now(),
         }
     }
 
-    fn router(&self) -> BoxName {
+    fn router_name(&self) -> BoxName {
         self.hub.read(|node, _| node.identity().name.clone())
     }
 
-    /// Moves the tale on to who tells its end.
-    fn take(&mut self) -> Tale {
-        Tale {
+    /// Moves the trace to the response body, which records the end.
+    fn take(&mut self) -> RequestTrace {
+        RequestTrace {
             hub: self.hub.clone(),
-            request: self.request.clone(),
-            first: self.first,
+            request_id: self.request_id.clone(),
+            first_ticket: self.first_ticket,
             workspace: self.workspace.clone(),
             service: self.service.clone(),
             attempts: std::mem::take(&mut self.attempts),
@@ -395,22 +426,22 @@
         }
     }
 
-    /// Notes how the last attempt ended, or goes on.
-    pub fn note_ending(&mut self, ending: &str) {
+    /// Sets how the last attempt ended, or its current state.
+    pub fn set_attempt_ending(&mut self, ending: &str) {
         if let Some(attempt) = self.attempts.last_mut() {
             attempt.ending = ending.to_owned();
         }
     }
 
-    /// Counts the request as ended, and remembers it to be asked about.
-    pub fn end(&mut self, outcome: Outcome) {
+    /// Counts the request as ended and adds it to the history.
+    pub fn finish(&mut self, outcome: Outcome) {
         let labels = [
             KeyValue::new("workspace", self.workspace.to_string()),
             KeyValue::new("outcome", outcome.as_str()),
         ];
         self.hub.metrics().requests.add(1, &labels);
-        self.hub.records().ended(RequestRecord {
-            request: self.request.clone(),
+        self.hub.history().add_request(RequestRecord {
+            request: self.request_id.clone(),
             workspace: self.workspace.clone(),
             service: self.service.clone(),
             attempts: std::mem::take(&mut self.attempts),
@@ -420,15 +451,16 @@
     }
 }
 
-/// A key that this request holds. Dropped before any byte of the request has left, it is released.
-struct Claimed {
+/// An idempotency key that this request has claimed. It is released on drop if no byte of the
+/// request can have been sent.
+struct ClaimGuard {
     claims: Arc<Claims>,
     key: Key,
     attempt: u64,
     sent: bool,
 }
 
-impl Drop for Claimed {
+impl Drop for ClaimGuard {
     fn drop(&mut self) {
         if !self.sent {
             self.claims.settle(self.key, self.attempt, false);
@@ -436,27 +468,27 @@
     }
 }
 
-/// A request that waits. Dropped before its grant, it takes its ticket back.
-struct Waiting {
+/// A waiting request. If dropped before its grant, it withdraws its ticket.
+struct WaitingGuard {
     hub: Arc<Hub>,
     id: TicketId,
     granted: bool,
 }
 
-impl Drop for Waiting {
+impl Drop for WaitingGuard {
     fn drop(&mut self) {
         if self.granted {
             return;
         }
         if !self.hub.withdraw(self.id) {
-            // The grant came at this very moment.
+            // The grant arrived just now.
             self.hub.finish(self.id, 0, Ending::Unused);
         }
     }
 }
 
-/// Whether an upstream says that it didn't take the request on.
-fn is_refusal(status: StatusCode) -> bool {
+/// Whether an upstream's status means that it didn't accept the request.
+fn is_rejection(status: StatusCode) -> bool {
     matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS)
 }
 
@@ -465,7 +497,7 @@
     kind.is_some_and(|kind| kind.starts_with(b"text/event-stream"))
 }
 
-fn class_name(class: Class) -> &'static str {
+fn class_label(class: Class) -> &'static str {
     match class {
         Class::Urgent => "urgent",
         Class::Normal => "normal",
--- a/src/router/request_history.rs
+++ b/src/router/request_history.rs
@@ -1,4 +1,4 @@
-//! The latest decisions and requests of a box, kept in bounded rings to be asked about.
+//! The latest decisions and requests of a box, kept in bounded rings for explanations.
 
 use crossbeam::queue::ArrayQueue;
 
@@ -7,53 +7,56 @@
 use crate::status::Explanation;
 use crate::status::RequestRecord;
 
-/// Decisions and requests that a box remembers; the oldest are forgotten first.
+/// Most decisions and most requests kept by a box; the oldest are dropped first.
 const RECORDS_MAX: usize = 4096;
 
-/// What a box remembers.
+/// The latest placement decisions and ended requests of a box.
 #[derive(Debug)]
-pub struct Records {
+pub struct RequestHistory {
     decisions: ArrayQueue<Decision>,
     requests: ArrayQueue<RequestRecord>,
 }
 
-impl Default for Records {
-    fn default() -> Records {
-        Records { decisions: ArrayQueue::new(RECORDS_MAX), requests: ArrayQueue::new(RECORDS_MAX) }
+impl Default for RequestHistory {
+    fn default() -> RequestHistory {
+        RequestHistory {
+            decisions: ArrayQueue::new(RECORDS_MAX),
+            requests: ArrayQueue::new(RECORDS_MAX),
+        }
     }
 }
 
-impl Records {
-    /// Remembers a decision of a dispatcher.
-    pub fn decided(&self, decision: Decision) {
+impl RequestHistory {
+    /// Adds a decision of a dispatcher.
+    pub fn add_decision(&self, decision: Decision) {
         self.decisions.force_push(decision);
     }
 
-    /// Remembers a request that has ended.
-    pub fn ended(&self, record: RequestRecord) {
+    /// Adds a request that has ended.
+    pub fn add_request(&self, record: RequestRecord) {
         self.requests.force_push(record);
     }
 
-    /// What is known of a request, named by its id or by one of its tickets in hexadecimal.
+    /// What is known of a request, given by its id or by one of its tickets in hexadecimal.
     ///
-    /// The rings are read by taking each record out and putting it back, which may forget a few
-    /// of the oldest if others are added meanwhile.
+    /// The rings are read by removing each record and adding it again, which may drop a few of the
+    /// oldest if others are added meanwhile.
     pub fn explain(&self, request: &str) -> Explanation {
-        let requests = rotate(&self.requests, |r| r.request == request);
+        let requests = find_all(&self.requests, |r| r.request == request);
         let mut tickets: Vec<TicketId> =
             requests.iter().flat_map(|r| r.attempts.iter().map(|a| a.ticket)).collect();
-        tickets.extend(ticket_of(request));
-        let decisions = rotate(&self.decisions, |d| tickets.contains(&d.ticket));
+        tickets.extend(first_ticket(request));
+        let decisions = find_all(&self.decisions, |d| tickets.contains(&d.ticket));
         Explanation { request: requests.into_iter().next(), decisions }
     }
 }
 
-/// Passes every record once and copies those that `wanted` picks.
-fn rotate<T: Clone>(ring: &ArrayQueue<T>, wanted: impl Fn(&T) -> bool) -> Vec<T> {
+/// Visits every record once and returns copies of those that match.
+fn find_all<T: Clone>(ring: &ArrayQueue<T>, matches: impl Fn(&T) -> bool) -> Vec<T> {
     let mut found = Vec::new();
     for _ in 0..ring.len() {
         let Some(record) = ring.pop() else { break };
-        if wanted(&record) {
+        if matches(&record) {
             found.push(record.clone());
         }
         ring.force_push(record);
@@ -61,8 +64,8 @@
     found
 }
 
-/// The ticket in a request id, which ends in its first ticket.
-fn ticket_of(request: &str) -> Option<TicketId> {
+/// The first ticket of a request, which is the end of the request's id.
+fn first_ticket(request: &str) -> Option<TicketId> {
     let (_, hex) = request.rsplit_once('-')?;
     u64::from_str_radix(hex, 16).ok().map(TicketId)
 }
--- a/src/router/response_body.rs
+++ b/src/router/response_body.rs
@@ -1,5 +1,5 @@
-//! Passing an answer on: counts its cost, cuts it where the upstream does, or has the upstream go on
-//! with it.
+//! Forwards a response: measures its cost, and resumes or aborts it when the upstream's stream
+//! breaks off.
 
 use std::io;
 use std::pin::Pin;
@@ -20,229 +20,248 @@
 use crate::peer::message::TicketId;
 use crate::router::cost_meter;
 use crate::router::cost_meter::CostMeter;
+use crate::router::hub::Assignment;
 use crate::router::hub::Hub;
-use crate::router::hub::Start;
 use crate::router::refusal::Outcome;
-use crate::router::request_handler::Tale;
+use crate::router::request_handler::RequestTrace;
 use crate::router::service_request::ServiceRequest;
-use crate::router::stream_resume::Resume;
-use crate::router::upstream_sender::Event;
-use crate::router::upstream_sender::Incoming;
+use crate::router::stream_resume::StreamResume;
+use crate::router::upstream_sender::ResponseEvent;
+use crate::router::upstream_sender::ResponseReceiver;
 
-/// A request that has its grant. Dropped before its end, it counts as cancelled.
-pub struct Placed {
+/// A request that has a grant. If dropped before its end, it is reported as cancelled.
+pub struct PlacedRequest {
     hub: Arc<Hub>,
     /// Its ticket.
-    pub id: TicketId,
-    /// Where it goes.
+    pub ticket: TicketId,
+    /// The upstream that runs it.
     pub upstream: UpstreamName,
-    /// The cost at which the node is told of it next.
-    next_report: u64,
+    /// The cost above which it is reported to the node again.
+    next_report_cost: u64,
     meter: Box<dyn CostMeter>,
     labels: [KeyValue; 2],
-    /// The backoff that the upstream asks for.
+    /// The backoff that the upstream requested.
     backoff: Option<Duration>,
     ended: bool,
 }
 
-impl Placed {
-    /// A request that was placed just now.
-    pub fn new(hub: &Arc<Hub>, id: TicketId, start: Start, ask: &ServiceRequest) -> Placed {
-        Placed {
+impl PlacedRequest {
+    pub fn new(
+        hub: &Arc<Hub>,
+        ticket: TicketId,
+        assignment: Assignment,
+        request: &ServiceRequest,
+    ) -> PlacedRequest {
+        PlacedRequest {
             hub: hub.clone(),
-            id,
-            upstream: start.upstream,
-            next_report: start.cover,
-            meter: cost_meter::for_unit(ask.unit),
+            ticket,
+            upstream: assignment.upstream,
+            next_report_cost: assignment.cover,
+            meter: cost_meter::for_unit(request.cost_unit),
             labels: [
-                KeyValue::new("workspace", ask.workspace.to_string()),
-                KeyValue::new("pool", ask.pool.to_string()),
+                KeyValue::new("workspace", request.workspace.to_string()),
+                KeyValue::new("pool", request.pool.to_string()),
             ],
             backoff: None,
             ended: false,
         }
     }
 
-    /// Notes the backoff that the upstream asks for.
-    pub fn back_off(&mut self, length: Duration) {
-        self.backoff = Some(length);
+    /// Sets the backoff that the upstream requested.
+    pub fn set_backoff(&mut self, backoff: Duration) {
+        self.backoff = Some(backoff);
     }
 
-    fn piece(&mut self, piece: &[u8]) {
-        let cost = self.meter.add_chunk(piece);
-        if self.next_report < cost {
-            self.next_report = self.hub.produced(self.id, cost);
+    fn add_chunk(&mut self, chunk: &[u8]) {
+        let cost = self.meter.add_chunk(chunk);
+        if self.next_report_cost < cost {
+            self.next_report_cost = self.hub.record_progress(self.ticket, cost);
         }
     }
 
-    /// Tells the dispatcher how it ended, once.
-    pub fn end(&mut self, ending: Ending) {
+    /// Reports to the dispatcher how the request ended, once.
+    pub fn finish(&mut self, ending: Ending) {
         if self.ended {
             return;
         }
         self.ended = true;
         let cost = if ending == Ending::Unused { 0 } else { self.meter.cost() };
         let backoff_ms = self.backoff.and_then(|d| u32::try_from(d.as_millis()).ok());
-        self.hub.finish(self.id, cost, backoff_ms.map_or(ending, Ending::Backoff));
+        self.hub.finish(self.ticket, cost, backoff_ms.map_or(ending, Ending::Backoff));
         self.hub.metrics().service.add(cost, &self.labels);
     }
 }
 
-impl Drop for Placed {
+impl Drop for PlacedRequest {
     fn drop(&mut self) {
-        self.end(Ending::Cancelled);
+        self.finish(Ending::Cancelled);
     }
 }
 
-/// The body of an answer, as it comes from the upstream.
-pub struct Answer {
-    placed: Placed,
-    tale: Tale,
-    incoming: Incoming,
-    /// Bytes still to come, where the upstream has told the length.
-    left: Option<u64>,
-    /// Whether the upstream's end of the body can be told from a cut.
+/// The body of a response, forwarded from the upstream.
+pub struct UpstreamBody {
+    placed: PlacedRequest,
+    trace: RequestTrace,
+    receiver: ResponseReceiver,
+    /// Remaining bytes, if the upstream stated the length.
+    remaining_bytes: Option<u64>,
+    /// Whether the end of the body can be distinguished from a broken connection.
     framed: bool,
-    /// How to go on after a cut, where the upstream can.
-    resume: Option<Resume>,
-    /// Why the answer is about to be cut.
-    cutting: Option<io::Error>,
+    /// Resumes the response after it broke off, if the upstream can.
+    resume: Option<StreamResume>,
+    /// The error with which the response is aborted at the next poll.
+    pending_error: Option<io::Error>,
 }
 
 type FrameResult = Result<Frame<Bytes>, io::Error>;
 
-impl Answer {
-    /// An answer whose head has come. Its body has `length` bytes where that is known; without it,
-    /// only a `framed` one has an end that can be told from a cut.
+impl UpstreamBody {
+    /// A body whose head was received. It has `length` bytes if that is known. Without a length,
+    /// the end can be distinguished from a broken connection only if the body is `framed`.
     pub fn new(
-        placed: Placed,
-        tale: Tale,
-        incoming: Incoming,
+        placed: PlacedRequest,
+        trace: RequestTrace,
+        receiver: ResponseReceiver,
         length: Option<u64>,
         framed: bool,
-        resume: Option<Resume>,
-    ) -> Answer {
-        let mut answer =
-            Answer { placed, tale, incoming, left: length, framed, resume, cutting: None };
+        resume: Option<StreamResume>,
+    ) -> UpstreamBody {
+        let mut body = UpstreamBody {
+            placed,
+            trace,
+            receiver,
+            remaining_bytes: length,
+            framed,
+            resume,
+            pending_error: None,
+        };
         if length == Some(0) {
-            answer.end(Ending::Answered);
+            body.finish(Ending::Answered);
         }
-        answer
+        body
     }
 
-    fn end(&mut self, ending: Ending) {
+    fn finish(&mut self, ending: Ending) {
         if self.placed.ended {
             return;
         }
-        self.placed.end(ending);
-        let resumed = self.resume.as_ref().map_or(0, Resume::times);
+        self.placed.finish(ending);
+        let resume_count = self.resume.as_ref().map_or(0, StreamResume::resume_count);
         let mut text = format!("{ending:?}").to_lowercase();
-        if resumed != 0 {
-            text.push_str(&format!(", resumed {resumed} times"));
+        if resume_count != 0 {
+            text.push_str(&format!(", resumed {resume_count} times"));
         }
-        self.tale.note_ending(&text);
-        self.tale.end(Outcome::Ran);
+        self.trace.set_attempt_ending(&text);
+        self.trace.finish(Outcome::Ran);
     }
 
-    /// Passes a piece on; nothing when all of it is kept back for now.
-    fn piece(&mut self, piece: Bytes) -> Option<Bytes> {
-        let piece = match &mut self.resume {
-            Some(resume) => resume.piece(&piece)?,
-            None => piece,
+    /// Returns the bytes to forward for a chunk; `None` if all of it is buffered.
+    fn forward_chunk(&mut self, chunk: Bytes) -> Option<Bytes> {
+        let chunk = match &mut self.resume {
+            Some(resume) => resume.push(&chunk)?,
+            None => chunk,
         };
-        self.placed.piece(&piece);
-        if let Some(left) = &mut self.left {
-            *left = left.saturating_sub(piece.len() as u64);
-            // Nobody asks for more once the last byte is there.
-            if *left == 0 {
-                self.end(Ending::Answered);
+        self.placed.add_chunk(&chunk);
+        if let Some(remaining) = &mut self.remaining_bytes {
+            *remaining = remaining.saturating_sub(chunk.len() as u64);
+            // The body is not polled again after its last byte.
+            if *remaining == 0 {
+                self.finish(Ending::Answered);
             }
         }
-        Some(piece)
+        Some(chunk)
     }
 
-    /// Has the upstream go on with an answer that was cut.
-    fn go_on(&mut self) -> bool {
+    /// Requests the rest of a response that broke off; returns whether it was requested.
+    fn try_resume(&mut self) -> bool {
         let Some(resume) = &mut self.resume else { return false };
-        // A whole answer needs nothing more.
+        // A complete response is not resumed.
         if self.placed.ended || !self.placed.hub.try_take_retry(resume.pool()) {
             return false;
         }
-        let Some(incoming) = resume.again() else { return false };
-        self.incoming = incoming;
+        let Some(receiver) = resume.request_rest() else { return false };
+        self.receiver = receiver;
         true
     }
 
-    /// Cuts the answer at the next poll. An error now would take along what `hyper` has not yet
-    /// passed on: the head, even. While it is told to wait, it does that first.
-    fn cut(&mut self, reason: &str, cx: &Context<'_>) -> Poll<Option<FrameResult>> {
+    /// Aborts the response at the next poll. An error now would make `hyper` discard what it has
+    /// not written yet, even the head. While the body is pending, `hyper` writes that first.
+    fn abort(&mut self, reason: &str, cx: &Context<'_>) -> Poll<Option<FrameResult>> {
         if self.placed.ended {
             return Poll::Ready(None);
         }
-        self.end(Ending::Failed);
-        self.cutting = Some(io::Error::other(reason.to_owned()));
+        self.finish(Ending::Failed);
+        self.pending_error = Some(io::Error::other(reason.to_owned()));
         cx.waker().wake_by_ref();
         Poll::Pending
     }
 
-    /// The end of the upstream's body.
-    fn whole(&mut self) -> Poll<Option<FrameResult>> {
-        let rest = self.resume.as_mut().and_then(Resume::rest);
-        if let Some(rest) = rest {
-            self.placed.piece(&rest);
-            // The next poll finds the channel closed, and the answer ended.
-            self.end(Ending::Answered);
-            return Poll::Ready(Some(Ok(Frame::data(rest))));
+    /// Completes the response after the end of the upstream's body.
+    fn complete(&mut self) -> Poll<Option<FrameResult>> {
+        let partial = self.resume.as_mut().and_then(StreamResume::take_partial);
+        if let Some(partial) = partial {
+            self.placed.add_chunk(&partial);
+            // The next poll finds the channel closed and the response ended.
+            self.finish(Ending::Answered);
+            return Poll::Ready(Some(Ok(Frame::data(partial))));
         }
-        self.end(Ending::Answered);
+        self.finish(Ending::Answered);
         Poll::Ready(None)
     }
 }
 
-impl hyper::body::Body for Answer {
+impl hyper::body::Body for UpstreamBody {
     type Data = Bytes;
     type Error = io::Error;
 
     fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<FrameResult>> {
         let this = &mut *self;
-        if let Some(e) = this.cutting.take() {
+        if let Some(e) = this.pending_error.take() {
             return Poll::Ready(Some(Err(e)));
         }
         loop {
-            let event = match this.incoming.poll_next(cx) {
+            let event = match this.receiver.poll_next(cx) {
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(event) => event,
             };
             match event {
-                Some(Event::Piece(piece)) => match this.piece(piece) {
-                    Some(piece) => return Poll::Ready(Some(Ok(Frame::data(piece)))),
+                Some(ResponseEvent::Chunk(chunk)) => match this.forward_chunk(chunk) {
+                    Some(chunk) => return Poll::Ready(Some(Ok(Frame::data(chunk)))),
                     None => continue,
                 },
-                Some(Event::End) if this.framed => return this.whole(),
-                Some(Event::End) => {
-                    return this.cut("the answer's end can't be told from a cut", cx);
+                Some(ResponseEvent::End) if this.framed => return this.complete(),
+                Some(ResponseEvent::End) => {
+                    return this.abort(
+                        "the response has neither content-length nor transfer-encoding",
+                        cx,
+                    );
                 }
-                Some(Event::Failed { .. }) if this.go_on() => continue,
-                Some(Event::Failed { reason, .. }) => return this.cut(&reason, cx),
-                Some(Event::Head { status, headers })
-                    if this.resume.as_ref().is_some_and(|r| r.is_mine(status, &headers)) =>
+                Some(ResponseEvent::Failed { .. }) if this.try_resume() => continue,
+                Some(ResponseEvent::Failed { reason, .. }) => return this.abort(&reason, cx),
+                Some(ResponseEvent::Head { status, headers })
+                    if this
+                        .resume
+                        .as_ref()
+                        .is_some_and(|r| r.matches_response(status, &headers)) =>
                 {
                     this.framed = is_framed(&headers);
                 }
-                Some(Event::Head { .. }) => return this.cut("the answer can't be resumed", cx),
-                None => return this.cut("the sending thread ended", cx),
+                Some(ResponseEvent::Head { .. }) => {
+                    return this.abort("the upstream did not resume the response", cx);
+                }
+                None => return this.abort("the sending thread ended", cx),
             }
         }
     }
 }
 
-/// Whether the end of a body can be told from a cut.
+/// Whether the end of a body can be distinguished from a broken connection.
 pub fn is_framed(headers: &HeaderMap) -> bool {
     headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
 }
 
-impl Drop for Answer {
+impl Drop for UpstreamBody {
     fn drop(&mut self) {
-        self.end(Ending::Cancelled);
+        self.finish(Ending::Cancelled);
     }
 }
--- a/src/router/service_request.rs
+++ b/src/router/service_request.rs
@@ -1,4 +1,4 @@
-//! What a caller asks for, read from the head of an HTTP request and checked.
+//! Parses and validates the head of an HTTP request for a service.
 
 use std::time::Duration;
 use std::time::SystemTime;
@@ -23,68 +23,67 @@
 use crate::names::WorkspaceName;
 use crate::peer::message::Class;
 
-/// Milliseconds in which the caller wants an answer to begin.
+/// Milliseconds within which the response must begin.
 pub const DEADLINE: HeaderName = HeaderName::from_static("frostdyke-deadline-ms");
 
 /// `urgent`, `normal` or `background`.
 pub const CLASS: HeaderName = HeaderName::from_static("frostdyke-class");
 
-/// `no` for a request that must not run twice, `yes` for one that may.
+/// Whether the request may run twice: `yes` or `no`.
 pub const REPEATABLE: HeaderName = HeaderName::from_static("frostdyke-repeatable");
 
-/// Any text; prompts with equal hints likely share a prefix.
+/// Arbitrary text; prompts with equal values likely share a prefix.
 pub const PREFIX: HeaderName = HeaderName::from_static("frostdyke-prefix");
 
-/// The workspace, where callers are trusted to say.
+/// The workspace, where callers are trusted to name it.
 pub const WORKSPACE: HeaderName = HeaderName::from_static("frostdyke-workspace");
 
-/// Names a request so that sending it again doesn't run it again.
-pub const KEY: HeaderName = HeaderName::from_static("idempotency-key");
+/// Identifies a request, so that sending it again doesn't run it again.
+pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// `first` when the caller has not sent this key before.
+/// `first` if the caller has not sent this key before, else `again`.
 pub const ATTEMPT: HeaderName = HeaderName::from_static("frostdyke-attempt");
 
-/// Longest idempotency key, in bytes.
-pub const KEY_MAX: usize = 200;
+/// Longest idempotency key.
+pub const KEY_MAX_BYTES: usize = 200;
 
 /// Longest deadline.
 const DEADLINE_MAX: Duration = Duration::from_secs(24 * 3600);
 
-/// What a caller asks for.
+/// A validated request for a service.
 #[derive(Clone, Debug)]
 pub struct ServiceRequest {
-    /// Who is charged.
+    /// The workspace that is charged.
     pub workspace: WorkspaceName,
-    /// What is asked for.
     pub service: ServiceName,
-    /// Where it is served.
+    /// The pool that serves it.
     pub pool: PoolName,
-    /// The path to call on the upstream.
-    pub path: String,
-    /// The path that goes on with an answer, where upstreams have one.
-    pub resume: Option<String>,
-    /// What its cost is counted in.
-    pub unit: Unit,
-    /// How much of a hurry it is in.
+    /// The path on the upstream.
+    pub upstream_path: String,
+    /// The path that resumes a response, where upstreams have one.
+    pub resume_path: Option<String>,
+    /// The unit of its cost.
+    pub cost_unit: Unit,
+    /// Its priority class.
     pub class: Class,
-    /// How long the caller waits for the answer to begin.
+    /// How long the caller waits for the response to begin.
     pub deadline: Duration,
-    /// What to claim before it is sent, for one that must not be repeated and carries a key.
-    pub key: Option<Key>,
+    /// The key to claim before sending, if the request must not be repeated and has one.
+    pub idempotency_key: Option<Key>,
     /// Whether it may be sent to an upstream more than once.
     pub repeatable: bool,
-    /// Whether the caller says that it has not sent this key before.
-    pub first: bool,
+    /// Whether the caller states that it has not sent this key before.
+    pub is_first_attempt: bool,
     /// Hash of the prefix hint; 0 for none.
-    pub prefix: u64,
-    /// Headers that are passed on.
-    pub headers: HeaderMap,
+    pub prefix_hash: u64,
+    /// Headers that are forwarded to the upstream.
+    pub forwarded_headers: HeaderMap,
 }
 
-/// What is wrong with a request.
+/// Why a request is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidRequest {
-    /// No key, or one that names no workspace.
+    /// There is no API key, or no workspace has it.
     #[error("the key names no workspace")]
     Unauthorized,
     /// The workspace doesn't exist.
@@ -96,15 +95,15 @@
     /// The workspace may not use the service.
     #[error("this workspace may not use this service")]
     NotAllowed,
-    /// A header has a value that it can't have.
+    /// A header has an invalid value.
     #[error("{0}: {1}")]
     Header(HeaderName, &'static str),
-    /// The key of a request that must not be repeated isn't one that can be claimed.
+    /// The idempotency key of a request that must not be repeated cannot be claimed.
     #[error("idempotency-key: {0}")]
     Key(#[from] KeyFault),
 }
 
-/// Reads what is asked of `service`.
+/// Parses a request for `service`.
 pub fn parse(
     service: &str,
     headers: &HeaderMap,
@@ -124,46 +123,47 @@
         workspace,
         service: service.name.clone(),
         pool: pool.name.clone(),
-        path: service.path.clone(),
-        resume: service.resume.clone(),
-        unit: pool.unit,
+        upstream_path: service.path.clone(),
+        resume_path: service.resume.clone(),
+        cost_unit: pool.unit,
         class: class(headers)?,
         deadline: deadline(headers)?.unwrap_or(limits.default_deadline),
-        key,
+        idempotency_key: key,
         repeatable,
-        first: first(headers)?,
-        prefix: prefix(headers),
-        headers: passed_on(headers),
+        is_first_attempt: is_first_attempt(headers)?,
+        prefix_hash: prefix_hash(headers),
+        forwarded_headers: forwarded_headers(headers),
     })
 }
 
 fn authenticate(
     headers: &HeaderMap,
     cfg: &Revision,
-    trusted: bool,
+    trust_header: bool,
 ) -> Result<WorkspaceName, InvalidRequest> {
-    if trusted {
-        let name = text(headers, &WORKSPACE)?.ok_or(InvalidRequest::Unauthorized)?;
+    if trust_header {
+        let name = single_value(headers, &WORKSPACE)?.ok_or(InvalidRequest::Unauthorized)?;
         let workspace = cfg.workspace(name).ok_or(InvalidRequest::NoWorkspace)?;
         return Ok(workspace.name.clone());
     }
-    let value = text(headers, &header::AUTHORIZATION)?.ok_or(InvalidRequest::Unauthorized)?;
+    let value =
+        single_value(headers, &header::AUTHORIZATION)?.ok_or(InvalidRequest::Unauthorized)?;
     let key = value.strip_prefix("Bearer ").ok_or(InvalidRequest::Unauthorized)?;
     let digest = hex::encode(Sha256::digest(key.as_bytes()));
-    // Every digest is compared, and in constant time, so that timing tells nothing of the keys.
-    let mut found = None;
+    // Every digest is compared, in constant time, so that timing reveals nothing about the keys.
+    let mut matched = None;
     for workspace in &cfg.catalog.workspaces {
         let matches = |known: &String| known.as_bytes().ct_eq(digest.as_bytes());
         let any = workspace.key_digests.iter().map(matches).fold(Choice::from(0), |a, b| a | b);
         if any.into() {
-            found = Some(workspace.name.clone());
+            matched = Some(workspace.name.clone());
         }
     }
-    found.ok_or(InvalidRequest::Unauthorized)
+    matched.ok_or(InvalidRequest::Unauthorized)
 }
 
 fn class(headers: &HeaderMap) -> Result<Class, InvalidRequest> {
-    match text(headers, &CLASS)? {
+    match single_value(headers, &CLASS)? {
         None | Some("normal") => Ok(Class::Normal),
         Some("urgent") => Ok(Class::Urgent),
         Some("background") => Ok(Class::Background),
@@ -172,7 +172,7 @@
 }
 
 fn deadline(headers: &HeaderMap) -> Result<Option<Duration>, InvalidRequest> {
-    let Some(text) = text(headers, &DEADLINE)? else { return Ok(None) };
+    let Some(text) = single_value(headers, &DEADLINE)? else { return Ok(None) };
     let millis =
         text.parse().map_err(|_| InvalidRequest::Header(DEADLINE, "must be milliseconds"))?;
     let deadline = Duration::from_millis(millis);
@@ -183,15 +183,15 @@
 }
 
 fn key(headers: &HeaderMap) -> Result<Option<&str>, InvalidRequest> {
-    let Some(text) = text(headers, &KEY)? else { return Ok(None) };
-    if text.is_empty() || KEY_MAX < text.len() {
-        return Err(InvalidRequest::Header(KEY, "must have 1 to 200 bytes"));
+    let Some(text) = single_value(headers, &IDEMPOTENCY_KEY)? else { return Ok(None) };
+    if text.is_empty() || KEY_MAX_BYTES < text.len() {
+        return Err(InvalidRequest::Header(IDEMPOTENCY_KEY, "must have 1 to 200 bytes"));
     }
     Ok(Some(text))
 }
 
-fn first(headers: &HeaderMap) -> Result<bool, InvalidRequest> {
-    match text(headers, &ATTEMPT)? {
+fn is_first_attempt(headers: &HeaderMap) -> Result<bool, InvalidRequest> {
+    match single_value(headers, &ATTEMPT)? {
         None | Some("again") => Ok(false),
         Some("first") => Ok(true),
         Some(_) => Err(InvalidRequest::Header(ATTEMPT, "must be first or again")),
@@ -199,7 +199,7 @@
 }
 
 fn repeatable(headers: &HeaderMap) -> Result<Option<bool>, InvalidRequest> {
-    match text(headers, &REPEATABLE)? {
+    match single_value(headers, &REPEATABLE)? {
         None => Ok(None),
         Some("yes") => Ok(Some(true)),
         Some("no") => Ok(Some(false)),
@@ -207,22 +207,25 @@
     }
 }
 
-fn prefix(headers: &HeaderMap) -> u64 {
+fn prefix_hash(headers: &HeaderMap) -> u64 {
     headers.get(&PREFIX).map_or(0, |v| xxh3_64(v.as_bytes()).max(1))
 }
 
-fn passed_on(headers: &HeaderMap) -> HeaderMap {
-    let names = [header::CONTENT_TYPE, header::ACCEPT, CLASS, KEY];
-    let wanted = names.into_iter().filter_map(|n| Some((n.clone(), headers.get(n)?.clone())));
-    wanted.collect()
+fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
+    let names = [header::CONTENT_TYPE, header::ACCEPT, CLASS, IDEMPOTENCY_KEY];
+    let forwarded = names.into_iter().filter_map(|n| Some((n.clone(), headers.get(n)?.clone())));
+    forwarded.collect()
 }
 
-/// The one value of a header, which must be text.
-fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, InvalidRequest> {
+/// The value of a header, which must be text and occur at most once.
+fn single_value<'a>(
+    headers: &'a HeaderMap,
+    name: &HeaderName,
+) -> Result<Option<&'a str>, InvalidRequest> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else { return Ok(None) };
     if values.next().is_some() {
-        return Err(InvalidRequest::Header(name.clone(), "stands twice"));
+        return Err(InvalidRequest::Header(name.clone(), "given more than once"));
     }
     let text = HeaderValue::to_str(value);
     text.map(Some).map_err(|_| InvalidRequest::Header(name.clone(), "must be plain text"))
--- a/src/router/stream_resume.rs
+++ b/src/router/stream_resume.rs
@@ -1,8 +1,8 @@
-//! Going on with an event stream that the upstream cut, where the upstream can stream an answer again
-//! from an event on.
+//! Resumes an event stream that broke off, where the upstream can stream a response again from a
+//! given event on.
 //!
-//! Only whole events are passed on, so a cut never leaves the caller with half of one, and the count
-//! of events tells where to go on.
+//! Only complete events are forwarded, so the caller never has half of one when the stream breaks
+//! off, and the number of forwarded events is where to resume.
 
 use std::sync::Arc;
 
@@ -16,138 +16,143 @@
 use crate::names::PoolName;
 use crate::names::WorkspaceName;
 use crate::router::refusal::REQUEST_ID;
-use crate::router::request_handler::Service;
-use crate::router::upstream_sender::Incoming;
-use crate::router::upstream_sender::Outgoing;
+use crate::router::request_handler::RouterContext;
+use crate::router::upstream_sender::ResponseReceiver;
+use crate::router::upstream_sender::UpstreamRequest;
 
-/// Times that one answer is resumed.
-const TIMES_MAX: u32 = 3;
+/// How often one response may be resumed.
+const RESUMES_MAX: u32 = 3;
 
-/// Longest event that is kept back until it is whole, in bytes. A stream with a longer one is passed
-/// on as it comes, and can't be resumed.
-const EVENT_MAX: usize = 64 << 10;
+/// Longest event that is buffered until it is complete. A stream with a longer event is forwarded
+/// as received and cannot be resumed.
+const EVENT_MAX_BYTES: usize = 64 << 10;
 
-/// How to go on with one answer.
-pub struct Resume {
-    service: Arc<Service>,
+/// The state needed to resume one response.
+pub struct StreamResume {
+    context: Arc<RouterContext>,
     workspace: WorkspaceName,
     pool: PoolName,
-    request: String,
-    outgoing: Outgoing,
-    /// The path, with places for the request and the event.
+    request_id: String,
+    upstream_request: UpstreamRequest,
+    /// The path, with placeholders for the request and the event.
     path: String,
-    times: u32,
-    events: EventSplitter,
+    resume_count: u32,
+    splitter: EventSplitter,
 }
 
-impl Resume {
-    /// A way to go on with the answer to `request`, which was asked for by `outgoing`.
+impl StreamResume {
+    /// Prepares to resume the response to `upstream_request`, which has the id `request_id`.
     pub fn new(
-        service: &Arc<Service>,
+        context: &Arc<RouterContext>,
         workspace: &WorkspaceName,
         pool: &PoolName,
-        request: &str,
-        outgoing: Outgoing,
+        request_id: &str,
+        upstream_request: UpstreamRequest,
         path: &str,
-    ) -> Resume {
-        Resume {
-            service: service.clone(),
+    ) -> StreamResume {
+        StreamResume {
+            context: context.clone(),
             workspace: workspace.clone(),
             pool: pool.clone(),
-            request: request.to_owned(),
-            outgoing: Outgoing { method: Method::GET, body: Bytes::new(), ..outgoing },
+            request_id: request_id.to_owned(),
+            upstream_request: UpstreamRequest {
+                method: Method::GET,
+                body: Bytes::new(),
+                ..upstream_request
+            },
             path: path.to_owned(),
-            times: 0,
-            events: EventSplitter::default(),
+            resume_count: 0,
+            splitter: EventSplitter::default(),
         }
     }
 
-    /// The pool whose retry budget it draws on.
+    /// The pool whose retry budget resuming uses.
     pub fn pool(&self) -> &PoolName {
         &self.pool
     }
 
-    /// How often the upstream was asked for the rest.
-    pub fn times(&self) -> u32 {
-        self.times
+    /// How often the response was resumed.
+    pub fn resume_count(&self) -> u32 {
+        self.resume_count
     }
 
-    /// Takes in a piece of the stream; gives the events that are whole, if any.
-    pub fn piece(&mut self, piece: &[u8]) -> Option<Bytes> {
-        self.events.push(piece)
+    /// Adds a chunk of the stream; returns the events that are complete now, if any.
+    pub fn push(&mut self, chunk: &[u8]) -> Option<Bytes> {
+        self.splitter.push(chunk)
     }
 
-    /// What is left when the stream has ended well.
-    pub fn rest(&mut self) -> Option<Bytes> {
-        self.events.take_partial()
+    /// Takes the incomplete event at the end of a stream that did not break off.
+    pub fn take_partial(&mut self) -> Option<Bytes> {
+        self.splitter.take_partial()
     }
 
-    /// Asks the upstream for the rest. What was kept back comes again.
-    pub fn again(&mut self) -> Option<Incoming> {
-        if TIMES_MAX <= self.times {
+    /// Requests the rest of the response. The buffered part of an event is sent again.
+    pub fn request_rest(&mut self) -> Option<ResponseReceiver> {
+        if RESUMES_MAX <= self.resume_count {
             return None;
         }
-        let from = self.events.discard_partial()?;
-        self.times += 1;
-        let path = self.path.replace(REQUEST, &self.request).replace(FROM, &from.to_string());
-        let outgoing = Outgoing { path, ..self.outgoing.clone() };
-        self.service.senders.send(&self.workspace, outgoing).ok()
+        let from = self.splitter.discard_partial()?;
+        self.resume_count += 1;
+        let path = self.path.replace(REQUEST, &self.request_id).replace(FROM, &from.to_string());
+        let upstream_request = UpstreamRequest { path, ..self.upstream_request.clone() };
+        self.context.sending_threads.send(&self.workspace, upstream_request).ok()
     }
 
-    /// Whether the upstream does go on with this answer.
-    pub fn is_mine(&self, status: StatusCode, headers: &HeaderMap) -> bool {
+    /// Whether this is the head of the resumed response.
+    pub fn matches_response(&self, status: StatusCode, headers: &HeaderMap) -> bool {
         let echoed = headers.get(REQUEST_ID).map(|v| v.as_bytes());
-        status == StatusCode::OK && echoed.is_none_or(|id| id == self.request.as_bytes())
+        status == StatusCode::OK && echoed.is_none_or(|id| id == self.request_id.as_bytes())
     }
 }
 
-/// Splits a stream into whole events, and counts those with data.
+/// Splits a stream into complete events, and counts those with data.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    passed: u64,
-    kept: Vec<u8>,
-    /// An event was too long: all is passed on, and nothing counted.
-    given_up: bool,
+    forwarded_events: u64,
+    partial: Vec<u8>,
+    /// An event was too long: everything is forwarded, and no events are counted.
+    is_passthrough: bool,
 }
 
 impl EventSplitter {
-    /// Takes in a piece; gives the events that are whole, if any.
-    pub fn push(&mut self, piece: &[u8]) -> Option<Bytes> {
-        if self.given_up {
-            return Some(Bytes::copy_from_slice(piece));
+    /// Adds a chunk; returns the events that are complete now, if any.
+    pub fn push(&mut self, chunk: &[u8]) -> Option<Bytes> {
+        if self.is_passthrough {
+            return Some(Bytes::copy_from_slice(chunk));
         }
-        self.kept.extend_from_slice(piece);
+        self.partial.extend_from_slice(chunk);
         let mut end = 0;
-        while let Some(len) = event_len(&self.kept[end..]) {
-            let event = &self.kept[end..end + len];
-            // Comments, which keep a connection alive, aren't counted.
-            self.passed += u64::from(has_data(event));
+        while let Some(len) = event_len(&self.partial[end..]) {
+            let event = &self.partial[end..end + len];
+            // Comments, which are sent as keep-alive, aren't counted.
+            self.forwarded_events += u64::from(has_data(event));
             end += len;
         }
-        if end == 0 && EVENT_MAX < self.kept.len() {
-            self.given_up = true;
-            end = self.kept.len();
+        if end == 0 && EVENT_MAX_BYTES < self.partial.len() {
+            self.is_passthrough = true;
+            end = self.partial.len();
         }
-        (end != 0).then(|| self.kept.drain(..end).collect())
+        (end != 0).then(|| self.partial.drain(..end).collect())
     }
 
-    /// What is left at the end of the stream.
+    /// Takes the bytes of the event that is still incomplete.
     pub fn take_partial(&mut self) -> Option<Bytes> {
-        let rest = std::mem::take(&mut self.kept);
-        (!rest.is_empty()).then(|| Bytes::from(rest))
+        let partial = std::mem::take(&mut self.partial);
+        (!partial.is_empty()).then(|| Bytes::from(partial))
     }
 
-    /// Drops what was kept back, since it will come again. Gives the number of events passed on.
+    /// Discards the incomplete event, since it will be sent again. Returns the number of forwarded
+    /// events, or `None` if they are not counted.
     pub fn discard_partial(&mut self) -> Option<u64> {
-        if self.given_up {
+        if self.is_passthrough {
             return None;
         }
-        self.kept.clear();
-        Some(self.passed)
+        self.partial.clear();
+        Some(self.forwarded_events)
     }
 }
 
-/// The length of the first event, with the blank line that ends it.
+/// The length of the first event, including the blank line that ends it.
 fn event_len(bytes: &[u8]) -> Option<usize> {
     let ends = [&b"\n\n"[..], &b"\r\n\r\n"[..]];
     let end =
--- a/src/router/upstream_health.rs
+++ b/src/router/upstream_health.rs
@@ -1,4 +1,4 @@
-//! Asks the upstreams of this box's dispatchers how they are, on a thread of its own.
+//! Polls the load of the upstreams of this box's dispatchers, on a separate thread.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,18 +15,18 @@
 use crate::node::Node;
 use crate::router::hub::Hub;
 
-/// How often each upstream is asked.
-const EVERY: Duration = Duration::from_millis(500);
+/// Time between polls of each upstream.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long an upstream may take to answer.
-const TIMEOUT: Duration = Duration::from_millis(400);
+/// Timeout of a poll.
+const POLL_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Upstreams asked at the same time.
-const AT_ONCE: usize = 16;
+/// Most upstreams polled at once.
+const CONCURRENT_POLLS_MAX: usize = 16;
 
-/// What an upstream answers.
+/// The body of an upstream's response.
 #[derive(Debug, Deserialize)]
-struct Load {
+struct LoadResponse {
     running: u32,
     leaving: bool,
     #[serde(default)]
@@ -45,21 +45,21 @@
     addr: SocketAddr,
 }
 
-/// Asks until the process ends.
-pub fn watch(hub: Arc<Hub>) {
-    let config = Agent::config_builder().proxy(None).timeout_global(Some(TIMEOUT)).build();
+/// Polls until the process ends.
+pub fn poll_upstreams(hub: Arc<Hub>) {
+    let config = Agent::config_builder().proxy(None).timeout_global(Some(POLL_TIMEOUT)).build();
     let agent = Agent::from(config);
     thread::spawn(move || {
         loop {
             let targets = hub.read(|node, _| targets(node));
-            for some in targets.chunks(AT_ONCE) {
+            for batch in targets.chunks(CONCURRENT_POLLS_MAX) {
                 thread::scope(|scope| {
-                    for target in some {
-                        scope.spawn(|| ask(&hub, &agent, target));
+                    for target in batch {
+                        scope.spawn(|| poll(&hub, &agent, target));
                     }
                 });
             }
-            thread::sleep(EVERY);
+            thread::sleep(POLL_INTERVAL);
         }
     });
 }
@@ -67,21 +67,22 @@
 fn targets(node: &Node) -> Vec<Target> {
     let cfg = node.configuration();
     let zone = &node.identity().zone;
-    let of_pool = |pool: &PoolName| -> Vec<Target> {
+    let pool_targets = |pool: &PoolName| -> Vec<Target> {
         let target =
             |u: &Upstream| Target { pool: u.pool.clone(), name: u.name.clone(), addr: u.address };
         cfg.upstreams(pool, zone).map(target).collect()
     };
-    node.pools().flat_map(|p| of_pool(p.name())).collect()
+    node.pools().flat_map(|p| pool_targets(p.name())).collect()
 }
 
-/// An upstream that doesn't answer is told by its failed requests; here it is only left as it is.
-fn ask(hub: &Hub, agent: &Agent, target: &Target) {
+/// Polls one upstream. A failed poll has no effect, since failing upstreams are detected by their
+/// failed requests.
+fn poll(hub: &Hub, agent: &Agent, target: &Target) {
     let Ok(mut resp) = agent.get(format!("http://{}/load", target.addr)).call() else { return };
     let Ok(text) = resp.body_mut().read_to_string() else { return };
-    let Ok(load) = serde_json::from_str::<Load>(&text) else { return };
+    let Ok(load) = serde_json::from_str::<LoadResponse>(&text) else { return };
     let report = Report { running: load.running, leaving: load.leaving };
-    hub.with(|node, now| {
+    hub.update(|node, now| {
         node.record_upstream_report(&target.pool, &target.name, report, now);
         for event in &load.events {
             node.cache_event(&target.pool, &target.name, event.prefix, event.stored);
--- a/src/router/upstream_sender.rs
+++ b/src/router/upstream_sender.rs
@@ -1,8 +1,8 @@
-//! Sends requests to upstreams, by `ureq` on threads of their own: one thread per RUNNING request.
-//! Requests that wait hold no thread.
+//! Sends requests to upstreams by `ureq`, one thread per RUNNING request. Waiting requests use no
+//! thread.
 //!
-//! Each request gets a connection of its own, which is closed afterwards: nothing of an earlier
-//! answer can come up in a later one. `ureq` is told never to retry, redirect or pool.
+//! Each request has its own connection, which is closed afterwards, so that no part of an earlier
+//! response can end up in a later one. `ureq` is configured never to retry, redirect or pool.
 
 use std::collections::HashMap;
 use std::io::Read;
@@ -36,129 +36,131 @@
 
 use crate::names::WorkspaceName;
 
-/// Bytes read from an upstream at once.
-const PIECE_MAX: usize = 16 << 10;
+/// Most bytes read from an upstream at once.
+const CHUNK_MAX_BYTES: usize = 16 << 10;
 
-/// Buffers of a connection, each way, in bytes. Every running request has both, so they are what a
-/// router's memory goes to; a response head has to fit.
-const BUFFER: usize = 16 << 10;
+/// Size of each of the two buffers of a connection. Every running request has both, so they are
+/// most of a router's memory; a response head must fit.
+const CONNECTION_BUFFER_BYTES: usize = 16 << 10;
 
-/// Pieces of an answer that wait for a slow caller; what comes after waits at the upstream.
-const PIECES_MAX: usize = 8;
+/// Most chunks of a response buffered for a slow caller; the rest waits at the upstream.
+const BUFFERED_CHUNKS_MAX: usize = 8;
 
-/// How long connecting to an upstream may take.
+/// Timeout of connecting to an upstream.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long a thread without work lives on.
-const THREAD_IDLE: Duration = Duration::from_secs(10);
+/// How long an idle thread is kept.
+const THREAD_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Stack of a sending thread, in bytes.
-const STACK: usize = 256 << 10;
+/// Stack size of a sending thread.
+const THREAD_STACK_BYTES: usize = 256 << 10;
 
 /// A request for an upstream.
 #[derive(Clone, Debug)]
-pub struct Outgoing {
-    /// How it asks.
+pub struct UpstreamRequest {
     pub method: Method,
-    /// Where it goes.
+    /// The upstream's address.
     pub addr: SocketAddr,
-    /// The path there.
+    /// The path on the upstream.
     pub path: String,
-    /// All headers beside those that HTTP itself needs.
+    /// All headers except those that the HTTP client adds.
     pub headers: HeaderMap,
-    /// The body.
     pub body: Bytes,
-    /// How long the upstream may send nothing.
+    /// Longest time without a byte from the upstream.
     pub idle_timeout: Duration,
 }
 
-/// What comes back, in this order: `Failed`, or `Head`, any number of `Piece`s and an end.
+/// A part of a response. The order is `Failed`, or `Head`, any number of `Chunk`s and `End` or
+/// `Failed`.
 #[derive(Debug)]
-pub enum Event {
-    /// The answer begins.
+pub enum ResponseEvent {
+    /// The head of the response.
     Head { status: StatusCode, headers: HeaderMap },
-    /// A part of its body.
-    Piece(Bytes),
-    /// The body is whole.
+    /// A part of the body.
+    Chunk(Bytes),
+    /// The body is complete.
     End,
-    /// It went wrong. `sent` tells whether any byte may have left.
+    /// Sending or receiving failed. `sent` is whether any byte of the request may have been sent.
     Failed { sent: bool, reason: String },
 }
 
-/// The receiving side of a request that was sent. Dropping it cancels the request.
-pub struct Incoming {
-    events: mpsc::Receiver<Event>,
+/// Receives the response to a request that was sent. Dropping it cancels the request.
+pub struct ResponseReceiver {
+    events: mpsc::Receiver<ResponseEvent>,
     agent: Option<Agent>,
 }
 
-impl Incoming {
-    /// The next event; nothing after the last.
-    pub async fn next(&mut self) -> Option<Event> {
+impl ResponseReceiver {
+    /// Receives the next event; `None` after the last.
+    pub async fn next(&mut self) -> Option<ResponseEvent> {
         self.events.recv().await
     }
 
-    /// The next event, for a body that is polled.
-    pub fn poll_next(&mut self, cx: &mut std::task::Context<'_>) -> std::task::Poll<Option<Event>> {
+    /// Polls for the next event.
+    pub fn poll_next(
+        &mut self,
+        cx: &mut std::task::Context<'_>,
+    ) -> std::task::Poll<Option<ResponseEvent>> {
         self.events.poll_recv(cx)
     }
 }
 
-impl Drop for Incoming {
+impl Drop for ResponseReceiver {
     fn drop(&mut self) {
-        // Wakes the thread up if it waits for the upstream, and closes the connection.
+        // Wakes the thread if it waits for the upstream, and closes the connection.
         if let Some(agent) = self.agent.take() {
             agent.shutdown();
         }
     }
 }
 
-/// Threads that send requests.
-pub struct Senders {
+/// The threads that send requests to upstreams.
+pub struct SendingThreads {
     tx: Sender<Job>,
     rx: Receiver<Job>,
-    live: Arc<AtomicUsize>,
-    max: usize,
-    running: Arc<Mutex<HashMap<WorkspaceName, usize>>>,
+    live_count: Arc<AtomicUsize>,
+    threads_max: usize,
+    per_workspace: Arc<Mutex<HashMap<WorkspaceName, usize>>>,
 }
 
-/// All threads are in use, or as many as one workspace may have.
+/// All threads are in use, or as many as one workspace may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the sending threads are in use")]
 pub struct Busy;
 
 struct Job {
-    outgoing: Outgoing,
+    upstream_request: UpstreamRequest,
     agent: Agent,
     sent: Arc<AtomicBool>,
-    events: mpsc::Sender<Event>,
-    share: Share,
+    events: mpsc::Sender<ResponseEvent>,
+    guard: ThreadGuard,
 }
 
-/// Counts a thread as a workspace's for as long as it lives.
-struct Share {
-    running: Arc<Mutex<HashMap<WorkspaceName, usize>>>,
+/// Counts a thread as used by a workspace until dropped.
+struct ThreadGuard {
+    per_workspace: Arc<Mutex<HashMap<WorkspaceName, usize>>>,
     workspace: WorkspaceName,
 }
 
-impl Share {
-    fn take(
-        running: &Arc<Mutex<HashMap<WorkspaceName, usize>>>,
+impl ThreadGuard {
+    fn acquire(
+        per_workspace: &Arc<Mutex<HashMap<WorkspaceName, usize>>>,
         workspace: &WorkspaceName,
-        most: usize,
-    ) -> Result<Share, Busy> {
-        let mut counts = running.lock().expect("no panic under lock");
+        max: usize,
+    ) -> Result<ThreadGuard, Busy> {
+        let mut counts = per_workspace.lock().expect("no panic under lock");
         let count = counts.entry(workspace.clone()).or_default();
-        if most <= *count {
+        if max <= *count {
             return Err(Busy);
         }
         *count += 1;
-        Ok(Share { running: running.clone(), workspace: workspace.clone() })
+        Ok(ThreadGuard { per_workspace: per_workspace.clone(), workspace: workspace.clone() })
     }
 }
 
-impl Drop for Share {
+impl Drop for ThreadGuard {
     fn drop(&mut self) {
-        let mut counts = self.running.lock().expect("no panic under lock");
+        let mut counts = self.per_workspace.lock().expect("no panic under lock");
         let Some(count) = counts.get_mut(&self.workspace) else { return };
         *count -= 1;
         if *count == 0 {
@@ -167,51 +169,63 @@
     }
 }
 
-impl Senders {
-    /// Up to `max` threads, started when they are needed.
-    pub fn new(max: usize) -> Senders {
-        // Without room of its own, the channel takes a job only when a thread waits for one.
+impl SendingThreads {
+    /// A set of up to `max` threads, each started when it is needed.
+    pub fn new(max: usize) -> SendingThreads {
+        // A channel of capacity 0 accepts a job only when a thread waits for one.
         let (tx, rx) = channel::bounded(0);
-        Senders { tx, rx, live: Arc::default(), max, running: Arc::default() }
+        SendingThreads {
+            tx,
+            rx,
+            live_count: Arc::default(),
+            threads_max: max,
+            per_workspace: Arc::default(),
+        }
     }
 
-    /// Sends a request of a workspace; doesn't block. No workspace gets all the threads.
-    pub fn send(&self, workspace: &WorkspaceName, outgoing: Outgoing) -> Result<Incoming, Busy> {
-        let share = Share::take(&self.running, workspace, self.max.div_ceil(2))?;
-        let (events, rx) = mpsc::channel(PIECES_MAX);
+    /// Sends a request of a workspace without blocking. A workspace can use at most half of the
+    /// threads.
+    pub fn send(
+        &self,
+        workspace: &WorkspaceName,
+        upstream_request: UpstreamRequest,
+    ) -> Result<ResponseReceiver, Busy> {
+        let guard =
+            ThreadGuard::acquire(&self.per_workspace, workspace, self.threads_max.div_ceil(2))?;
+        let (events, rx) = mpsc::channel(BUFFERED_CHUNKS_MAX);
         let sent = Arc::new(AtomicBool::new(false));
-        let agent = agent(&outgoing, &sent);
-        let incoming = Incoming { events: rx, agent: Some(agent.clone()) };
-        match self.tx.try_send(Job { outgoing, agent, sent, events, share }) {
-            Ok(()) => Ok(incoming),
+        let agent = new_agent(&upstream_request, &sent);
+        let receiver = ResponseReceiver { events: rx, agent: Some(agent.clone()) };
+        match self.tx.try_send(Job { upstream_request, agent, sent, events, guard }) {
+            Ok(()) => Ok(receiver),
             Err(TrySendError::Full(job) | TrySendError::Disconnected(job)) => {
                 self.spawn(job)?;
-                Ok(incoming)
+                Ok(receiver)
             }
         }
     }
 
-    /// Threads that live now.
-    pub fn live(&self) -> usize {
-        self.live.load(Ordering::Relaxed)
+    /// Number of running threads.
+    pub fn live_count(&self) -> usize {
+        self.live_count.load(Ordering::Relaxed)
     }
 
     fn spawn(&self, job: Job) -> Result<(), Busy> {
-        if self.max <= self.live.fetch_add(1, Ordering::Relaxed) {
-            self.live.fetch_sub(1, Ordering::Relaxed);
+        if self.threads_max <= self.live_count.fetch_add(1, Ordering::Relaxed) {
+            self.live_count.fetch_sub(1, Ordering::Relaxed);
             return Err(Busy);
         }
-        let (rx, live) = (self.rx.clone(), self.live.clone());
-        let builder = thread::Builder::new().name("send".to_owned()).stack_size(STACK);
+        let (rx, live_count) = (self.rx.clone(), self.live_count.clone());
+        let builder = thread::Builder::new().name("send".to_owned()).stack_size(THREAD_STACK_BYTES);
         let spawned = builder.spawn(move || {
             job.run();
-            while let Ok(job) = rx.recv_timeout(THREAD_IDLE) {
+            while let Ok(job) = rx.recv_timeout(THREAD_IDLE_TIMEOUT) {
                 job.run();
             }
-            live.fetch_sub(1, Ordering::Relaxed);
+            live_count.fetch_sub(1, Ordering::Relaxed);
         });
         spawned.map(drop).map_err(|_| {
-            self.live.fetch_sub(1, Ordering::Relaxed);
+            self.live_count.fetch_sub(1, Ordering::Relaxed);
             Busy
         })
     }
@@ -219,89 +233,97 @@
 
 impl Job {
     fn run(self) {
-        let Job { outgoing, agent, sent, events, share: _share } = self;
-        let failed = |reason: String| Event::Failed { sent: sent.load(Ordering::SeqCst), reason };
-        let uri = format!("http://{}{}", outgoing.addr, outgoing.path);
-        let mut req = Request::builder().method(&outgoing.method).uri(uri);
+        let Job { upstream_request, agent, sent, events, guard: _guard } = self;
+        let failed =
+            |reason: String| ResponseEvent::Failed { sent: sent.load(Ordering::SeqCst), reason };
+        let uri = format!("http://{}{}", upstream_request.addr, upstream_request.path);
+        let mut req = Request::builder().method(&upstream_request.method).uri(uri);
         if let Some(headers) = req.headers_mut() {
-            headers.extend(outgoing.headers);
+            headers.extend(upstream_request.headers);
         }
-        let result = match outgoing.method {
+        let result = match upstream_request.method {
             Method::GET => req.body(()).map_err(ureq::Error::from).and_then(|r| agent.run(r)),
-            _ => req.body(&*outgoing.body).map_err(ureq::Error::from).and_then(|r| agent.run(r)),
+            _ => req
+                .body(&*upstream_request.body)
+                .map_err(ureq::Error::from)
+                .and_then(|r| agent.run(r)),
         };
         let resp = match result {
             Ok(resp) => resp,
             Err(e) => return drop(events.blocking_send(failed(e.to_string()))),
         };
         let (parts, body) = resp.into_parts();
-        let head = Event::Head { status: parts.status, headers: parts.headers };
+        let head = ResponseEvent::Head { status: parts.status, headers: parts.headers };
         if events.blocking_send(head).is_err() {
             return;
         }
-        let last = copy(body.into_reader(), &events).unwrap_or_else(|e| failed(e.to_string()));
-        drop(events.blocking_send(last));
+        let last_event =
+            forward_body(body.into_reader(), &events).unwrap_or_else(|e| failed(e.to_string()));
+        drop(events.blocking_send(last_event));
     }
 }
 
-/// Passes a body on, piece by piece as it comes. Gives the last event.
-fn copy(mut rdr: impl Read, events: &mpsc::Sender<Event>) -> std::io::Result<Event> {
-    let mut buf = vec![0; PIECE_MAX];
+/// Forwards a body chunk by chunk as it is read. Returns the last event.
+fn forward_body(
+    mut rdr: impl Read,
+    events: &mpsc::Sender<ResponseEvent>,
+) -> std::io::Result<ResponseEvent> {
+    let mut buf = vec![0; CHUNK_MAX_BYTES];
     loop {
         let n = rdr.read(&mut buf)?;
         if n == 0 {
-            return Ok(Event::End);
+            return Ok(ResponseEvent::End);
         }
-        let piece = Event::Piece(Bytes::copy_from_slice(&buf[..n]));
-        if events.blocking_send(piece).is_err() {
-            return Ok(Event::End);
+        let chunk = ResponseEvent::Chunk(Bytes::copy_from_slice(&buf[..n]));
+        if events.blocking_send(chunk).is_err() {
+            return Ok(ResponseEvent::End);
         }
     }
 }
 
-fn agent(outgoing: &Outgoing, sent: &Arc<AtomicBool>) -> Agent {
+fn new_agent(upstream_request: &UpstreamRequest, sent: &Arc<AtomicBool>) -> Agent {
     let config = Agent::config_builder()
         .http_status_as_error(false)
         .max_redirects(0)
         .max_redirects_will_error(false)
         .proxy(None)
-        .input_buffer_size(BUFFER)
-        .output_buffer_size(BUFFER)
+        .input_buffer_size(CONNECTION_BUFFER_BYTES)
+        .output_buffer_size(CONNECTION_BUFFER_BYTES)
         .max_idle_connections(0)
         .max_idle_connections_per_host(0)
         .timeout_connect(Some(CONNECT_TIMEOUT))
-        .timeout_per_read(Some(outgoing.idle_timeout))
-        .timeout_per_write(Some(outgoing.idle_timeout))
+        .timeout_per_read(Some(upstream_request.idle_timeout))
+        .timeout_per_write(Some(upstream_request.idle_timeout))
         .build();
-    let connector = TcpConnector::default().chain(Watch { sent: sent.clone() });
+    let connector = TcpConnector::default().chain(SendDetector { sent: sent.clone() });
     Agent::with_parts(config, connector, DefaultResolver::default())
 }
 
-/// Notes when the first byte is about to leave.
+/// Records when the first byte of a request is about to be sent.
 #[derive(Debug)]
-struct Watch {
+struct SendDetector {
     sent: Arc<AtomicBool>,
 }
 
-impl<In: Transport> Connector<In> for Watch {
-    type Out = Watched<In>;
+impl<In: Transport> Connector<In> for SendDetector {
+    type Out = DetectingTransport<In>;
 
     fn connect(
         &self,
         _: &ConnectionDetails,
         chained: Option<In>,
-    ) -> Result<Option<Watched<In>>, ureq::Error> {
-        Ok(chained.map(|inner| Watched { inner, sent: self.sent.clone() }))
+    ) -> Result<Option<DetectingTransport<In>>, ureq::Error> {
+        Ok(chained.map(|inner| DetectingTransport { inner, sent: self.sent.clone() }))
     }
 }
 
 #[derive(Debug)]
-struct Watched<In> {
+struct DetectingTransport<In> {
     inner: In,
     sent: Arc<AtomicBool>,
 }
 
-impl<In: Transport> Transport for Watched<In> {
+impl<In: Transport> Transport for DetectingTransport<In> {
     fn buffers(&mut self) -> &mut dyn Buffers {
         self.inner.buffers()
     }
