--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -96,7 +96,7 @@
     tuning: Tuning,
     pools: BTreeMap<PoolName, Pool>,
     /// The dispatching box of each pool in this zone.
-    dispatchers: BTreeMap<PoolName, BoxName>,
+    dispatcher_boxes: BTreeMap<PoolName, BoxName>,
     live_boxes: Vec<BoxName>,
     /// Whether roles must be recomputed even if the set of live boxes is unchanged.
     roles_stale: bool,
@@ -132,7 +132,7 @@
             tuning,
             cfg: Arc::default(),
             pools: BTreeMap::new(),
-            dispatchers: BTreeMap::new(),
+            dispatcher_boxes: BTreeMap::new(),
             live_boxes: vec![id.name.clone()],
             roles_stale: true,
             leaving_boxes: BTreeSet::new(),
@@ -183,7 +183,7 @@
 
     /// The box that dispatches a pool in this zone, as far as this box knows.
     pub fn dispatcher_of(&self, pool: &str) -> Option<&BoxName> {
-        self.dispatchers.get(pool)
+        self.dispatcher_boxes.get(pool)
     }
 
     /// The box that usually writes the claims of a shard; `None` if it is this one.
@@ -352,7 +352,7 @@
         self.refuse_short_deadlines(now);
         let mut actions = Vec::new();
         for (name, pool) in &mut self.pools {
-            if self.dispatchers.get(name) != Some(&self.identity.name) {
+            if self.dispatcher_boxes.get(name) != Some(&self.identity.name) {
                 continue;
             }
             pool.tick(now, &mut actions);
@@ -366,7 +366,7 @@
     }
 
     fn is_dispatcher(&self, pool: &str) -> bool {
-        self.dispatchers.get(pool) == Some(&self.identity.name)
+        self.dispatcher_boxes.get(pool) == Some(&self.identity.name)
     }
 
     fn perform(&mut self, actions: Vec<Action>) {
--- a/src/node/receive.rs
+++ b/src/node/receive.rs
@@ -100,7 +100,7 @@
         }
         // The sender's view of the zone differs. The box that is the dispatcher in this box's view
         // may agree with it.
-        if let Some(dispatcher) = self.dispatchers.get(&ticket.pool).cloned()
+        if let Some(dispatcher) = self.dispatcher_boxes.get(&ticket.pool).cloned()
             && !ticket.forwarded
         {
             self.send(dispatcher, Message::Ticket(Ticket { forwarded: true, ..ticket }));
@@ -135,7 +135,7 @@
             return;
         }
         // The role was handed over and the sender doesn't know it yet.
-        if let Some(dispatcher) = self.dispatchers.get(&done.pool).cloned()
+        if let Some(dispatcher) = self.dispatcher_boxes.get(&done.pool).cloned()
             && dispatcher != self.identity.name
         {
             self.send(dispatcher, Message::Done(done));
@@ -172,7 +172,7 @@
         let is_own_zone = summary.zone == self.identity.zone;
         let is_dispatcher = self.is_dispatcher(&summary.pool);
         if !is_own_zone && !is_dispatcher {
-            if let Some(dispatcher) = self.dispatchers.get(&summary.pool).cloned()
+            if let Some(dispatcher) = self.dispatcher_boxes.get(&summary.pool).cloned()
                 && !summary.forwarded
             {
                 let forwarded = Summary { forwarded: true, ..summary };
@@ -201,7 +201,7 @@
             self.with_pool(&pull.pool.clone(), |pool, actions| pool.pull(&pull, now, actions));
             return;
         }
-        if let Some(dispatcher) = self.dispatchers.get(&pull.pool).cloned()
+        if let Some(dispatcher) = self.dispatcher_boxes.get(&pull.pool).cloned()
             && !pull.forwarded
         {
             self.send(dispatcher, Message::Pull(Pull { forwarded: true, ..pull }));
--- a/src/node/roles.rs
+++ b/src/node/roles.rs
@@ -47,13 +47,13 @@
         let pools: Vec<PoolName> = self.cfg.catalog.pools.iter().map(|p| p.name.clone()).collect();
         for pool in pools {
             let dispatcher = self.members.owner(&pool, now).clone();
-            let previous = self.dispatchers.insert(pool.clone(), dispatcher.clone());
+            let previous = self.dispatcher_boxes.insert(pool.clone(), dispatcher.clone());
             if previous.as_ref() != Some(&dispatcher) {
                 self.dispatcher_changed(&pool, previous, &dispatcher, now);
             }
         }
         let cfg = self.cfg.clone();
-        self.dispatchers.retain(|name, _| cfg.pool(name).is_some());
+        self.dispatcher_boxes.retain(|name, _| cfg.pool(name).is_some());
     }
 
     /// The dispatcher or standby copy of a pool on this box, created on first use.
--- a/src/node/waiting.rs
+++ b/src/node/waiting.rs
@@ -81,7 +81,7 @@
     pub fn messages_lost(&mut self, name: &BoxName, messages: Vec<Message>, now: Duration) {
         let at = now + RESEND_AFTER_LOSS;
         for waiting in self.waiting.values_mut() {
-            if self.dispatchers.get(&waiting.ticket.pool) == Some(name) {
+            if self.dispatcher_boxes.get(&waiting.ticket.pool) == Some(name) {
                 waiting.resend_at = waiting.resend_at.min(at);
             }
         }
@@ -98,7 +98,7 @@
         let Some(waiting) = self.waiting.remove(&id) else { return false };
         self.admission.remove(&waiting.ticket.workspace, &waiting.ticket.pool);
         let pool = waiting.ticket.pool;
-        if let Some(dispatcher) = self.dispatchers.get(&pool).cloned() {
+        if let Some(dispatcher) = self.dispatcher_boxes.get(&pool).cloned() {
             self.send(dispatcher, Message::Cancel { p: pool, i: id });
         }
         true
@@ -143,7 +143,7 @@
 
     /// Registers a ticket with the dispatcher of its pool.
     pub(super) fn register(&mut self, ticket: Ticket) {
-        if let Some(dispatcher) = self.dispatchers.get(&ticket.pool).cloned() {
+        if let Some(dispatcher) = self.dispatcher_boxes.get(&ticket.pool).cloned() {
             // The receiver fills in the sender as router, and the pool from the service.
             let (router, pool) = (BoxName::none(), PoolName::none());
             self.send(dispatcher, Message::Ticket(Ticket { router, pool, ..ticket }));
@@ -177,7 +177,7 @@
     /// The box to which a message for a dispatcher is resent: the same box or, in this zone, the
     /// pool's current dispatcher.
     fn current_dispatcher(&self, previous: &BoxName, pool: &str) -> BoxName {
-        match self.dispatchers.get(pool) {
+        match self.dispatcher_boxes.get(pool) {
             Some(dispatcher) if self.members.is_of_zone(previous) => dispatcher.clone(),
             _ => previous.clone(),
         }
--- a/src/router/request_handler.rs
+++ b/src/router/request_handler.rs
@@ -221,7 +221,7 @@
         // An upstream that began draining after the grant is detected here, right before sending.
         let Some(upstream) = upstream.filter(|u| !u.draining) else {
             placed.finish(Ending::Unused);
-            self.set_attempt_ending("drained");
+            self.set_attempt_outcome("drained");
             return Ok(SendOutcome::Retry(RequestError::Unreachable));
         };
         info!(self.context.hub.log(), "routed";
@@ -247,13 +247,13 @@
         else {
             self.set_sent(false);
             placed.finish(Ending::Unused);
-            self.set_attempt_ending("busy");
+            self.set_attempt_outcome("busy");
             return Err(RequestError::Busy);
         };
         let first = tokio::select! {
             first = receiver.next() => first,
             _ = tokio::time::sleep_until(deadline) => {
-                self.set_attempt_ending("too-late");
+                self.set_attempt_outcome("too-late");
                 return Err(RequestError::TooLate);
             }
         };
@@ -274,7 +274,7 @@
 
     /// Decides whether the request may be retried after a failure before the response.
     fn handle_failure(&mut self, sent: bool, reason: String) -> Result<SendOutcome, RequestError> {
-        self.set_attempt_ending(&reason);
+        self.set_attempt_outcome(&reason);
         self.set_sent(sent);
         match (sent, self.request.repeatable) {
             (false, _) => Ok(SendOutcome::Retry(RequestError::Unreachable)),
@@ -373,8 +373,8 @@
         headers
     }
 
-    fn set_attempt_ending(&mut self, ending: &str) {
-        self.trace.set_attempt_ending(ending);
+    fn set_attempt_outcome(&mut self, ending: &str) {
+        self.trace.set_attempt_outcome(ending);
     }
 }
 
@@ -427,7 +427,7 @@
     }
 
     /// Sets how the last attempt ended, or its current state.
-    pub fn set_attempt_ending(&mut self, ending: &str) {
+    pub fn set_attempt_outcome(&mut self, ending: &str) {
         if let Some(attempt) = self.attempts.last_mut() {
             attempt.ending = ending.to_owned();
         }
--- a/src/router/response_body.rs
+++ b/src/router/response_body.rs
@@ -151,7 +151,7 @@
         if resume_count != 0 {
             text.push_str(&format!(", resumed {resume_count} times"));
         }
-        self.trace.set_attempt_ending(&text);
+        self.trace.set_attempt_outcome(&text);
         self.trace.finish(Outcome::Ran);
     }
 
