--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -17,6 +17,7 @@
 use rand::rngs::SmallRng;
 use rustc_hash::FxHashMap;
 
+pub use crate::node::admission::Refusal;
 use crate::config::CatalogRevision;
 use crate::dispatch::pool::Action;
 use crate::dispatch::pool::Decision;
@@ -28,7 +29,6 @@
 use crate::names::UpstreamName;
 use crate::names::ZoneName;
 use crate::node::admission::Admission;
-pub use crate::node::admission::Refusal;
 use crate::node::waiting::UndeliveredMessage;
 use crate::node::waiting::WaitingRequest;
 use crate::peer::member::GossipSettings;
@@ -95,7 +95,7 @@
     tuning: Tuning,
     pools: BTreeMap<PoolName, PoolDispatcher>,
     /// The dispatching box of each pool in this zone.
-    dispatchers: BTreeMap<PoolName, BoxName>,
+    dispatcher_boxes: BTreeMap<PoolName, BoxName>,
     live_boxes: Vec<BoxName>,
     /// Whether roles must be recomputed even if the set of live boxes is unchanged.
     roles_stale: bool,
@@ -131,7 +131,7 @@
             tuning,
             cfg: Arc::default(),
             pools: BTreeMap::new(),
-            dispatchers: BTreeMap::new(),
+            dispatcher_boxes: BTreeMap::new(),
             live_boxes: vec![id.name.clone()],
             roles_stale: true,
             leaving_boxes: BTreeSet::new(),
@@ -182,7 +182,7 @@
 
     /// The box that dispatches a pool in this zone, as far as this box knows.
     pub fn dispatcher_of(&self, pool: &str) -> Option<&BoxName> {
-        self.dispatchers.get(pool)
+        self.dispatcher_boxes.get(pool)
     }
 
     /// The box that usually writes the claims of a shard; `None` if it is this one.
@@ -358,7 +358,7 @@
         self.refuse_short_deadlines(now);
         let mut actions = Vec::new();
         for (name, pool) in &mut self.pools {
-            if self.dispatchers.get(name) != Some(&self.identity.name) {
+            if self.dispatcher_boxes.get(name) != Some(&self.identity.name) {
                 continue;
             }
             pool.tick(now, &mut actions);
@@ -372,7 +372,7 @@
     }
 
     fn is_dispatcher(&self, pool: &str) -> bool {
-        self.dispatchers.get(pool) == Some(&self.identity.name)
+        self.dispatcher_boxes.get(pool) == Some(&self.identity.name)
     }
 
     fn perform(&mut self, actions: Vec<Action>) {
--- a/src/node/receive.rs
+++ b/src/node/receive.rs
@@ -14,15 +14,15 @@
 use crate::node::Node;
 use crate::node::Output;
 use crate::node::RunningRequest;
-use crate::peer::message::CompletionReport;
-use crate::peer::message::DispatcherReport;
+use crate::peer::message::PullRequest;
+use crate::peer::message::HeartbeatEntry;
+use crate::peer::message::GrantDigest;
 use crate::peer::message::Ending;
 use crate::peer::message::Grant;
-use crate::peer::message::GrantDigest;
 use crate::peer::message::GrantId;
-use crate::peer::message::HeartbeatEntry;
 use crate::peer::message::Message;
-use crate::peer::message::PullRequest;
+use crate::peer::message::DispatcherReport;
+use crate::peer::message::CompletionReport;
 use crate::peer::message::Ticket;
 
 impl Node {
@@ -119,7 +119,7 @@
         }
         // The sender's view of the zone differs. The box that is the dispatcher in this box's view
         // may agree with it.
-        if let Some(dispatcher) = self.dispatchers.get(&ticket.pool).cloned()
+        if let Some(dispatcher) = self.dispatcher_boxes.get(&ticket.pool).cloned()
             && !ticket.forwarded
         {
             self.send(dispatcher, Message::Ticket(Ticket { forwarded: true, ..ticket }));
@@ -156,7 +156,7 @@
             return;
         }
         // The role was handed over and the sender doesn't know it yet.
-        if let Some(dispatcher) = self.dispatchers.get(&done.pool).cloned()
+        if let Some(dispatcher) = self.dispatcher_boxes.get(&done.pool).cloned()
             && dispatcher != self.identity.name
         {
             self.send(dispatcher, Message::CompletionReport(done));
@@ -197,7 +197,7 @@
         let is_own_zone = summary.zone == self.identity.zone;
         let is_dispatcher = self.is_dispatcher(&summary.pool);
         if !is_own_zone && !is_dispatcher {
-            if let Some(dispatcher) = self.dispatchers.get(&summary.pool).cloned()
+            if let Some(dispatcher) = self.dispatcher_boxes.get(&summary.pool).cloned()
                 && !summary.forwarded
             {
                 let forwarded = DispatcherReport { forwarded: true, ..summary };
@@ -228,7 +228,7 @@
             });
             return;
         }
-        if let Some(dispatcher) = self.dispatchers.get(&pull.pool).cloned()
+        if let Some(dispatcher) = self.dispatcher_boxes.get(&pull.pool).cloned()
             && !pull.forwarded
         {
             self.send(dispatcher, Message::PullRequest(PullRequest { forwarded: true, ..pull }));
