--- a/src/config/catalog.rs
+++ b/src/config/catalog.rs
@@ -1,6 +1,6 @@
-//! The configuration object: workspaces, services, pools and upstreams, as operators accepted it.
+//! The configuration object, as operators confirmed it: workspaces, services, pools and upstreams.
 //!
-//! The platform's Object API keeps it as one JSON value. Its object version is the revision.
+//! The platform's Object API stores it as one JSON value. Its revision is the object's version.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -19,31 +19,32 @@
 /// The name of the configuration object in the platform's Object API.
 pub const CONFIGURATION_OBJECT: &str = "frostdyke/configuration";
 
-/// Stands in a path for the request's id.
+/// Placeholder in a path for the request's id.
 pub const REQUEST_PLACEHOLDER: &str = "{request}";
 
-/// Stands in a path for the number of events passed on.
+/// Placeholder in a path for the number of events that the caller has received.
 pub const FROM_PLACEHOLDER: &str = "{from}";
 
-/// Longest name of anything in the configuration, in bytes.
+/// Maximum length of a name in the configuration.
 pub const NAME_MAX_BYTES: usize = 64;
 
-/// The whole configuration at one revision.
+/// The whole configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Catalog {
-    /// Customers and their limits.
+    /// Workspaces (customers) and their limits.
     pub workspaces: Vec<Workspace>,
-    /// What callers may address.
+    /// Services that callers can address.
     pub services: Vec<Service>,
     /// Groups of interchangeable upstreams.
     pub pools: Vec<Pool>,
-    /// Engines and plain services.
+    /// Engines, and upstreams that run no model.
     pub upstreams: Vec<Upstream>,
-    /// What the weight store allows.
+    /// Limits of the weight store.
     #[serde(default)]
     pub weights: Weights,
-    /// Plans applied lately, newest last, so that a lost answer to a write can be settled.
+    /// Recently applied plans, newest last. They show whether a write took effect whose response
+    /// was lost.
     #[serde(default)]
     pub applied: Vec<Applied>,
 }
@@ -55,84 +56,85 @@
     }
 }
 
-/// One customer.
+/// A customer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workspace {
     /// Unique name.
     pub name: WorkspaceName,
-    /// Share of service relative to other workspaces; at least 1.
+    /// Weight of the workspace's share relative to others; at least 1.
     #[serde(default = "one")]
     pub weight: u32,
-    /// SHA-256 digests of the keys that name this workspace, in hexadecimal.
+    /// SHA-256 digests of the API keys of this workspace, in hexadecimal.
     #[serde(default)]
     pub key_digests: Vec<String>,
-    /// Requests that may wait at one router; more are refused at once.
+    /// Requests that may wait at one router. Further ones are rejected at once.
     #[serde(default = "waiting_limit")]
     pub waiting_limit: u32,
-    /// Requests that may run at once per pool and availability zone.
+    /// Requests that may run concurrently per pool and availability zone.
     #[serde(default = "running_limit")]
     pub running_limit: u32,
-    /// The services that it may use. None for all of them.
+    /// The services that it may use; `None` for all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub services: Option<BTreeSet<ServiceName>>,
 }
 
 impl Workspace {
-    /// Whether it may use a service.
+    /// Whether the workspace may use a service.
     pub fn may_use(&self, service: &ServiceName) -> bool {
         self.services.as_ref().is_none_or(|allowed| allowed.contains(service))
     }
 }
 
-/// Something that callers address by name.
+/// A service that callers address by name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Unique name; the last part of the callers' path.
+    /// Unique name, and the last segment of the path that callers request.
     pub name: ServiceName,
     /// The pool that serves it.
     pub pool: PoolName,
-    /// The path to call on an upstream.
+    /// The path of requests to an upstream.
     pub path: String,
-    /// The path by which an upstream streams an answer again, for event streams that were cut.
-    /// `{request}` in it stands for the request's id, `{from}` for the number of events that the
-    /// caller has. None where upstreams can't.
+    /// The path at which an upstream resumes an interrupted event stream. `{request}` stands for
+    /// the request's id, `{from}` for the number of events that the caller has received. `None` if
+    /// upstreams can't resume streams.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub resume: Option<String>,
-    /// Cost assumed until requests of a workspace have ended, in the pool's unit.
+    /// Cost assumed for a workspace's requests until the first have ended, in the pool's unit.
     #[serde(default = "default_cost")]
     pub default_cost: u32,
-    /// Whether a request may be sent again when its caller doesn't say.
+    /// Whether a request may be retried if its caller doesn't specify it.
     #[serde(default = "yes")]
     pub repeatable: bool,
 }
 
-/// A group of upstreams and the policy that orders work on it.
+/// A group of upstreams, and the policy that schedules requests on them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
     /// Unique name.
     pub name: PoolName,
-    /// What a request's cost is counted in.
+    /// The unit of a request's cost.
     pub unit: Unit,
-    /// How far urgent work may take its workspace ahead of the others, in the pool's unit.
+    /// How far urgent requests may put their workspace ahead of the others, in the pool's unit.
     #[serde(default = "urgent_lead")]
     pub urgent_lead: u32,
-    /// One background request is served after this many others of its workspace.
+    /// Number of a workspace's other requests that are served before one background request.
     #[serde(default = "background_every")]
     pub background_every: u32,
-    /// A remote workspace is served first when it is behind by more than this, in the pool's unit.
+    /// A workspace that waits at another router is served first if it is behind the local ones by
+    /// more than this, in the pool's unit.
     #[serde(default = "pull_margin")]
     pub pull_margin: u32,
-    /// Most that a workspace may be behind another that waits, in the pool's unit; what it lost
-    /// beyond that, while zones were cut off from each other, isn't paid back.
+    /// Upper limit on how far a waiting workspace can be behind another, in the pool's unit.
+    /// Service that it missed beyond that, while zones were partitioned, isn't compensated.
     #[serde(default = "debt_cap")]
     pub debt_cap: u32,
-    /// Retries allowed as a share of the requests, in percent.
+    /// Limit on retries, in percent of the requests.
     #[serde(default = "retry_percent")]
     pub retry_percent: u32,
-    /// Engines of one availability zone that may be without work at once while they are changed.
+    /// Engines of one availability zone that may be out of service at once during changes.
     #[serde(default = "one")]
     pub unavailable_max: u32,
 }
@@ -141,13 +143,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Unit {
-    /// Tokens, counted in the answer's events and trued up from its last one.
+    /// Tokens: counted by the events of the response, and corrected by the usage in the last one.
     Tokens,
-    /// Calls: every request costs one.
+    /// Calls: every request costs 1.
     Calls,
 }
 
-/// One engine or plain service.
+/// An engine, or an upstream that runs no model.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Upstream {
@@ -159,37 +161,36 @@
     pub zone: ZoneName,
     /// Where it listens.
     pub address: SocketAddr,
-    /// Requests that it runs at once.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it gets no new work.
+    /// Whether it gets no new requests.
     #[serde(default)]
     pub draining: bool,
-    /// What an engine is to have loaded. None for one that is left as it is.
+    /// What an engine must have loaded; `None` if its state isn't managed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub engine: Option<EngineState>,
 }
 
-/// What an engine has loaded, or is to load.
+/// What an engine has loaded, or must load.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineState {
-    /// The model.
     pub model: String,
-    /// Its version.
+    /// The model's version.
     pub version: String,
-    /// Adapters beside it, in any order.
+    /// Adapters of the model.
     #[serde(default)]
     pub adapters: BTreeSet<String>,
-    /// What it does for its pool, such as `prefill` or `decode`; empty for all.
+    /// Its role in the pool, such as `prefill` or `decode`; empty for all roles.
     #[serde(default)]
     pub role: String,
 }
 
-/// What the weight store allows, fleet-wide.
+/// Limits of the weight store, for the whole fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Weights {
-    /// Loads begun in a minute. The zones that have upstreams share them evenly.
+    /// Loads that may start per minute, divided equally among the zones that have upstreams.
     pub loads_per_minute: u32,
 }
 
@@ -209,12 +210,11 @@
     pub by: String,
 }
 
-/// A configuration at its revision, with the indexes that lookups need.
+/// A valid configuration at one revision, with indexes for lookups.
 #[derive(Clone, Debug, Default)]
 pub struct CatalogRevision {
-    /// The object's version; 0 when none was read yet.
+    /// The object's version; 0 before the first is read.
     pub number: u64,
-    /// What was accepted.
     pub catalog: Catalog,
     services: FxHashMap<ServiceName, usize>,
     workspaces: FxHashMap<WorkspaceName, usize>,
@@ -223,9 +223,9 @@
 }
 
 impl CatalogRevision {
-    /// Indexes a configuration that was read at object version `number`.
+    /// Validates and indexes a configuration that was read at object version `number`.
     pub fn new(number: u64, catalog: Catalog) -> Result<CatalogRevision, Vec<Fault>> {
-        let faults = check(&catalog);
+        let faults = validate(&catalog);
         if !faults.is_empty() {
             return Err(faults);
         }
@@ -269,23 +269,23 @@
     }
 }
 
-/// Something wrong with one field of a configuration.
+/// An invalid field of a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{field}: {reason}")]
 pub struct Fault {
-    /// The field's place, such as `upstreams[3].pool`.
+    /// The path of the field, such as `upstreams[3].pool`.
     pub field: String,
-    /// What is wrong with it.
+    /// Why it is invalid.
     pub reason: String,
 }
 
-/// Finds every fault of a configuration.
-pub fn check(catalog: &Catalog) -> Vec<Fault> {
+/// Returns all faults of a configuration.
+pub fn validate(catalog: &Catalog) -> Vec<Fault> {
     let mut faults = Vec::new();
-    check_names(&mut faults, "workspaces", catalog.workspaces.iter().map(|w| w.name.as_str()));
-    check_names(&mut faults, "services", catalog.services.iter().map(|s| s.name.as_str()));
-    check_names(&mut faults, "pools", catalog.pools.iter().map(|p| p.name.as_str()));
-    check_names(&mut faults, "upstreams", catalog.upstreams.iter().map(|u| u.name.as_str()));
+    validate_names(&mut faults, "workspaces", catalog.workspaces.iter().map(|w| w.name.as_str()));
+    validate_names(&mut faults, "services", catalog.services.iter().map(|s| s.name.as_str()));
+    validate_names(&mut faults, "pools", catalog.pools.iter().map(|p| p.name.as_str()));
+    validate_names(&mut faults, "upstreams", catalog.upstreams.iter().map(|u| u.name.as_str()));
     let services: FxHashSet<&str> = catalog.services.iter().map(|s| s.name.as_str()).collect();
     let pools: FxHashSet<&str> = catalog.pools.iter().map(|p| p.name.as_str()).collect();
     for (i, workspace) in catalog.workspaces.iter().enumerate() {
@@ -312,12 +312,14 @@
         if !service.path.starts_with('/') {
             faults.push(fault(format!("services[{i}].path"), "must start with '/'"));
         }
-        let resumes = |p: &String| {
+        let is_valid_resume_path = |p: &String| {
             p.starts_with('/')
-                && [REQUEST_PLACEHOLDER, FROM_PLACEHOLDER].iter().all(|place| p.contains(place))
+                && [REQUEST_PLACEHOLDER, FROM_PLACEHOLDER]
+                    .iter()
+                    .all(|placeholder| p.contains(placeholder))
         };
-        if !service.resume.as_ref().is_none_or(resumes) {
-            let reason = "must start with '/' and hold {request} and {from}";
+        if !service.resume.as_ref().is_none_or(is_valid_resume_path) {
+            let reason = "must start with '/' and contain {request} and {from}";
             faults.push(fault(format!("services[{i}].resume"), reason));
         }
     }
@@ -346,15 +348,15 @@
     faults
 }
 
-fn check_names<'a>(faults: &mut Vec<Fault>, kind: &str, names: impl Iterator<Item = &'a str>) {
+fn validate_names<'a>(faults: &mut Vec<Fault>, kind: &str, names: impl Iterator<Item = &'a str>) {
     let mut seen = FxHashSet::default();
     for (i, name) in names.enumerate() {
         let field = format!("{kind}[{i}].name");
-        let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-        if name.is_empty() || NAME_MAX_BYTES < name.len() || !name.chars().all(plain) {
+        let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+        if name.is_empty() || NAME_MAX_BYTES < name.len() || !name.chars().all(is_allowed) {
             faults.push(fault(field, "must be 1 to 64 letters, digits, '-', '_' or '.'"));
         } else if !seen.insert(name) {
-            faults.push(fault(field, "stands twice"));
+            faults.push(fault(field, "duplicate name"));
         }
     }
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,4 +1,5 @@
-//! Settings of a process (INI) and the fleet's configuration (an object on the platform).
+//! The settings of a process (an INI file) and the configuration of the fleet (an object on the
+//! platform).
 
 pub mod catalog;
 pub mod settings;
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,5 +1,5 @@
-//! Settings of one process, read from an INI file. Every fault is found at once and named by file,
-//! section and key.
+//! Settings of a process, read from an INI file. All faults are reported at once, each with its
+//! file, section and key.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -15,27 +15,26 @@
 use crate::names::ZoneName;
 use crate::peer::member::ListedBox;
 
-/// What is wrong with a settings file.
+/// Why a settings file is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The file can't be read or isn't INI.
+    /// The file can't be read or isn't valid INI.
     #[error("{}: {reason}", path.display())]
     File { path: PathBuf, reason: String },
-    /// The file was read, but these keys are missing, unknown or wrong.
-    #[error("{}", lines(.0))]
+    /// These keys are missing, unknown or invalid.
+    #[error("{}", join_lines(.0))]
     Keys(Vec<KeyFault>),
 }
 
-/// What is wrong with one key.
+/// A fault of one key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyFault {
-    /// The file.
     pub path: PathBuf,
-    /// The section it stands in.
+    /// The section of the key.
     pub section: String,
-    /// The key, or nothing where the section itself is wrong.
+    /// The key; empty if the section itself is invalid.
     pub key: String,
-    /// What is wrong.
+    /// Why it is invalid.
     pub reason: String,
 }
 
@@ -48,19 +47,19 @@
 /// Settings of `frostdyke-router`.
 #[derive(Clone, Debug)]
 pub struct Router {
-    /// `[box]`: who this is.
+    /// `[box]`: name and zone of this box.
     pub identity: Identity,
-    /// `[listen] callers`: where callers connect.
+    /// `[listen] callers`: listening address for callers.
     pub callers: SocketAddr,
-    /// `[listen] peers`: where other routers connect.
+    /// `[listen] peers`: listening address for other routers.
     pub peers: SocketAddr,
-    /// `[listen] metrics`: where the metrics page is.
+    /// `[listen] metrics`: listening address of the metrics page.
     pub metrics: SocketAddr,
-    /// `[platform] address`: where the platform's API is.
+    /// `[platform] address`: address of the platform's API.
     pub platform: SocketAddr,
-    /// `[peers] secret-file`: what routers show each other.
+    /// `[peers] secret-file`: the secret by which routers authenticate to each other.
     pub secret: Secret,
-    /// `[peers] seeds`: boxes known before the platform answers.
+    /// `[peers] seeds`: boxes known before the platform responds.
     pub seeds: Vec<ListedBox>,
     /// `[callers]`: limits of the callers' port.
     pub limits: Limits,
@@ -71,15 +70,15 @@
 /// Settings of `frostdyke-operator`.
 #[derive(Clone, Debug)]
 pub struct Operator {
-    /// `[box]`: who this is.
+    /// `[box]`: name and zone of this box.
     pub identity: Identity,
-    /// `[listen] operators`: where operators connect.
+    /// `[listen] operators`: listening address for operators.
     pub operators: SocketAddr,
-    /// `[platform] address`: where the platform's API is.
+    /// `[platform] address`: address of the platform's API.
     pub platform: SocketAddr,
-    /// `[peers] secret-file`: what this process shows the routers.
+    /// `[peers] secret-file`: the secret by which this process authenticates to routers.
     pub secret: Secret,
-    /// `[peers] seeds`: boxes known before the platform answers.
+    /// `[peers] seeds`: boxes known before the platform responds.
     pub seeds: Vec<ListedBox>,
     /// `[operators] tokens-file`: lines of `NAME SHA-256-OF-TOKEN`.
     pub tokens: Vec<OperatorToken>,
@@ -90,26 +89,26 @@
 /// Settings of `frostdyke-controller`.
 #[derive(Clone, Debug)]
 pub struct Controller {
-    /// `[box]`: who this is.
+    /// `[box]`: name and zone of this box.
     pub identity: Identity,
-    /// `[listen] metrics`: where the metrics page is.
+    /// `[listen] metrics`: listening address of the metrics page.
     pub metrics: SocketAddr,
-    /// `[platform] address`: where the platform's API is.
+    /// `[platform] address`: address of the platform's API.
     pub platform: SocketAddr,
     /// `[log]`.
     pub log: Log,
 }
 
-/// An operator and the digest of the token that names them.
+/// An operator, and the digest of the token that authenticates them.
 #[derive(Clone, Debug)]
 pub struct OperatorToken {
-    /// The operator's name, as it is kept with what they confirm.
+    /// The operator's name, which is recorded with the plans that they confirm.
     pub name: String,
     /// SHA-256 of the token.
     pub digest: [u8; 32],
 }
 
-/// Who a process is.
+/// The box that a process runs on.
 #[derive(Clone, Debug)]
 pub struct Identity {
     /// `name`: unique name of the box.
@@ -118,7 +117,7 @@
     pub zone: ZoneName,
 }
 
-/// Limits of the callers' port, each with a default.
+/// Limits of the callers' port. Each has a default.
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// `trust-workspace-header`: take the workspace from `Frostdyke-Workspace` instead of a key.
@@ -129,17 +128,17 @@
     pub max_header_bytes: usize,
     /// `max-connections`.
     pub max_connections: usize,
-    /// `max-running`: requests of all workspaces at upstreams at once; each holds a thread.
+    /// `max-running`: concurrent requests of all workspaces at upstreams. Each occupies a thread.
     pub max_running: usize,
-    /// `default-deadline-ms`: for requests that name none.
+    /// `default-deadline-ms`: deadline of requests that specify none.
     pub default_deadline: Duration,
-    /// `head-timeout-ms`: a caller has this long to send a request's head, and again its body.
+    /// `head-timeout-ms`: how long a caller may take to send a request's head, and again its body.
     pub head_timeout: Duration,
-    /// `idle-timeout-ms`: an upstream that sends nothing for this long is given up on.
+    /// `idle-timeout-ms`: the attempt fails when its upstream sends nothing for this long.
     pub idle_timeout: Duration,
 }
 
-/// How to log.
+/// Settings of the log.
 #[derive(Clone, Debug)]
 pub struct Log {
     /// `format`: `json` or `terminal`.
@@ -148,12 +147,12 @@
     pub level: slog::Level,
 }
 
-/// The shape of log lines.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
-    /// For a person at a terminal.
+    /// Text for a terminal.
     Terminal,
 }
 
@@ -169,7 +168,7 @@
     }
 }
 
-/// A secret that doesn't show in logs.
+/// A secret whose `Debug` output doesn't show it.
 #[derive(Clone)]
 pub struct Secret(String);
 
@@ -194,49 +193,49 @@
 
 /// Reads the settings of `frostdyke-router`.
 pub fn read_router(path: &Path) -> Result<Router, Error> {
-    let mut rdr = Reader::open(path)?;
+    let mut reader = Reader::open(path)?;
     let settings = Router {
-        identity: rdr.identity(),
-        callers: rdr.address("listen", "callers"),
-        peers: rdr.address("listen", "peers"),
-        metrics: rdr.address("listen", "metrics"),
-        platform: rdr.address("platform", "address"),
-        secret: rdr.secret("peers", "secret-file"),
-        seeds: rdr.seeds(),
-        limits: rdr.limits(),
-        log: rdr.log(),
+        identity: reader.identity(),
+        callers: reader.address("listen", "callers"),
+        peers: reader.address("listen", "peers"),
+        metrics: reader.address("listen", "metrics"),
+        platform: reader.address("platform", "address"),
+        secret: reader.secret("peers", "secret-file"),
+        seeds: reader.seeds(),
+        limits: reader.limits(),
+        log: reader.log(),
     };
-    rdr.finish(settings)
+    reader.finish(settings)
 }
 
 /// Reads the settings of `frostdyke-operator`.
 pub fn read_operator(path: &Path) -> Result<Operator, Error> {
-    let mut rdr = Reader::open(path)?;
+    let mut reader = Reader::open(path)?;
     let settings = Operator {
-        identity: rdr.identity(),
-        operators: rdr.address("listen", "operators"),
-        platform: rdr.address("platform", "address"),
-        secret: rdr.secret("peers", "secret-file"),
-        seeds: rdr.seeds(),
-        tokens: rdr.tokens("operators", "tokens-file"),
-        log: rdr.log(),
+        identity: reader.identity(),
+        operators: reader.address("listen", "operators"),
+        platform: reader.address("platform", "address"),
+        secret: reader.secret("peers", "secret-file"),
+        seeds: reader.seeds(),
+        tokens: reader.tokens("operators", "tokens-file"),
+        log: reader.log(),
     };
-    rdr.finish(settings)
+    reader.finish(settings)
 }
 
 /// Reads the settings of `frostdyke-controller`.
 pub fn read_controller(path: &Path) -> Result<Controller, Error> {
-    let mut rdr = Reader::open(path)?;
+    let mut reader = Reader::open(path)?;
     let settings = Controller {
-        identity: rdr.identity(),
-        metrics: rdr.address("listen", "metrics"),
-        platform: rdr.address("platform", "address"),
-        log: rdr.log(),
+        identity: reader.identity(),
+        metrics: reader.address("listen", "metrics"),
+        platform: reader.address("platform", "address"),
+        log: reader.log(),
     };
-    rdr.finish(settings)
+    reader.finish(settings)
 }
 
-/// Reads typed values and collects what is wrong with them.
+/// Reads typed values and collects their faults.
 pub(crate) struct Reader {
     path: PathBuf,
     ini: Ini,
@@ -254,26 +253,26 @@
     }
 
     pub(crate) fn finish<T>(mut self, settings: T) -> Result<T, Error> {
-        self.find_unknown();
+        self.add_unknown_keys();
         if self.faults.is_empty() {
             return Ok(settings);
         }
         Err(Error::Keys(self.faults))
     }
 
-    fn find_unknown(&mut self) {
+    fn add_unknown_keys(&mut self) {
         let mut unknown = Vec::new();
         for (section, keys) in self.ini.iter() {
             let section = section.unwrap_or("");
             for (key, _) in keys.iter() {
-                let place = (section.to_owned(), key.to_owned());
-                if !self.used.contains(&place) {
-                    unknown.push(place);
+                let section_and_key = (section.to_owned(), key.to_owned());
+                if !self.used.contains(&section_and_key) {
+                    unknown.push(section_and_key);
                 }
             }
         }
         for (section, key) in unknown {
-            self.fault(&section, &key, "isn't known here");
+            self.fault(&section, &key, "unknown key");
         }
     }
 
@@ -324,15 +323,15 @@
     }
 
     fn secret(&mut self, section: &str, key: &str) -> Secret {
-        let text = self.file(section, key);
+        let text = self.read_file(section, key);
         if text.trim().is_empty() {
-            self.fault(section, key, "the file must hold a secret");
+            self.fault(section, key, "the file must contain a secret");
         }
         Secret(text.trim().to_owned())
     }
 
     fn tokens(&mut self, section: &str, key: &str) -> Vec<OperatorToken> {
-        let text = self.file(section, key);
+        let text = self.read_file(section, key);
         let mut tokens = Vec::new();
         for line in text.lines().map(str::trim).filter(|l| !l.is_empty()) {
             match parse_token(line) {
@@ -343,8 +342,8 @@
         tokens
     }
 
-    /// The text of a file that a key names, relative to the settings file.
-    fn file(&mut self, section: &str, key: &str) -> String {
+    /// Reads the file that a key names. Its path is relative to the settings file.
+    fn read_file(&mut self, section: &str, key: &str) -> String {
         let name: String = self.required(section, key, String::new());
         let path = self.path.parent().unwrap_or(Path::new(".")).join(name);
         std::fs::read_to_string(path).unwrap_or_else(|e| {
@@ -358,7 +357,7 @@
         T: FromStr,
         T::Err: fmt::Display,
     {
-        if self.raw(section, key).is_none() {
+        if self.value(section, key).is_none() {
             self.fault(section, key, "is missing");
             return placeholder;
         }
@@ -370,14 +369,14 @@
         T: FromStr,
         T::Err: fmt::Display,
     {
-        let Some(text) = self.raw(section, key) else { return default };
+        let Some(text) = self.value(section, key) else { return default };
         text.parse().unwrap_or_else(|e| {
             self.fault(section, key, &format!("'{text}': {e}"));
             default
         })
     }
 
-    fn raw(&mut self, section: &str, key: &str) -> Option<String> {
+    fn value(&mut self, section: &str, key: &str) -> Option<String> {
         self.used.insert((section.to_owned(), key.to_owned()));
         self.ini.get_from(Some(section), key).map(str::to_owned)
     }
@@ -410,6 +409,6 @@
     Some(OperatorToken { name: name.to_owned(), digest: bytes })
 }
 
-fn lines(faults: &[KeyFault]) -> String {
+fn join_lines(faults: &[KeyFault]) -> String {
     faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
 }
--- a/src/operator/intent.rs
+++ b/src/operator/intent.rs
@@ -46,7 +46,7 @@
 pub fn apply(base: &Catalog, intent: &Intent) -> Result<Catalog, Vec<Fault>> {
     let mut next = base.clone();
     change(&mut next, intent).map_err(|fault| vec![fault])?;
-    let faults = catalog::check(&next);
+    let faults = catalog::validate(&next);
     if faults.is_empty() { Ok(next) } else { Err(faults) }
 }
 
--- a/src/platform/client.rs
+++ b/src/platform/client.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP, by `ureq`.
+//! HTTP client of the platform, based on `ureq`.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,19 +15,18 @@
 use crate::platform::Object;
 use crate::platform::ObjectStore;
 
-/// How long a call other than a watch may take, unless it is told otherwise.
+/// Default timeout of calls other than watches.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long connecting may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How much longer than its wait a watch may take.
-const WATCH_SLACK: Duration = Duration::from_secs(2);
+/// How long a watch may take beyond its wait.
+const WATCH_EXTRA_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Largest answer that is read, in bytes.
-const ANSWER_MAX: u64 = 4 << 20;
+/// Largest accepted response body.
+const BODY_MAX_BYTES: u64 = 4 << 20;
 
-/// The platform at one address.
+/// Calls the platform at one address.
 #[derive(Clone, Debug)]
 pub struct Client {
     agent: Agent,
@@ -36,7 +35,7 @@
     timeout: Duration,
 }
 
-/// Calls to the platform so far: each counts against its rates.
+/// Counts the calls to the platform, each of which counts towards its rate limits.
 #[derive(Debug, Default)]
 pub struct CallCounters {
     /// Reads of objects and of the box list.
@@ -60,7 +59,7 @@
         Client { agent: config.into(), base, calls: Arc::default(), timeout: CALL_TIMEOUT }
     }
 
-    /// The same, but calls other than watches are given up after `timeout`.
+    /// Like `self`, with another timeout of calls other than watches.
     pub fn with_timeout(&self, timeout: Duration) -> Client {
         Client { timeout, ..self.clone() }
     }
@@ -72,7 +71,7 @@
 
     fn read(&self, url: &str, timeout: Duration) -> Result<Response<ureq::Body>, Error> {
         let req = self.agent.get(url).config().timeout_global(Some(timeout)).build();
-        // A read has no effect, so a lost answer is no different from an outage.
+        // A read has no effect, so a lost response is the same as an outage.
         let resp = req.call().map_err(|e| Error::Unavailable(e.to_string()))?;
         match resp.status().as_u16() {
             503 => Err(Error::Unavailable("503".to_owned())),
@@ -114,7 +113,7 @@
         self.calls.watches.fetch_add(1, Ordering::Relaxed);
         let wait_ms = wait.as_millis();
         let url = format!("{}/objects/{name}?after={after}&wait_ms={wait_ms}", self.base);
-        object(self.read(&url, wait + WATCH_SLACK)?)
+        object(self.read(&url, wait + WATCH_EXTRA_TIMEOUT)?)
     }
 }
 
@@ -141,6 +140,6 @@
 }
 
 fn bytes(resp: &mut Response<ureq::Body>) -> Result<Vec<u8>, Error> {
-    let body = resp.body_mut().with_config().limit(ANSWER_MAX);
+    let body = resp.body_mut().with_config().limit(BODY_MAX_BYTES);
     body.read_to_vec().map_err(|e| Error::Unavailable(e.to_string()))
 }
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's Object API and box list, as the rest of the code sees them.
+//! Interfaces to the platform's Object API and box list.
 
 pub mod client;
 pub mod watch;
@@ -12,41 +12,41 @@
 pub struct Object {
     /// Grows with every update; never 0.
     pub version: u64,
-    /// The value.
     pub value: Vec<u8>,
 }
 
-/// Why a call to the platform gave nothing.
+/// Why a call to the platform failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// The platform can't be reached or refuses; the call had no effect.
-    #[error("the platform is out of reach: {0}")]
+    /// The platform can't be reached or rejects the call, which had no effect.
+    #[error("platform unavailable: {0}")]
     Unavailable(String),
-    /// A conditional update lost against another.
-    #[error("the object is at version {current} already")]
+    /// The version expected by a conditional update is outdated.
+    #[error("write conflict: the object is at version {current}")]
     Conflict { current: u64 },
-    /// The call was sent but its answer is lost: it may have taken effect.
-    #[error("the answer is lost: {0}")]
+    /// The call was sent, but there is no response: it may have taken effect.
+    #[error("no response, the call may have taken effect: {0}")]
     Unknown(String),
-    /// The platform answered what it shouldn't.
-    #[error("the platform answered {0}")]
+    /// The platform sent an invalid response.
+    #[error("unexpected response of the platform: {0}")]
     Unexpected(String),
 }
 
 /// Versioned objects. All calls block.
 pub trait ObjectStore: Send + Sync {
-    /// Reads an object; nothing where there is none.
+    /// Reads an object. Returns `None` if it doesn't exist.
     fn get(&self, name: &str) -> Result<Option<Object>, Error>;
 
-    /// Writes an object if it is at version `expected` (0: if there is none). Gives the version.
+    /// Writes an object if it is at version `expected` (0: if it doesn't exist). Returns the new
+    /// version.
     fn put(&self, name: &str, value: &[u8], expected: u64) -> Result<u64, Error>;
 
-    /// Waits for a version greater than `after`; nothing when there was none in `wait`.
+    /// Waits up to `wait` for a version greater than `after`. Returns `None` if there is none.
     fn watch(&self, name: &str, after: u64, wait: Duration) -> Result<Option<Object>, Error>;
 }
 
 /// The platform's list of boxes.
 pub trait BoxList: Send + Sync {
-    /// Reads the list, which lags.
+    /// Reads the list, which lags behind changes.
     fn boxes(&self) -> Result<Vec<ListedBox>, Error>;
 }
--- a/src/platform/watch.rs
+++ b/src/platform/watch.rs
@@ -1,4 +1,4 @@
-//! Follows the configuration object and the box list, on threads of their own.
+//! Watches the configuration object and polls the box list, each on its own thread.
 
 use std::sync::Arc;
 use std::thread;
@@ -13,43 +13,43 @@
 use crate::platform::Object;
 use crate::platform::ObjectStore;
 
-/// How long one watch waits; each counts as a call.
+/// How long one watch waits. Each counts as a call.
 const WATCH_WAIT: Duration = Duration::from_secs(30);
 
-/// First pause after a failed call; doubled while it fails.
-const PAUSE_FIRST: Duration = Duration::from_millis(100);
+/// Pause after the first failed call. It doubles with each further failure.
+const RETRY_PAUSE_FIRST: Duration = Duration::from_millis(100);
 
 /// Longest pause after a failed call.
-const PAUSE_MAX: Duration = Duration::from_secs(5);
+const RETRY_PAUSE_MAX: Duration = Duration::from_secs(5);
 
-/// How often the box list is read.
-const BOXES_EVERY: Duration = Duration::from_secs(2);
+/// Interval between reads of the box list.
+const BOX_LIST_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What following the platform brings.
+/// An update from the platform.
 #[derive(Debug)]
 pub enum PlatformUpdate {
-    /// A configuration, valid or not.
+    /// A version of the configuration, or why it is invalid.
     Configuration { version: u64, revision: Box<Result<CatalogRevision, Vec<Fault>>> },
     /// The box list.
     Boxes(Vec<ListedBox>),
-    /// A call failed that had worked before, or the other way round.
+    /// Calls started to fail, with the error of the first, or succeed again.
     Reachability(Option<Error>),
 }
 
-/// Follows the configuration object; calls `tell` with each new version.
+/// Watches the configuration object. Calls `notify` with each new version.
 pub fn watch_configuration(
     objects: Arc<dyn ObjectStore>,
-    tell: impl Fn(PlatformUpdate) + Send + 'static,
+    notify: impl Fn(PlatformUpdate) + Send + 'static,
 ) {
     thread::spawn(move || {
         let mut after = 0;
-        let mut pause = Pause::default();
+        let mut backoff = Backoff::default();
         loop {
             let watched = objects.watch(catalog::CONFIGURATION_OBJECT, after, WATCH_WAIT);
-            pause.note(watched.as_ref().err(), &tell);
+            backoff.after_call(watched.as_ref().err(), &notify);
             if let Ok(Some(object)) = watched {
                 after = object.version;
-                tell(PlatformUpdate::Configuration {
+                notify(PlatformUpdate::Configuration {
                     version: after,
                     revision: Box::new(parse(&object)),
                 });
@@ -58,19 +58,19 @@
     });
 }
 
-/// Follows the box list.
-pub fn poll_boxes(boxes: Arc<dyn BoxList>, tell: impl Fn(PlatformUpdate) + Send + 'static) {
+/// Polls the box list. Calls `notify` with each list.
+pub fn poll_boxes(boxes: Arc<dyn BoxList>, notify: impl Fn(PlatformUpdate) + Send + 'static) {
     thread::spawn(move || {
         loop {
             if let Ok(list) = boxes.boxes() {
-                tell(PlatformUpdate::Boxes(list));
+                notify(PlatformUpdate::Boxes(list));
             }
-            thread::sleep(BOXES_EVERY);
+            thread::sleep(BOX_LIST_INTERVAL);
         }
     });
 }
 
-/// Reads a configuration out of its object.
+/// Parses the value of the configuration object.
 pub fn parse(object: &Object) -> Result<CatalogRevision, Vec<Fault>> {
     let catalog = serde_json::from_slice(&object.value).map_err(|e| {
         let field = format!("line {} column {}", e.line(), e.column());
@@ -79,25 +79,26 @@
     CatalogRevision::new(object.version, catalog)
 }
 
-/// Waits longer and longer while calls fail.
+/// Pauses after failed calls, for longer with each consecutive failure.
 #[derive(Default)]
-struct Pause {
+struct Backoff {
+    /// The next pause; `None` after a successful call.
     next: Option<Duration>,
 }
 
-impl Pause {
-    fn note(&mut self, error: Option<&Error>, tell: &impl Fn(PlatformUpdate)) {
+impl Backoff {
+    fn after_call(&mut self, error: Option<&Error>, notify: &impl Fn(PlatformUpdate)) {
         let Some(error) = error else {
             if self.next.take().is_some() {
-                tell(PlatformUpdate::Reachability(None));
+                notify(PlatformUpdate::Reachability(None));
             }
             return;
         };
         if self.next.is_none() {
-            tell(PlatformUpdate::Reachability(Some(error.clone())));
+            notify(PlatformUpdate::Reachability(Some(error.clone())));
         }
-        let pause = self.next.unwrap_or(PAUSE_FIRST);
+        let pause = self.next.unwrap_or(RETRY_PAUSE_FIRST);
         thread::sleep(pause);
-        self.next = Some((pause * 2).min(PAUSE_MAX));
+        self.next = Some((pause * 2).min(RETRY_PAUSE_MAX));
     }
 }
--- a/standin/src/hold.rs
+++ b/standin/src/hold.rs
@@ -1,5 +1,5 @@
-//! Stops requests at a step until a test lets them go on, so that whoever sent them can be killed or
-//! frozen just there.
+//! Stops requests at a step until a test lets them go on, so that whoever sent them can be killed
+//! or frozen just there.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
--- a/standin/src/orders.rs
+++ b/standin/src/orders.rs
@@ -1,8 +1,8 @@
 //! The part of a fake engine that takes orders: what it has loaded, and whether it takes work.
 //!
 //! - `GET /state` gives `State`.
-//! - `PUT /orders` takes a fence and an order: 204, 409 when it can't now, 412 when the engine checks
-//!   fences and has seen a greater one.
+//! - `PUT /orders` takes a fence and an order: 204, 409 when it can't now, 412 when the engine
+//!   checks fences and has seen a greater one.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
--- a/standin/src/platform.rs
+++ b/standin/src/platform.rs
@@ -2,7 +2,8 @@
 //!
 //! - `GET /objects/NAME` gives the value, its version in the `Version` header.
 //! - `GET /objects/NAME?after=V&wait_ms=N` waits until the version is greater than V (204 if not).
-//! - `PUT /objects/NAME` with `If-Version: V` (0: must not exist yet) gives the new version, or 409.
+//! - `PUT /objects/NAME` with `If-Version: V` (0: must not exist yet) gives the new version, or
+//!   409.
 //! - `GET /boxes` gives the box list as it was a while ago.
 //! - `PUT /boxes` replaces it; `PUT /control` sets `Faults`; `GET /calls` counts the calls.
 
