--- a/standin/src/bin/standin.rs
+++ b/standin/src/bin/standin.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in. See `standin/src/lib.rs`.
+//! Runs a stand-in, see [`frostdyke_standin`].
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -12,7 +12,7 @@
 use frostdyke_standin::service::Service;
 use serde::Deserialize;
 
-/// Small fakes of the systems that frostdyke meets. For tests and the demo only.
+/// Small fakes of the systems that frostdyke calls. For tests and the demo only.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 enum Options {
@@ -22,14 +22,14 @@
         /// Address to listen on
         #[bpaf(argument("IP:PORT"))]
         listen: SocketAddr,
-        /// An object to begin with
+        /// An initial object
         #[bpaf(argument("NAME=FILE"))]
         object: Vec<String>,
-        /// The box list to begin with
+        /// The initial box list
         #[bpaf(argument("FILE"))]
         boxes: Option<PathBuf>,
     },
-    /// A stand-in for every upstream that a configuration names
+    /// A stand-in for each upstream of a configuration
     #[bpaf(command)]
     Upstreams {
         /// The configuration (JSON)
@@ -38,27 +38,27 @@
         /// Milliseconds per token in each slot of an engine
         #[bpaf(argument("MS"), fallback(4))]
         token_ms: u64,
-        /// Milliseconds per request of a service
+        /// Milliseconds per request of a service that runs no model
         #[bpaf(argument("MS"), fallback(5))]
         delay_ms: u64,
     },
     /// A model engine
     #[bpaf(command)]
     Engine {
-        /// Address to listen on; more than one for more than one engine in this process
+        /// Address to listen on; repeat it to start several engines in this process
         #[bpaf(argument("IP:PORT"), some("an engine needs an address"))]
         listen: Vec<SocketAddr>,
-        /// Requests that run at once
+        /// Requests that run concurrently
         #[bpaf(argument("N"), fallback(8))]
         slots: usize,
         /// Milliseconds per token in each slot
         #[bpaf(argument("MS"), fallback(2))]
         token_ms: u64,
     },
-    /// A plain service
+    /// A service that runs no model
     #[bpaf(command)]
     Service {
-        /// Address to listen on; more than one for more than one service in this process
+        /// Address to listen on; repeat it to start several services in this process
         #[bpaf(argument("IP:PORT"), some("a service needs an address"))]
         listen: Vec<SocketAddr>,
         /// Milliseconds per request
@@ -84,9 +84,9 @@
             start_upstreams(&configuration, Duration::from_millis(token_ms), delay)?;
         }
         Options::Engine { listen, slots, token_ms } => {
-            let token = Duration::from_millis(token_ms);
+            let token_interval = Duration::from_millis(token_ms);
             let settings =
-                engine::Settings { slots, token_interval: token, ..engine::Settings::default() };
+                engine::Settings { slots, token_interval, ..engine::Settings::default() };
             for addr in listen {
                 Engine::start(addr, settings.clone())?;
             }
@@ -97,13 +97,13 @@
             }
         }
     }
-    // The servers have threads of their own; a stand-in ends when it is killed.
+    // The servers run on separate threads until the process is killed.
     loop {
         thread::park();
     }
 }
 
-/// The parts of a configuration that tell which stand-ins to start.
+/// The parts of a configuration that determine which stand-ins to start.
 #[derive(Deserialize)]
 struct Configuration {
     pools: Vec<Pool>,
@@ -125,7 +125,7 @@
 
 fn start_upstreams(
     configuration: &Configuration,
-    token: Duration,
+    token_interval: Duration,
     delay: Duration,
 ) -> std::io::Result<()> {
     for upstream in &configuration.upstreams {
@@ -133,7 +133,7 @@
         if pool.is_some_and(|p| p.unit == "tokens") {
             let slots = upstream.slots;
             let settings =
-                engine::Settings { slots, token_interval: token, ..engine::Settings::default() };
+                engine::Settings { slots, token_interval, ..engine::Settings::default() };
             Engine::start(upstream.address, settings)?;
         } else {
             Service::start(upstream.address, delay)?;
--- a/standin/src/engine.rs
+++ b/standin/src/engine.rs
@@ -1,14 +1,14 @@
-//! A fake model engine: slots, tokens streamed one by one, a prefix cache, a load report that lags,
+//! A fake model engine: slots, tokens streamed one by one, a prefix cache, a delayed load report,
 //! and faults on demand.
 //!
 //! - `POST /v1/generate` with `{"max_tokens": N}` streams N events and a last one with the usage.
-//!   A request beyond the slots waits inside, the most urgent (`Frostdyke-Class`) first.
-//! - `GET /resume/ID?from=K` streams the answer of an earlier request again, from token K on.
-//! - `GET /load` gives the requests running, as they were a while ago, whether the engine leaves,
-//!   and what went into or out of the prefix cache since it was last asked.
-//! - `GET /state` and `PUT /orders`: see `orders`.
-//! - `PUT /control` sets `Faults`.
-//! - `GET /ran` counts the requests that ran.
+//!   A request beyond the slots waits in the engine, the most urgent (`Frostdyke-Class`) first.
+//! - `GET /resume/ID?from=K` streams the response of an earlier request again, from token K on.
+//! - `GET /load` returns the number of running requests, as it was a while ago, whether the engine
+//!   is leaving, and the changes of the prefix cache since the previous report.
+//! - `GET /state` and `PUT /orders`: see [`crate::orders`].
+//! - `PUT /control` sets [`Faults`].
+//! - `GET /ran` returns the number of tokens generated.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -43,23 +43,23 @@
 use crate::web;
 use crate::web::Body;
 
-/// Prefixes that the cache holds.
+/// Maximum number of prefixes in the cache.
 const CACHE_MAX: usize = 64;
 
-/// How an engine behaves when all is well.
+/// How an engine behaves without faults.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Requests that run at once.
+    /// Requests that run concurrently.
     pub slots: usize,
     /// Time per token in each slot.
     pub token_interval: Duration,
-    /// Time before the first token, without a cached prefix.
+    /// Time before the first token, if the prefix isn't cached.
     pub prefill_time: Duration,
-    /// How old the load report is.
+    /// Age of the data in the load report.
     pub report_lag: Duration,
     /// Time to load a model.
     pub model_load_time: Duration,
-    /// Whether orders with a fence smaller than one seen before are refused.
+    /// Whether an order is rejected if its fence is smaller than an earlier one.
     pub checks_fence: bool,
 }
 
@@ -76,34 +76,34 @@
     }
 }
 
-/// Faults to show, all off by default.
+/// Faults to simulate, all off by default.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// Answers are cut after this many tokens; those that are streamed again are not.
+    /// Responses are cut after this many tokens, except resumed ones.
     pub cut_after: Option<u64>,
-    /// Those that are streamed again are cut before their first token.
+    /// Resumed responses are cut before their first token.
     pub cut_again: bool,
-    /// Answers carry another request's id.
+    /// Responses carry another request's id.
     pub crossed: bool,
-    /// Every answer begins this much later, in milliseconds.
+    /// Delay of every response, in milliseconds.
     pub late_ms: u64,
-    /// Every request is refused with 503 before it runs.
+    /// Every request is rejected with 503 before it runs.
     pub busy: bool,
-    /// Answers never end after their tokens.
+    /// Responses stay open after their last token.
     pub endless: bool,
-    /// The engine says that it leaves.
+    /// The engine reports that it is leaving.
     pub leaving: bool,
-    /// Orders stop here until this is lifted.
+    /// Orders are held at this point until it is unset.
     pub hold_orders: Option<HoldPoint>,
 }
 
-/// What an engine reports of itself.
+/// An engine's report of its load.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
-    /// Whether it is about to stop.
+    /// Whether the engine is about to stop.
     pub leaving: bool,
     /// Changes of the prefix cache.
     pub events: Vec<CacheEvent>,
@@ -112,16 +112,16 @@
 /// A change of the prefix cache.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// The prefix, as the caller hinted it.
+    /// The prefix, as given by the caller.
     pub prefix: u64,
-    /// Whether it went in (else out).
+    /// Whether it was added, rather than removed.
     pub stored: bool,
 }
 
 /// A running fake engine.
 #[derive(Clone)]
 pub struct Engine {
-    /// Where it listens.
+    /// The address it listens on.
     pub addr: SocketAddr,
     state: Arc<State>,
 }
@@ -129,19 +129,19 @@
 struct State {
     settings: Settings,
     slots: Mutex<Slots>,
-    /// How many tokens each request asked for, to be resumed.
-    asked: Mutex<HashMap<String, u64>>,
+    /// The number of tokens of each request, to resume it.
+    requested_tokens: Mutex<HashMap<String, u64>>,
     running: AtomicU32,
     history: Mutex<VecDeque<(Instant, u32)>>,
     cache: Mutex<VecDeque<u64>>,
     events: Mutex<Vec<CacheEvent>>,
     faults: Mutex<Faults>,
-    ran: Mutex<HashMap<String, u64>>,
+    runs: Mutex<HashMap<String, u64>>,
     tokens: AtomicU64,
     cancelled: AtomicU64,
     resumed: AtomicU64,
     orders: Mutex<Orders>,
-    holding: HoldGate,
+    hold_gate: HoldGate,
 }
 
 #[derive(Deserialize)]
@@ -162,56 +162,56 @@
     pub fn start(addr: SocketAddr, settings: Settings) -> io::Result<Engine> {
         let state = Arc::new(State {
             slots: Mutex::new(Slots { free: settings.slots, ..Slots::default() }),
-            asked: Mutex::default(),
+            requested_tokens: Mutex::default(),
             settings,
             running: AtomicU32::new(0),
             history: Mutex::default(),
             cache: Mutex::default(),
             events: Mutex::default(),
             faults: Mutex::default(),
-            ran: Mutex::default(),
+            runs: Mutex::default(),
             tokens: AtomicU64::new(0),
             cancelled: AtomicU64::new(0),
             resumed: AtomicU64::new(0),
             orders: Mutex::default(),
-            holding: HoldGate::default(),
+            hold_gate: HoldGate::default(),
         });
         let shared = state.clone();
         let addr = web::serve(addr, move |req| handle(shared.clone(), req))?;
         Ok(Engine { addr, state })
     }
 
-    /// Sets the faults to show from now on.
+    /// Sets the faults from now on.
     pub fn set_faults(&self, faults: Faults) {
         *self.state.faults.lock().expect("no panic under lock") = faults;
     }
 
-    /// How often each request id ran.
+    /// Number of runs by request id.
     pub fn run_counts(&self) -> HashMap<String, u64> {
-        self.state.ran.lock().expect("no panic under lock").clone()
+        self.state.runs.lock().expect("no panic under lock").clone()
     }
 
-    /// Requests running now.
+    /// Number of running requests.
     pub fn running(&self) -> u32 {
         self.state.running.load(Ordering::SeqCst)
     }
 
-    /// What orders have made of the engine.
+    /// The state that orders change.
     pub fn orders(&self) -> MutexGuard<'_, Orders> {
         self.state.orders.lock().expect("no panic under lock")
     }
 
-    /// Orders that stop where `Faults::hold_orders` says.
+    /// Number of orders held by [`Faults::hold_orders`].
     pub fn held_count(&self) -> u64 {
-        self.state.holding.count()
+        self.state.hold_gate.count()
     }
 
-    /// Answers that were streamed again.
+    /// Number of resumed responses.
     pub fn resumed_count(&self) -> u64 {
         self.state.resumed.load(Ordering::SeqCst)
     }
 
-    /// Requests whose caller left before the end.
+    /// Number of requests whose caller disconnected before the end.
     pub fn cancelled_count(&self) -> u64 {
         self.state.cancelled.load(Ordering::SeqCst)
     }
@@ -222,8 +222,8 @@
         self.faults.lock().expect("no panic under lock").clone()
     }
 
-    /// Notes a change of the number of running requests.
-    fn note_running(&self, change: i32) {
+    /// Records a change of the number of running requests.
+    fn record_running(&self, change: i32) {
         let running = self.running.fetch_add(change as u32, Ordering::SeqCst);
         let mut history = self.history.lock().expect("no panic under lock");
         history.push_back((Instant::now(), running.wrapping_add(change as u32)));
@@ -232,7 +232,7 @@
         }
     }
 
-    fn load(&self) -> LoadReport {
+    fn load_report(&self) -> LoadReport {
         let history = self.history.lock().expect("no panic under lock");
         let lag = self.settings.report_lag;
         let old = history.iter().rev().find(|(at, _)| at.elapsed() >= lag);
@@ -242,8 +242,8 @@
         LoadReport { running: old.map_or(0, |(_, n)| *n), leaving, events }
     }
 
-    /// Puts a prefix into the cache; true when it was there already.
-    fn cached(&self, prefix: u64) -> bool {
+    /// Adds a prefix to the cache. Returns whether it was cached already.
+    fn insert_prefix(&self, prefix: u64) -> bool {
         if prefix == 0 {
             return false;
         }
@@ -263,7 +263,7 @@
     }
 }
 
-/// Free slots, and who waits for one: by class, then by arrival.
+/// Free slots, and requests that wait for one, in order of class and then arrival.
 #[derive(Default)]
 struct Slots {
     free: usize,
@@ -272,7 +272,7 @@
 }
 
 impl Slots {
-    /// Takes a free slot, or gives what to wait on for one.
+    /// Takes a free slot, or returns a receiver to wait for one.
     fn take(&mut self, class: u8) -> Option<oneshot::Receiver<()>> {
         if self.free != 0 {
             self.free -= 1;
@@ -284,7 +284,7 @@
         Some(rx)
     }
 
-    fn give_back(&mut self) {
+    fn release(&mut self) {
         while let Some((_, tx)) = self.waiting.pop_first() {
             if tx.send(()).is_ok() {
                 return;
@@ -295,41 +295,41 @@
 }
 
 /// A slot in use.
-struct Slot(Arc<State>);
+struct SlotGuard(Arc<State>);
 
-impl Slot {
-    async fn take(state: &Arc<State>, class: u8) -> Slot {
+impl SlotGuard {
+    async fn take(state: &Arc<State>, class: u8) -> SlotGuard {
         let wait = state.slots.lock().expect("no panic under lock").take(class);
         if let Some(rx) = wait {
-            // The sender is kept until a slot is free.
+            // The sender isn't dropped before a slot is free.
             let _ = rx.await;
         }
-        Slot(state.clone())
+        SlotGuard(state.clone())
     }
 }
 
-impl Drop for Slot {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
-        self.0.slots.lock().expect("no panic under lock").give_back();
+        self.0.slots.lock().expect("no panic under lock").release();
     }
 }
 
-/// Counts a request as running for as long as it lives, and as cancelled unless it was finished.
-struct Run {
+/// Counts a request as running until dropped, and then as cancelled unless it has finished.
+struct RunningGuard {
     state: Arc<State>,
     finished: bool,
 }
 
-impl Run {
-    fn start(state: &Arc<State>) -> Run {
-        state.note_running(1);
-        Run { state: state.clone(), finished: false }
+impl RunningGuard {
+    fn start(state: &Arc<State>) -> RunningGuard {
+        state.record_running(1);
+        RunningGuard { state: state.clone(), finished: false }
     }
 }
 
-impl Drop for Run {
+impl Drop for RunningGuard {
     fn drop(&mut self) {
-        self.state.note_running(-1);
+        self.state.record_running(-1);
         if !self.finished {
             self.state.cancelled.fetch_add(1, Ordering::SeqCst);
         }
@@ -338,7 +338,7 @@
 
 async fn handle(state: Arc<State>, req: Request<Incoming>) -> io::Result<Response<Body>> {
     match (req.method(), req.uri().path()) {
-        (&Method::GET, "/load") => Ok(web::json(StatusCode::OK, &state.load())),
+        (&Method::GET, "/load") => Ok(web::json(StatusCode::OK, &state.load_report())),
         (&Method::GET, "/ran") => {
             Ok(web::json(StatusCode::OK, &state.tokens.load(Ordering::Relaxed)))
         }
@@ -356,23 +356,23 @@
             let mut orders = state.orders.lock().expect("no panic under lock");
             Ok(web::json(StatusCode::OK, &orders.state(running, leaving)))
         }
-        (&Method::PUT, "/orders") => order(&state, req).await,
+        (&Method::PUT, "/orders") => execute_order(&state, req).await,
         (&Method::GET, path) if path.starts_with("/resume/") => Ok(resume(state, &req)),
         (&Method::POST, _) => generate(state, req).await,
         _ => Ok(web::status(StatusCode::NOT_FOUND)),
     }
 }
 
-async fn order(state: &State, req: Request<Incoming>) -> io::Result<Response<Body>> {
+async fn execute_order(state: &State, req: Request<Incoming>) -> io::Result<Response<Body>> {
     let body = req.into_body().collect().await.map_err(io::Error::other)?.to_bytes();
-    let Ok(envelope) = serde_json::from_slice(&body) else {
+    let Ok(order) = serde_json::from_slice(&body) else {
         return Ok(web::status(StatusCode::BAD_REQUEST));
     };
-    state.holding.wait(HoldPoint::Before, || state.faults().hold_orders).await;
+    state.hold_gate.wait(HoldPoint::Before, || state.faults().hold_orders).await;
     let running = state.running.load(Ordering::SeqCst);
     let settings = &state.settings;
     let mut orders = state.orders.lock().expect("no panic under lock");
-    let status = orders.apply(envelope, settings.checks_fence, running, settings.model_load_time);
+    let status = orders.apply(order, settings.checks_fence, running, settings.model_load_time);
     Ok(web::status(status))
 }
 
@@ -390,29 +390,34 @@
     let prefix = header(&req, "frostdyke-prefix").parse().unwrap_or(0);
     let body = req.into_body().collect().await.map_err(io::Error::other)?.to_bytes();
     let prompt: Prompt = serde_json::from_slice(&body).unwrap_or_default();
-    *state.ran.lock().expect("no panic under lock").entry(id.clone()).or_default() += 1;
+    *state.runs.lock().expect("no panic under lock").entry(id.clone()).or_default() += 1;
     tokio::time::sleep(Duration::from_millis(faults.late_ms)).await;
-    state.asked.lock().expect("no panic under lock").insert(id.clone(), prompt.max_tokens);
-    let echoed = if faults.crossed { format!("{id}-crossed") } else { id };
-    let run = Generation { prompt, prefix, class, from: 0, faults };
-    Ok(begin(state, run, &echoed))
+    state
+        .requested_tokens
+        .lock()
+        .expect("no panic under lock")
+        .insert(id.clone(), prompt.max_tokens);
+    let response_id = if faults.crossed { format!("{id}-crossed") } else { id };
+    let generation = Generation { prompt, prefix, class, from: 0, faults };
+    Ok(start_response(state, generation, &response_id))
 }
 
-/// Streams an earlier answer again, from a token on.
+/// Streams an earlier response again, from a token on.
 fn resume(state: Arc<State>, req: &Request<Incoming>) -> Response<Body> {
     let id = req.uri().path().trim_start_matches("/resume/").to_owned();
     let from = req.uri().query().and_then(|q| q.strip_prefix("from=")?.parse().ok()).unwrap_or(0);
-    let asked = state.asked.lock().expect("no panic under lock").get(&id).copied();
-    let Some(max_tokens) = asked else { return web::status(StatusCode::NOT_FOUND) };
+    let requested_tokens =
+        state.requested_tokens.lock().expect("no panic under lock").get(&id).copied();
+    let Some(max_tokens) = requested_tokens else { return web::status(StatusCode::NOT_FOUND) };
     let prompt = Prompt { max_tokens, ..Prompt::default() };
     let faults = state.faults();
     let cut_after = faults.cut_again.then_some(from);
     let faults = Faults { cut_after, ..faults };
     state.resumed.fetch_add(1, Ordering::SeqCst);
-    begin(state, Generation { prompt, prefix: 0, class: 1, from, faults }, &id)
+    start_response(state, Generation { prompt, prefix: 0, class: 1, from, faults }, &id)
 }
 
-/// What to stream.
+/// Parameters of a streamed response.
 struct Generation {
     prompt: Prompt,
     prefix: u64,
@@ -421,14 +426,14 @@
     faults: Faults,
 }
 
-fn begin(state: Arc<State>, run: Generation, id: &str) -> Response<Body> {
+fn start_response(state: Arc<State>, generation: Generation, id: &str) -> Response<Body> {
     let (tx, rx) = mpsc::channel(4);
-    tokio::spawn(stream(state, run, tx));
+    tokio::spawn(stream(state, generation, tx));
     Response::builder()
         .header("content-type", "text/event-stream")
         .header("frostdyke-request-id", id)
         .body(web::stream(rx))
-        .expect("a valid answer")
+        .expect("a valid response")
 }
 
 async fn stream(
@@ -437,9 +442,9 @@
     tx: mpsc::Sender<io::Result<Frame<Bytes>>>,
 ) {
     let Generation { prompt, prefix, class, from, faults } = generation;
-    let _slot = Slot::take(&state, class).await;
-    let mut run = Run::start(&state);
-    if !state.cached(prefix) {
+    let _slot = SlotGuard::take(&state, class).await;
+    let mut run = RunningGuard::start(&state);
+    if !state.insert_prefix(prefix) {
         tokio::time::sleep(state.settings.prefill_time).await;
     }
     let mut due = tokio::time::Instant::now();
--- a/standin/src/hold.rs
+++ b/standin/src/hold.rs
@@ -1,5 +1,5 @@
-//! Stops requests at a step until a test lets them go on, so that whoever sent them can be killed
-//! or frozen just there.
+//! Holds requests at a point until a test lets them continue, so that the test can kill or freeze
+//! their sender at exactly that point.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -8,52 +8,52 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// How often a stopped request looks whether it may go on.
-const LOOK: Duration = Duration::from_millis(2);
+/// Interval between checks whether a held request may continue.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Where a request stops.
+/// The point at which a request is held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum HoldPoint {
     /// Before it takes effect.
     Before,
-    /// After it took effect, before its answer.
+    /// After it took effect, before the response.
     After,
 }
 
-/// The requests that stop now, counted.
+/// Holds requests and counts them.
 #[derive(Debug, Default)]
 pub struct HoldGate(AtomicU64);
 
 impl HoldGate {
-    /// How many stop.
+    /// Number of requests held now.
     pub fn count(&self) -> u64 {
         self.0.load(Ordering::SeqCst)
     }
 
-    /// Stops for as long as `asked` says that this step does.
-    pub async fn wait(&self, step: HoldPoint, asked: impl Fn() -> Option<HoldPoint>) {
-        if asked() != Some(step) {
+    /// Waits for as long as `hold_at` returns this point.
+    pub async fn wait(&self, point: HoldPoint, hold_at: impl Fn() -> Option<HoldPoint>) {
+        if hold_at() != Some(point) {
             return;
         }
-        let _held = Held::new(&self.0);
-        while asked() == Some(step) {
-            tokio::time::sleep(LOOK).await;
+        let _guard = HeldGuard::new(&self.0);
+        while hold_at() == Some(point) {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-/// Counts a request for as long as it stops, also when its sender leaves meanwhile.
-struct Held<'a>(&'a AtomicU64);
+/// Counts a request while it is held, even if its sender disconnects meanwhile.
+struct HeldGuard<'a>(&'a AtomicU64);
 
-impl<'a> Held<'a> {
-    fn new(count: &'a AtomicU64) -> Held<'a> {
+impl<'a> HeldGuard<'a> {
+    fn new(count: &'a AtomicU64) -> HeldGuard<'a> {
         count.fetch_add(1, Ordering::SeqCst);
-        Held(count)
+        HeldGuard(count)
     }
 }
 
-impl Drop for Held<'_> {
+impl Drop for HeldGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
--- a/standin/src/lib.rs
+++ b/standin/src/lib.rs
@@ -1,5 +1,5 @@
-//! Small fakes of the systems that frostdyke meets: the platform, a model engine and a plain
-//! service. They live in a process of their own or inside a test. Not shipped.
+//! Small fakes of the systems that frostdyke calls: the platform, a model engine and a service that
+//! runs no model. They run in a separate process or inside a test, and are not shipped.
 
 pub mod engine;
 pub mod hold;
--- a/standin/src/orders.rs
+++ b/standin/src/orders.rs
@@ -1,8 +1,9 @@
-//! The part of a fake engine that takes orders: what it has loaded, and whether it takes work.
+//! The part of a fake engine that executes orders: what it has loaded, and whether it accepts
+//! requests.
 //!
-//! - `GET /state` gives `State`.
-//! - `PUT /orders` takes a fence and an order: 204, 409 when it can't now, 412 when the engine
-//!   checks fences and has seen a greater one.
+//! - `GET /state` returns [`State`].
+//! - `PUT /orders` takes a fence and an order: 204, 409 if it can't be executed now, 412 if the
+//!   engine checks fences and has seen a greater one.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,35 +13,34 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What an engine has loaded.
+/// A loaded model.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadedModel {
-    /// The model.
     pub model: String,
-    /// Its version.
+    /// The model's version.
     pub version: String,
-    /// Adapters beside it.
+    /// Adapters of the model.
     pub adapters: BTreeSet<String>,
-    /// What it does for its pool.
+    /// The engine's role in its pool.
     pub role: String,
 }
 
-/// What an engine says of itself.
+/// The state that an engine reports.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct State {
     /// What it has loaded.
     pub state: LoadedModel,
-    /// Whether it is loading.
+    /// Whether it is loading a model.
     pub loading: bool,
-    /// Whether an order keeps new work from it.
+    /// Whether an order keeps new requests from it.
     pub drained: bool,
-    /// Whether it takes no new work.
+    /// Whether it accepts no new requests.
     pub leaving: bool,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
 }
 
-/// An order, and the right to give it.
+/// An order with its fence.
 #[derive(Clone, Debug, Deserialize)]
 pub struct FencedOrder {
     fence: u64,
@@ -56,20 +56,21 @@
     Undrain,
 }
 
-/// What orders have made of an engine.
+/// The state of an engine that orders change.
 #[derive(Debug, Default)]
 pub struct Orders {
     loaded: LoadedModel,
     loading: Option<(LoadedModel, Instant)>,
     drained: bool,
     fence: u64,
-    /// Fences of the orders that were done, and how many were refused for their fence.
+    /// Fences of the executed orders.
     pub applied_fences: Vec<u64>,
+    /// Number of orders rejected for their fence.
     pub rejected_by_fence: u64,
 }
 
 impl Orders {
-    /// What the engine says, with `running` requests; `leaving` by its own decision.
+    /// The state that the engine reports, with `running` requests. `leaving` is its own decision.
     pub fn state(&mut self, running: u32, leaving: bool) -> State {
         self.finish_loading();
         State {
@@ -81,26 +82,26 @@
         }
     }
 
-    /// Whether an order keeps new work from it.
+    /// Whether an order keeps new requests from the engine.
     pub fn is_drained(&self) -> bool {
         self.drained
     }
 
-    /// Does an order, or says why not. Loading takes `load_time`.
+    /// Executes an order, and returns the status of the response. Loading takes `load_time`.
     pub fn apply(
         &mut self,
-        envelope: FencedOrder,
+        order: FencedOrder,
         checks_fence: bool,
         running: u32,
         load_time: Duration,
     ) -> StatusCode {
         self.finish_loading();
-        if checks_fence && envelope.fence < self.fence {
+        if checks_fence && order.fence < self.fence {
             self.rejected_by_fence += 1;
             return StatusCode::PRECONDITION_FAILED;
         }
-        self.fence = self.fence.max(envelope.fence);
-        match envelope.order {
+        self.fence = self.fence.max(order.fence);
+        match order.order {
             Order::Drain => self.drained = true,
             Order::Undrain if self.loading.is_none() => self.drained = false,
             Order::Load { state } if self.drained && running == 0 && self.loading.is_none() => {
@@ -108,7 +109,7 @@
             }
             Order::Undrain | Order::Load { .. } => return StatusCode::CONFLICT,
         }
-        self.applied_fences.push(envelope.fence);
+        self.applied_fences.push(order.fence);
         StatusCode::NO_CONTENT
     }
 
--- a/standin/src/platform.rs
+++ b/standin/src/platform.rs
@@ -1,11 +1,12 @@
 //! A fake of the platform: versioned objects with conditional update and watch, and a box list.
 //!
-//! - `GET /objects/NAME` gives the value, its version in the `Version` header.
-//! - `GET /objects/NAME?after=V&wait_ms=N` waits until the version is greater than V (204 if not).
-//! - `PUT /objects/NAME` with `If-Version: V` (0: must not exist yet) gives the new version, or
+//! - `GET /objects/NAME` returns the value, and its version in the `Version` header.
+//! - `GET /objects/NAME?after=V&wait_ms=N` waits up to N ms for a version greater than V (204 if
+//!   there is none).
+//! - `PUT /objects/NAME` with `If-Version: V` (0: must not exist yet) returns the new version, or
 //!   409.
-//! - `GET /boxes` gives the box list as it was a while ago.
-//! - `PUT /boxes` replaces it; `PUT /control` sets `Faults`; `GET /calls` counts the calls.
+//! - `GET /boxes` returns the box list as it was a while ago.
+//! - `PUT /boxes` replaces it; `PUT /control` sets [`Faults`]; `GET /calls` counts the calls.
 
 use std::collections::HashMap;
 use std::io;
@@ -33,42 +34,42 @@
 use crate::web;
 use crate::web::Body;
 
-/// Largest value that the fake takes, as the platform does.
+/// Largest accepted value; the platform has the same limit.
 const VALUE_MAX: usize = 1 << 20;
 
-/// Faults to show, all off by default.
+/// Faults to simulate, all off by default.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// Every call is refused with 503.
+    /// Every call is rejected with 503.
     pub down: bool,
-    /// Every call takes this much longer, in milliseconds.
+    /// Additional time of each call, in milliseconds.
     pub slow_ms: u64,
-    /// The next so many writes take effect, but their answers are lost.
+    /// This number of further writes take effect, but get no response.
     pub lose_answers: u64,
-    /// The box list shows changes this much later, in milliseconds.
+    /// Time until the box list shows a change, in milliseconds.
     pub box_list_lag_ms: u64,
-    /// Writes stop here until this is lifted.
+    /// Writes are held at this point until it is unset.
     pub hold: Option<HoldPoint>,
 }
 
-/// Calls so far.
+/// Number of calls so far.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct CallCounts {
     /// Conditional updates.
     pub writes: u64,
     /// Reads of objects and of the box list.
     pub reads: u64,
-    /// Waiting reads.
+    /// Reads that wait for a version.
     pub watches: u64,
-    /// Bytes of values that were to be written.
+    /// Bytes of the values in all writes.
     pub written: u64,
 }
 
 /// A running fake platform.
 #[derive(Clone)]
 pub struct Platform {
-    /// Where it listens.
+    /// The address it listens on.
     pub addr: SocketAddr,
     state: Arc<State>,
 }
@@ -78,7 +79,7 @@
     objects: Mutex<HashMap<String, Object>>,
     boxes: Mutex<Vec<(Instant, Bytes)>>,
     faults: Mutex<Faults>,
-    holding: HoldGate,
+    hold_gate: HoldGate,
     changed: Notify,
     writes: AtomicU64,
     reads: AtomicU64,
@@ -101,7 +102,7 @@
         Ok(Platform { addr, state })
     }
 
-    /// Sets the faults to show from now on.
+    /// Sets the faults from now on.
     pub fn set_faults(&self, faults: Faults) {
         *self.state.faults.lock().expect("no panic under lock") = faults;
     }
@@ -111,9 +112,9 @@
         self.state.boxes.lock().expect("no panic under lock").push((Instant::now(), json.into()));
     }
 
-    /// Writes an object whatever its version. Gives the new version.
+    /// Writes an object unconditionally. Returns the new version.
     pub fn put(&self, name: &str, value: impl Into<Bytes>) -> u64 {
-        self.state.put(name, None, value.into()).expect("no version was asked for")
+        self.state.put(name, None, value.into()).expect("no version is expected")
     }
 
     /// Reads an object with its version.
@@ -121,14 +122,14 @@
         self.state.get(name).map(|o| (o.version, o.value))
     }
 
-    /// The calls so far.
+    /// Number of calls so far.
     pub fn calls(&self) -> CallCounts {
         self.state.calls()
     }
 
-    /// Writes that stop where `Faults::hold` says.
+    /// Number of writes held by [`Faults::hold`].
     pub fn held_count(&self) -> u64 {
-        self.state.holding.count()
+        self.state.hold_gate.count()
     }
 }
 
@@ -137,7 +138,7 @@
         self.objects.lock().expect("no panic under lock").get(name).cloned()
     }
 
-    /// Writes an object; gives its current version where that isn't the one expected.
+    /// Writes an object. Fails with its current version if that differs from `expected`.
     fn put(&self, name: &str, expected: Option<u64>, value: Bytes) -> Result<u64, u64> {
         let mut objects = self.objects.lock().expect("no panic under lock");
         let current = objects.get(name).map_or(0, |o| o.version);
@@ -162,8 +163,8 @@
         self.faults.lock().expect("no panic under lock").clone()
     }
 
-    /// Whether the answer to this write is to be lost; counts it.
-    fn loses_answer(&self) -> bool {
+    /// Whether the response to this write is lost. Counts it if so.
+    fn loses_response(&self) -> bool {
         let mut faults = self.faults.lock().expect("no panic under lock");
         let lost = faults.lose_answers != 0;
         faults.lose_answers = faults.lose_answers.saturating_sub(1);
@@ -222,7 +223,7 @@
 async fn read(state: &State, name: &str, query: Option<&str>) -> io::Result<Response<Body>> {
     let Some(after) = parameter(query, "after") else {
         state.reads.fetch_add(1, Ordering::Relaxed);
-        return Ok(state.get(name).map_or_else(not_found, answer));
+        return Ok(state.get(name).map_or_else(not_found, object_response));
     };
     state.watches.fetch_add(1, Ordering::Relaxed);
     let until = Instant::now() + Duration::from_millis(parameter(query, "wait_ms").unwrap_or(0));
@@ -232,15 +233,15 @@
             return Ok(web::status(StatusCode::SERVICE_UNAVAILABLE));
         }
         match state.get(name) {
-            Some(object) if after < object.version => return Ok(answer(object)),
+            Some(object) if after < object.version => return Ok(object_response(object)),
             _ => {}
         }
-        let left = until.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+        let remaining = until.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
             return Ok(web::status(StatusCode::NO_CONTENT));
         }
-        // Wakes up now and then to notice an outage.
-        let _ = tokio::time::timeout(left.min(Duration::from_millis(50)), changed).await;
+        // Wakes up periodically to notice an outage.
+        let _ = tokio::time::timeout(remaining.min(Duration::from_millis(50)), changed).await;
     }
 }
 
@@ -255,11 +256,11 @@
     if VALUE_MAX < value.len() {
         return Ok(web::status(StatusCode::PAYLOAD_TOO_LARGE));
     }
-    state.holding.wait(HoldPoint::Before, || state.faults().hold).await;
+    state.hold_gate.wait(HoldPoint::Before, || state.faults().hold).await;
     let result = state.put(name, Some(version), value);
-    state.holding.wait(HoldPoint::After, || state.faults().hold).await;
-    if state.loses_answer() {
-        return Err(io::Error::other("the answer is lost"));
+    state.hold_gate.wait(HoldPoint::After, || state.faults().hold).await;
+    if state.loses_response() {
+        return Err(io::Error::other("response lost"));
     }
     Ok(match result {
         Ok(version) => versioned(StatusCode::OK, version, Bytes::new()),
@@ -267,7 +268,7 @@
     })
 }
 
-fn answer(object: Object) -> Response<Body> {
+fn object_response(object: Object) -> Response<Body> {
     versioned(StatusCode::OK, object.version, object.value)
 }
 
@@ -280,7 +281,7 @@
         .status(status)
         .header("version", version)
         .body(web::full(value))
-        .expect("a valid answer")
+        .expect("a valid response")
 }
 
 fn parameter(query: Option<&str>, key: &str) -> Option<u64> {
--- a/standin/src/service.rs
+++ b/standin/src/service.rs
@@ -1,8 +1,9 @@
-//! A fake plain service that counts how often each request ran. It is the judge of "at most once"
-//! and of "not run".
+//! A fake service without a model that counts how often each request ran. Tests use the counts to
+//! check the guarantees "at most once" and "not run".
 //!
-//! - `POST` anything runs the request named by `Idempotency-Key`, or else by the request id.
-//! - `GET /ran` gives the counts; `GET /load` is the health answer; `PUT /control` sets `Faults`.
+//! - `POST` to any path runs the request, identified by `Idempotency-Key` or else the request id.
+//! - `GET /ran` returns the counts; `GET /load` is the health probe; `PUT /control` sets
+//!   [`Faults`].
 
 use std::collections::HashMap;
 use std::io;
@@ -29,37 +30,37 @@
 use crate::web;
 use crate::web::Body;
 
-/// Faults to show, all off by default.
+/// Faults to simulate, all off by default.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// The request runs, but the connection is cut instead of an answer.
+    /// The request runs, but the connection is cut instead of a response.
     pub lose_answers: bool,
-    /// The connection is cut before the request runs, after it was read.
+    /// The connection is cut after the request is read, before it runs.
     pub cut_before: bool,
-    /// The answer promises more bytes than come.
+    /// The response is shorter than its `Content-Length`.
     pub short: bool,
-    /// Every request takes this much longer, in milliseconds.
+    /// Additional time of each request, in milliseconds.
     pub slow_ms: u64,
-    /// The service says that it leaves.
+    /// The service reports that it is leaving.
     pub leaving: bool,
-    /// Requests stop here until this is lifted.
+    /// Requests are held at this point until it is unset.
     pub hold: Option<HoldPoint>,
 }
 
 /// A running fake service.
 #[derive(Clone)]
 pub struct Service {
-    /// Where it listens.
+    /// The address it listens on.
     pub addr: SocketAddr,
     state: Arc<State>,
 }
 
 struct State {
     delay: Duration,
-    ran: Mutex<HashMap<String, u64>>,
+    runs: Mutex<HashMap<String, u64>>,
     faults: Mutex<Faults>,
-    holding: HoldGate,
+    hold_gate: HoldGate,
 }
 
 impl State {
@@ -69,32 +70,32 @@
 }
 
 impl Service {
-    /// Starts a fake service that takes `delay` for each request.
+    /// Starts a fake service that takes `delay` per request.
     pub fn start(addr: SocketAddr, delay: Duration) -> io::Result<Service> {
         let state = Arc::new(State {
             delay,
-            ran: Mutex::default(),
+            runs: Mutex::default(),
             faults: Mutex::default(),
-            holding: HoldGate::default(),
+            hold_gate: HoldGate::default(),
         });
         let shared = state.clone();
         let addr = web::serve(addr, move |req| handle(shared.clone(), req))?;
         Ok(Service { addr, state })
     }
 
-    /// Sets the faults to show from now on.
+    /// Sets the faults from now on.
     pub fn set_faults(&self, faults: Faults) {
         *self.state.faults.lock().expect("no panic under lock") = faults;
     }
 
-    /// How often each request ran.
+    /// Number of runs by idempotency key or request id.
     pub fn run_counts(&self) -> HashMap<String, u64> {
-        self.state.ran.lock().expect("no panic under lock").clone()
+        self.state.runs.lock().expect("no panic under lock").clone()
     }
 
-    /// Requests that stop where `Faults::hold` says.
+    /// Number of requests held by [`Faults::hold`].
     pub fn held_count(&self) -> u64 {
-        self.state.holding.count()
+        self.state.hold_gate.count()
     }
 }
 
@@ -106,8 +107,8 @@
             Ok(web::json(StatusCode::OK, &load))
         }
         (&Method::GET, "/ran") => {
-            let ran = state.ran.lock().expect("no panic under lock").clone();
-            Ok(web::json(StatusCode::OK, &ran))
+            let runs = state.runs.lock().expect("no panic under lock").clone();
+            Ok(web::json(StatusCode::OK, &runs))
         }
         (&Method::PUT, "/control") => {
             let body = req.into_body().collect().await.map_err(io::Error::other)?.to_bytes();
@@ -129,21 +130,21 @@
     let key = text("idempotency-key").unwrap_or_else(|| id.clone());
     let body = req.into_body().collect().await.map_err(io::Error::other)?.to_bytes();
     if faults.cut_before {
-        return Err(io::Error::other("cut before it ran"));
+        return Err(io::Error::other("cut before the request ran"));
     }
-    state.holding.wait(HoldPoint::Before, || state.hold()).await;
-    let times = {
-        let mut ran = state.ran.lock().expect("no panic under lock");
-        let times = ran.entry(key).or_default();
-        *times += 1;
-        *times
+    state.hold_gate.wait(HoldPoint::Before, || state.hold()).await;
+    let run_count = {
+        let mut runs = state.runs.lock().expect("no panic under lock");
+        let run_count = runs.entry(key).or_default();
+        *run_count += 1;
+        *run_count
     };
-    state.holding.wait(HoldPoint::After, || state.hold()).await;
+    state.hold_gate.wait(HoldPoint::After, || state.hold()).await;
     tokio::time::sleep(state.delay + Duration::from_millis(faults.slow_ms)).await;
     if faults.lose_answers {
-        return Err(io::Error::other("the answer is lost"));
+        return Err(io::Error::other("response lost"));
     }
-    let text = format!("{{\"ran\":{times},\"bytes\":{}}}", body.len());
+    let text = format!("{{\"ran\":{run_count},\"bytes\":{}}}", body.len());
     if faults.short {
         return Ok(short(&id, text));
     }
@@ -151,21 +152,21 @@
         .header("content-type", "application/json")
         .header("frostdyke-request-id", id)
         .body(web::full(text))
-        .expect("a valid answer"))
+        .expect("a valid response"))
 }
 
-/// An answer that ends before the length it promised.
+/// A response whose body is shorter than its `Content-Length`.
 fn short(id: &str, text: String) -> Response<Body> {
     let length = text.len() + 10;
     let (tx, rx) = mpsc::channel(1);
     tokio::spawn(async move {
         let _ = tx.send(Ok(Frame::data(Bytes::from(text)))).await;
-        // The beginning is on its way before the end fails to come.
+        // Gives the first part time to be sent before the body ends early.
         tokio::time::sleep(Duration::from_millis(50)).await;
     });
     Response::builder()
         .header("content-length", length)
         .header("frostdyke-request-id", id)
         .body(web::stream(rx))
-        .expect("a valid answer")
+        .expect("a valid response")
 }
--- a/standin/src/web.rs
+++ b/standin/src/web.rs
@@ -1,4 +1,4 @@
-//! The HTTP server that all stand-ins share.
+//! The HTTP server of all stand-ins.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -22,11 +22,11 @@
 use tokio::runtime::Builder;
 use tokio::sync::mpsc;
 
-/// A body whose error ends the connection where the caller can see it.
+/// A body whose error closes the connection, which the caller sees.
 pub type Body = BoxBody<Bytes, io::Error>;
 
-/// Serves `handler` on a thread of its own until the process ends. Gives the address, which tells
-/// the port where `addr` left it open.
+/// Serves `handler` on a separate thread until the process ends. Returns the address, with the port
+/// that was assigned if `addr` has port 0.
 pub fn serve<H, F>(addr: SocketAddr, handler: H) -> io::Result<SocketAddr>
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
@@ -48,32 +48,32 @@
             accept(listener, handler).await;
         });
     });
-    rx.recv().unwrap_or_else(|_| Err(io::Error::other("the server's thread ended")))
+    rx.recv().unwrap_or_else(|_| Err(io::Error::other("server thread ended")))
 }
 
-/// A whole body.
+/// A complete body.
 pub fn full(data: impl Into<Bytes>) -> Body {
     Full::new(data.into()).map_err(|e: Infallible| match e {}).boxed()
 }
 
-/// A body that comes piece by piece; its length isn't known.
+/// A streamed body of unknown length.
 pub fn stream(rx: mpsc::Receiver<io::Result<Frame<Bytes>>>) -> Body {
     BodyExt::boxed(StreamBody::new(Frames(rx)))
 }
 
-/// A JSON answer.
+/// A JSON response.
 pub fn json(status: StatusCode, value: &impl serde::Serialize) -> Response<Body> {
     let text = serde_json::to_vec(value).expect("stand-in values serialize");
     Response::builder()
         .status(status)
         .header("content-type", "application/json")
         .body(full(text))
-        .expect("a valid answer")
+        .expect("a valid response")
 }
 
-/// An empty answer.
+/// A response without a body.
 pub fn status(status: StatusCode) -> Response<Body> {
-    Response::builder().status(status).body(full("")).expect("a valid answer")
+    Response::builder().status(status).body(full("")).expect("a valid response")
 }
 
 async fn accept<H, F>(listener: TcpListener, handler: H)
@@ -87,7 +87,7 @@
         let handler = handler.clone();
         tokio::spawn(async move {
             let service = service_fn(handler);
-            // A caller that leaves is no news to a stand-in.
+            // An error means that the caller has disconnected.
             let _ = hyper::server::conn::http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
@@ -95,7 +95,7 @@
     }
 }
 
-/// The receiving end of a channel, as a stream of frames.
+/// Adapts the receiver of a channel to a stream of frames.
 struct Frames(mpsc::Receiver<io::Result<Frame<Bytes>>>);
 
 impl futures_core::Stream for Frames {
