--- a/benches/operations.rs
+++ b/benches/operations.rs
@@ -187,7 +187,7 @@
         let workspace = json!({"name": format!("workspace-{i}")});
         let workspace = serde_json::from_value(workspace).expect("a workspace");
         let intent = Intent::PutWorkspace { workspace };
-        let wanted = plan::make(&client, intent).expect("a plan");
+        let wanted = plan::create(&client, intent).expect("a plan");
         let confirmed = plan::confirm(&client, &wanted, "bench").expect("it is applied");
         let begun = Instant::now();
         thread::scope(|scope| {
--- a/src/bin/ctl.rs
+++ b/src/bin/ctl.rs
@@ -105,11 +105,11 @@
         Command::Load { adapter, role, pool, model, version } => {
             let adapters = adapter.into_iter().collect();
             let engine = EngineState { model, version, adapters, role };
-            ctl::Command::Intend(Intent::Load { pool, engine })
+            ctl::Command::Submit(Intent::Load { pool, engine })
         }
         Command::Explain { request } => ctl::Command::Explain(request),
-        Command::Drain { upstream } => ctl::Command::Intend(Intent::Drain { upstream }),
-        Command::Undrain { upstream } => ctl::Command::Intend(Intent::Undrain { upstream }),
+        Command::Drain { upstream } => ctl::Command::Submit(Intent::Drain { upstream }),
+        Command::Undrain { upstream } => ctl::Command::Submit(Intent::Undrain { upstream }),
         Command::Apply { file } => ctl::Command::Apply(file),
     };
     let result = ctl::run(&ctl::Options {
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -17,7 +17,7 @@
 const SUSPENDED_MIN: Duration = Duration::from_millis(50);
 
 /// Where time comes from.
-pub trait Source: Send + Sync {
+pub trait TimeSource: Send + Sync {
     /// Time since some moment, suspended time included.
     fn now(&self) -> Duration;
 }
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct SinceBoot;
 
-impl Source for SinceBoot {
+impl TimeSource for SinceBoot {
     fn now(&self) -> Duration {
         let now = clock_gettime(ClockId::CLOCK_BOOTTIME);
         // Every Linux since 2.6.39 has both.
@@ -37,7 +37,7 @@
 
 /// The clock of a process.
 pub struct Clock {
-    source: Box<dyn Source>,
+    source: Box<dyn TimeSource>,
     epoch: Duration,
     /// Sent to when the machine has been suspended.
     woken: watch::Sender<()>,
@@ -51,7 +51,7 @@
 
 impl Clock {
     /// A clock that begins now.
-    pub fn new(source: Box<dyn Source>) -> Arc<Clock> {
+    pub fn new(source: Box<dyn TimeSource>) -> Arc<Clock> {
         let epoch = source.now();
         Arc::new(Clock { source, epoch, woken: watch::Sender::new(()) })
     }
--- a/src/controller/lease.rs
+++ b/src/controller/lease.rs
@@ -29,7 +29,7 @@
 
 /// What the lease's object holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
+pub struct LeaseRecord {
     /// Who holds it: one start of one process.
     pub holder: String,
     /// Which of its writes this is. No two are alike, so one that is read back is told from an
@@ -46,24 +46,24 @@
 
 /// What to ask of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum LeaseAction {
     /// Nothing now.
     Wait,
     /// Read the object.
     Read,
     /// Write the object if it is at version `expected`.
-    Write { record: Record, expected: u64 },
+    Write { record: LeaseRecord, expected: u64 },
 }
 
 /// How a write ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Written {
+pub enum WriteOutcome {
     /// It took effect and gave this version.
-    Yes(u64),
+    Written(u64),
     /// It had no effect, since somebody else has written.
     Conflict,
     /// It had no effect, since the store can't be reached.
-    No,
+    NotWritten,
     /// It may have taken effect.
     Unknown,
 }
@@ -98,7 +98,7 @@
 
 #[derive(Debug)]
 struct Pending {
-    record: Record,
+    record: LeaseRecord,
     /// Whether it renews, rather than takes.
     renews: bool,
     sent: Duration,
@@ -113,22 +113,22 @@
     }
 
     /// The fence, while the lease is held. Look right before each act.
-    pub fn held(&self, now: Duration) -> Option<Fence> {
+    pub fn fence(&self, now: Duration) -> Option<Fence> {
         let held = self.held.as_ref()?;
         (now < held.since + TTL - MARGIN).then_some(held.fence)
     }
 
     /// What to ask of the store now. The answer must be told before the next turn.
-    pub fn turn(&mut self, now: Duration) -> Turn {
-        if self.held.is_some() && self.held(now).is_none() {
+    pub fn next_action(&mut self, now: Duration) -> LeaseAction {
+        if self.held.is_some() && self.fence(now).is_none() {
             self.held = None;
             self.seen = None;
         }
         if self.pending.as_ref().is_some_and(|p| p.lost) {
-            return Turn::Read;
+            return LeaseAction::Read;
         }
         match &self.held {
-            Some(held) if now < held.since + RENEW_AFTER => Turn::Wait,
+            Some(held) if now < held.since + RENEW_AFTER => LeaseAction::Wait,
             Some(held) => {
                 let expected = held.version;
                 self.write(true, false, expected, now)
@@ -138,16 +138,16 @@
     }
 
     /// Gives the lease up, if it is held.
-    pub fn release(&mut self, now: Duration) -> Turn {
+    pub fn release(&mut self, now: Duration) -> LeaseAction {
         let held = self.held.take();
         match held {
             Some(held) => self.write(false, true, held.version, now),
-            None => Turn::Wait,
+            None => LeaseAction::Wait,
         }
     }
 
     /// Takes in what was read: the version with its record, or nothing where there is no object.
-    pub fn read(&mut self, object: Option<(u64, &Record)>, now: Duration) {
+    pub fn handle_read(&mut self, object: Option<(u64, &LeaseRecord)>, now: Duration) {
         self.read_at = Some(now);
         let version = object.map_or(0, |(version, _)| version);
         let free = object.is_none_or(|(_, r)| r.free);
@@ -168,20 +168,20 @@
     }
 
     /// Takes in how the write ended that the last turn asked for.
-    pub fn written(&mut self, written: Written) {
+    pub fn handle_write(&mut self, written: WriteOutcome) {
         let Some(pending) = self.pending.take() else { return };
         match written {
-            Written::Yes(version) => self.wrote(&pending, version),
-            Written::Conflict => {
+            WriteOutcome::Written(version) => self.wrote(&pending, version),
+            WriteOutcome::Conflict => {
                 self.held = None;
                 self.seen = None;
             }
-            Written::No => {}
-            Written::Unknown => self.pending = Some(Pending { lost: true, ..pending }),
+            WriteOutcome::NotWritten => {}
+            WriteOutcome::Unknown => self.pending = Some(Pending { lost: true, ..pending }),
         }
     }
 
-    fn challenge(&mut self, now: Duration) -> Turn {
+    fn challenge(&mut self, now: Duration) -> LeaseAction {
         if let Some(seen) = &self.seen
             && (seen.free || seen.since + TTL + MARGIN <= now)
         {
@@ -189,16 +189,16 @@
             return self.write(false, false, expected, now);
         }
         match self.read_at {
-            Some(at) if self.seen.is_some() && now < at + READ_EVERY => Turn::Wait,
-            _ => Turn::Read,
+            Some(at) if self.seen.is_some() && now < at + READ_EVERY => LeaseAction::Wait,
+            _ => LeaseAction::Read,
         }
     }
 
-    fn write(&mut self, renews: bool, free: bool, expected: u64, now: Duration) -> Turn {
+    fn write(&mut self, renews: bool, free: bool, expected: u64, now: Duration) -> LeaseAction {
         self.writes += 1;
-        let record = Record { holder: self.me.clone(), write: self.writes, free };
+        let record = LeaseRecord { holder: self.me.clone(), write: self.writes, free };
         self.pending = Some(Pending { record: record.clone(), renews, sent: now, lost: false });
-        Turn::Write { record, expected }
+        LeaseAction::Write { record, expected }
     }
 
     fn wrote(&mut self, pending: &Pending, version: u64) {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,9 +1,9 @@
 //! The controller: brings the engines of its availability zone to what the configuration wants. One
 //! per box; the one that holds the zone's lease acts.
 
-pub mod engines;
-pub mod keeper;
+pub mod engine_api;
 pub mod lease;
+pub mod lease_manager;
 pub mod report;
 pub mod rollout;
 
@@ -26,16 +26,18 @@
 use crate::config::Revision;
 use crate::config::Upstream;
 use crate::config::settings;
-use crate::controller::engines::Engines;
-use crate::controller::engines::Envelope;
-use crate::controller::keeper::Keeper;
+use crate::controller::engine_api::EngineApi;
+use crate::controller::engine_api::FencedOrder;
+use crate::controller::engine_api::HttpEngineApi;
 use crate::controller::lease::Fence;
+use crate::controller::lease_manager::LeaseManager;
 use crate::controller::report::EngineReport;
 use crate::controller::report::Report;
-use crate::controller::rollout::Observed;
+use crate::controller::report::ReportWriter;
+use crate::controller::rollout::EngineStatus;
+use crate::controller::rollout::LoadRateLimiter;
+use crate::controller::rollout::ManagedEngines;
 use crate::controller::rollout::Step;
-use crate::controller::rollout::Touched;
-use crate::controller::rollout::Weights;
 use crate::log;
 use crate::metrics;
 use crate::metrics::Metrics;
@@ -80,37 +82,38 @@
         let page = TcpListener::bind(cfg.metrics).await.map_err(io("[listen] metrics"))?;
         let (log, _guard) = log::open(&cfg.log, "frostdyke-controller", &cfg.identity.name);
         let metrics = Metrics::new()?;
-        let keeper = start(&cfg, &metrics, &log);
+        let lease_manager = start(&cfg, &metrics, &log);
         tokio::spawn(metrics.serve(page));
         signals.next().await;
         info!(log, "stopping");
         // The store may hang; the lease then runs out by itself.
-        let _ = tokio::task::spawn_blocking(move || keeper.release()).await;
+        let _ = tokio::task::spawn_blocking(move || lease_manager.release()).await;
         Ok(())
     });
     runtime.shutdown_background();
     result
 }
 
-fn start(cfg: &settings::Controller, metrics: &Metrics, log: &Logger) -> Arc<Keeper> {
+fn start(cfg: &settings::Controller, metrics: &Metrics, log: &Logger) -> Arc<LeaseManager> {
     let client = Arc::new(Client::new(cfg.platform).with_timeout(STORE_TIMEOUT));
-    metrics.store_calls(client.calls());
+    metrics.register_store_calls(client.calls());
     let zone = cfg.identity.zone.clone();
     let object = format!("frostdyke/leases/controller/{zone}");
     let me = format!("{}/{}", cfg.identity.name, util::new_incarnation());
-    let keeper = Keeper::start(client.clone(), &object, &me, log.clone());
-    let (shown, revision) = (keeper.clone(), Arc::new(Mutex::new(Arc::new(Revision::default()))));
-    metrics.gauge("frostdyke_lease_held", move || {
-        vec![(f64::from(u8::from(shown.held().is_some())), Vec::new())]
+    let lease_manager = LeaseManager::start(client.clone(), &object, &me, log.clone());
+    let (shown, revision) =
+        (lease_manager.clone(), Arc::new(Mutex::new(Arc::new(Revision::default()))));
+    metrics.register_gauge("frostdyke_lease_held", move || {
+        vec![(f64::from(u8::from(shown.fence().is_some())), Vec::new())]
     });
     let (latest, told) = (revision.clone(), log.clone());
     platform::watch::configuration(client.clone(), move |news| take_in(&latest, news, &told));
     let mut controller = Controller {
         me: cfg.identity.clone(),
         objects: client,
-        engines: Box::new(engines::Client::default()),
-        keeper: keeper.clone(),
-        reports: report::Writer::default(),
+        engine_api: Box::new(HttpEngineApi::default()),
+        lease_manager: lease_manager.clone(),
+        reports: ReportWriter::default(),
         tenure: None,
         metrics: metrics.clone(),
         log: log.clone(),
@@ -123,7 +126,7 @@
             thread::sleep(LOOK);
         }
     });
-    keeper
+    lease_manager
 }
 
 fn take_in(latest: &Mutex<Arc<Revision>>, news: News, log: &Logger) {
@@ -150,9 +153,9 @@
 struct Controller {
     me: settings::Box,
     objects: Arc<dyn Objects>,
-    engines: Box<dyn Engines>,
-    keeper: Arc<Keeper>,
-    reports: report::Writer,
+    engine_api: Box<dyn EngineApi>,
+    lease_manager: Arc<LeaseManager>,
+    reports: ReportWriter,
     tenure: Option<Tenure>,
     metrics: Metrics,
     log: Logger,
@@ -161,10 +164,10 @@
 /// What is known for as long as the lease is held under one fence.
 struct Tenure {
     fence: Fence,
-    weights: Weights,
-    touched: Touched,
+    load_limiter: LoadRateLimiter,
+    managed: ManagedEngines,
     /// What the engines said last.
-    observed: BTreeMap<UpstreamName, Observed>,
+    observed: BTreeMap<UpstreamName, EngineStatus>,
     /// Those that are being changed now.
     moving: BTreeSet<UpstreamName>,
     /// When all were looked at, and for which configuration.
@@ -181,7 +184,8 @@
 impl Controller {
     /// Looks at the engines, orders what is next, and reports. Does nothing without the lease.
     fn round(&mut self, cfg: &Revision, now: Duration) {
-        let Some(mut tenure) = self.keeper.held().and_then(|fence| self.tenure(fence, now)) else {
+        let Some(mut tenure) = self.lease_manager.fence().and_then(|fence| self.tenure(fence, now))
+        else {
             self.tenure = None;
             return;
         };
@@ -190,13 +194,13 @@
             self.tenure = Some(tenure);
             return;
         }
-        let Tenure { weights, touched, observed, .. } = &mut tenure;
-        let steps = rollout::steps(cfg, &zone, touched, observed, weights, now);
+        let Tenure { load_limiter, managed, observed, .. } = &mut tenure;
+        let steps = rollout::next_steps(cfg, &zone, managed, observed, load_limiter, now);
         tenure.moving =
-            steps.iter().filter(|s| s.is_moving()).map(|s| s.upstream.clone()).collect();
+            steps.iter().filter(|s| s.is_in_progress()).map(|s| s.upstream.clone()).collect();
         let mut engines = Vec::with_capacity(steps.len());
         for step in &steps {
-            tenure.touched.insert(step.upstream.clone());
+            tenure.managed.insert(step.upstream.clone());
             let error = self.order(cfg, fence, step);
             let seen = tenure.observed.get(&step.upstream);
             engines.push(EngineReport {
@@ -208,7 +212,7 @@
             });
         }
         self.tenure = Some(tenure);
-        if engines.is_empty() || self.keeper.held() != Some(fence) {
+        if engines.is_empty() || self.lease_manager.fence() != Some(fence) {
             return;
         }
         let (holder, revision) = (self.me.name.clone(), cfg.number);
@@ -216,18 +220,18 @@
     }
 
     /// What is known under this fence. A new holder learns from the last report which engines its
-    /// predecessors have touched; nothing while that can't be read.
+    /// predecessors have managed; nothing while that can't be read.
     fn tenure(&mut self, fence: Fence, now: Duration) -> Option<Tenure> {
         if let Some(tenure) = self.tenure.take().filter(|t| t.fence == fence) {
             return Some(tenure);
         }
         let last = report::read(&*self.objects, &self.me.zone).ok()?;
         let engines = last.into_iter().flat_map(|report| report.engines);
-        let touched = engines.map(|engine| engine.upstream).collect();
+        let managed = engines.map(|engine| engine.upstream).collect();
         Some(Tenure {
             fence,
-            weights: Weights::new(now),
-            touched,
+            load_limiter: LoadRateLimiter::new(now),
+            managed,
             observed: BTreeMap::new(),
             moving: BTreeSet::new(),
             looked: None,
@@ -238,7 +242,7 @@
     /// ask. Asking 300 engines twice a second took a quarter of a core.
     fn look(&self, cfg: &Revision, tenure: &mut Tenure, now: Duration) -> bool {
         let all = tenure.is_due(cfg.number, now);
-        let engines = rollout::engines(cfg, &self.me.zone, &tenure.touched);
+        let engines = rollout::engines_to_manage(cfg, &self.me.zone, &tenure.managed);
         let asked: Vec<&Upstream> =
             engines.filter(|u| all || tenure.moving.contains(&u.name)).collect();
         if all {
@@ -252,13 +256,13 @@
     }
 
     /// What engines say of themselves, those that answer.
-    fn observe(&self, asked: &[&Upstream]) -> BTreeMap<UpstreamName, Observed> {
+    fn observe(&self, asked: &[&Upstream]) -> BTreeMap<UpstreamName, EngineStatus> {
         let mut observed = BTreeMap::new();
         for some in asked.chunks(AT_ONCE) {
             let answers: Vec<_> = thread::scope(|scope| {
                 let mut asked = Vec::with_capacity(some.len());
                 for &upstream in some {
-                    let ask = || (upstream.name.clone(), self.engines.observe(upstream));
+                    let ask = || (upstream.name.clone(), self.engine_api.fetch_status(upstream));
                     asked.push(scope.spawn(ask));
                 }
                 asked.into_iter().map(|a| a.join().expect("asking doesn't panic")).collect()
@@ -273,16 +277,16 @@
     fn order(&self, cfg: &Revision, fence: Fence, step: &Step) -> Option<String> {
         let order = step.order.clone()?;
         let upstream = cfg.upstream(&step.upstream)?;
-        if self.keeper.held() != Some(fence) {
+        if self.lease_manager.fence() != Some(fence) {
             return None;
         }
-        let envelope = Envelope { fence, revision: cfg.number, order };
-        let result = self.engines.order(upstream, &envelope);
+        let fenced = FencedOrder { fence, revision: cfg.number, order };
+        let result = self.engine_api.send_order(upstream, &fenced);
         let error = result.err().map(|e| e.to_string());
         // The users ask for a line for each placement decision: this places models on engines.
         info!(self.log, "ordered";
             "upstream" => %step.upstream,
-            "order" => ?envelope.order,
+            "order" => ?fenced.order,
             "fence" => fence.0,
             "revision" => cfg.number,
             "error" => error.as_deref(),
--- a/src/controller/report.rs
+++ b/src/controller/report.rs
@@ -43,31 +43,31 @@
 }
 
 /// The object that holds a zone's report.
-pub fn object(zone: &ZoneName) -> String {
+pub fn object_name(zone: &ZoneName) -> String {
     format!("frostdyke/engines/{zone}")
 }
 
 /// Reads a zone's report; nothing where none was written.
 pub fn read(objects: &dyn Objects, zone: &ZoneName) -> Result<Option<Report>, Error> {
-    let Some(object) = objects.get(&object(zone))? else { return Ok(None) };
+    let Some(object) = objects.get(&object_name(zone))? else { return Ok(None) };
     let report = serde_json::from_slice(&object.value);
     report.map(Some).map_err(|e| Error::Unexpected(e.to_string()))
 }
 
 /// Writes reports when they change, with as few calls as that takes.
 #[derive(Debug, Default)]
-pub struct Writer {
+pub struct ReportWriter {
     last: Option<Report>,
     version: Option<u64>,
 }
 
-impl Writer {
+impl ReportWriter {
     /// Writes a report unless it is the one written last. A failure is made up for next time.
     pub fn write(&mut self, objects: &dyn Objects, report: Report) {
         if self.last.as_ref() == Some(&report) {
             return;
         }
-        let name = object(&report.zone);
+        let name = object_name(&report.zone);
         let expected = match self.version {
             Some(version) => version,
             None => match objects.get(&name) {
--- a/src/controller/rollout.rs
+++ b/src/controller/rollout.rs
@@ -25,7 +25,7 @@
 /// What an engine says of itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Observed {
+pub struct EngineStatus {
     /// What it has loaded.
     pub state: EngineState,
     /// Whether it is loading now.
@@ -42,7 +42,7 @@
 /// doesn't mend: an engine refuses to load while it takes work or has any.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "order", rename_all = "kebab-case")]
-pub enum Order {
+pub enum EngineOrder {
     /// Take no new work.
     Drain,
     /// Load this, in place of what is there.
@@ -77,29 +77,29 @@
     /// Where it stands.
     pub stage: Stage,
     /// What to order of it now.
-    pub order: Option<Order>,
+    pub order: Option<EngineOrder>,
 }
 
 impl Step {
     /// Whether the engine is being changed now, so that it is worth another look soon.
-    pub fn is_moving(&self) -> bool {
+    pub fn is_in_progress(&self) -> bool {
         self.order.is_some() || !matches!(self.stage, Stage::Ready | Stage::WaitsForTurn)
     }
 }
 
 /// Loads that the weight store allows this zone: one at a time, evenly spaced.
 #[derive(Debug)]
-pub struct Weights {
+pub struct LoadRateLimiter {
     last: Duration,
 }
 
-impl Weights {
+impl LoadRateLimiter {
     /// Counts from now on, since the lease's earlier holder may just have begun a load.
-    pub fn new(now: Duration) -> Weights {
-        Weights { last: now }
+    pub fn new(now: Duration) -> LoadRateLimiter {
+        LoadRateLimiter { last: now }
     }
 
-    fn take(&mut self, every: Duration, now: Duration) -> bool {
+    fn try_acquire(&mut self, every: Duration, now: Duration) -> bool {
         if now < self.last + every {
             return false;
         }
@@ -109,30 +109,32 @@
 }
 
 /// Engines that were ordered something, by this controller or the lease's earlier holders.
-pub type Touched = BTreeSet<UpstreamName>;
+pub type ManagedEngines = BTreeSet<UpstreamName>;
 
 /// The next step of each engine of a zone that is to be changed, or may be in the middle of it.
-pub fn steps(
+pub fn next_steps(
     cfg: &Revision,
     zone: &ZoneName,
-    touched: &Touched,
-    observed: &BTreeMap<UpstreamName, Observed>,
-    weights: &mut Weights,
+    managed: &ManagedEngines,
+    observed: &BTreeMap<UpstreamName, EngineStatus>,
+    load_limiter: &mut LoadRateLimiter,
     now: Duration,
 ) -> Vec<Step> {
     let every = load_every(cfg);
-    let mut idle = unavailable(cfg, zone, touched, observed);
+    let mut idle = unavailable(cfg, zone, managed, observed);
     let mut steps = Vec::new();
-    for upstream in engines(cfg, zone, touched) {
+    for upstream in engines_to_manage(cfg, zone, managed) {
         let wanted = upstream.engine.as_ref();
         let seen = observed.get(&upstream.name);
         let idle = idle.entry(&upstream.pool).or_default();
         let max = cfg.pool(&upstream.pool).map_or(0, |p| p.unavailable_max);
         let (stage, order) = match seen {
             None => (Stage::Unreachable, None),
-            Some(seen) => next(upstream, wanted, seen, *idle < max, || weights.take(every, now)),
+            Some(seen) => next_step(upstream, wanted, seen, *idle < max, || {
+                load_limiter.try_acquire(every, now)
+            }),
         };
-        if order == Some(Order::Drain) {
+        if order == Some(EngineOrder::Drain) {
             *idle += 1;
         }
         steps.push(Step { upstream: upstream.name.clone(), stage, order });
@@ -140,34 +142,34 @@
     steps
 }
 
-/// The engines of a zone that the configuration wants something of, and those that were touched
+/// The engines of a zone that the configuration wants something of, and those that were managed
 /// when it did: they must not be left without work.
-pub fn engines<'a>(
+pub fn engines_to_manage<'a>(
     cfg: &'a Revision,
     zone: &ZoneName,
-    touched: &Touched,
+    managed: &ManagedEngines,
 ) -> impl Iterator<Item = &'a Upstream> {
     let here = cfg.catalog.upstreams.iter().filter(move |u| u.zone == *zone);
-    here.filter(|u| u.engine.is_some() || touched.contains(&u.name))
+    here.filter(|u| u.engine.is_some() || managed.contains(&u.name))
 }
 
-fn next(
+fn next_step(
     upstream: &Upstream,
     wanted: Option<&EngineState>,
-    seen: &Observed,
+    seen: &EngineStatus,
     may_drain: bool,
     may_load: impl FnOnce() -> bool,
-) -> (Stage, Option<Order>) {
+) -> (Stage, Option<EngineOrder>) {
     if seen.loading {
         return (Stage::Loads, None);
     }
     let Some(wanted) = wanted.filter(|wanted| seen.state != **wanted) else {
-        return (Stage::Ready, seen.drained.then_some(Order::Undrain));
+        return (Stage::Ready, seen.drained.then_some(EngineOrder::Undrain));
     };
     if !seen.drained {
         // One that takes no work anyway takes none from the others.
         return match may_drain || seen.leaving || upstream.draining {
-            true => (Stage::Drains, Some(Order::Drain)),
+            true => (Stage::Drains, Some(EngineOrder::Drain)),
             false => (Stage::WaitsForTurn, None),
         };
     }
@@ -175,7 +177,7 @@
         return (Stage::Drains, None);
     }
     match may_load() {
-        true => (Stage::Loads, Some(Order::Load { state: wanted.clone() })),
+        true => (Stage::Loads, Some(EngineOrder::Load { state: wanted.clone() })),
         false => (Stage::WaitsForWeights, None),
     }
 }
@@ -184,11 +186,11 @@
 fn unavailable<'a>(
     cfg: &'a Revision,
     zone: &ZoneName,
-    touched: &Touched,
-    observed: &BTreeMap<UpstreamName, Observed>,
+    managed: &ManagedEngines,
+    observed: &BTreeMap<UpstreamName, EngineStatus>,
 ) -> BTreeMap<&'a PoolName, u32> {
     let mut count = BTreeMap::new();
-    for upstream in engines(cfg, zone, touched) {
+    for upstream in engines_to_manage(cfg, zone, managed) {
         let seen = observed.get(&upstream.name);
         if upstream.draining || seen.is_none_or(|o| o.leaving || o.drained || o.loading) {
             *count.entry(&upstream.pool).or_default() += 1;
--- a/src/ctl/mod.rs
+++ b/src/ctl/mod.rs
@@ -13,9 +13,9 @@
 use ureq::Agent;
 
 use crate::controller::report::Report;
-use crate::operator::Confirmed;
-use crate::operator::Shown;
-use crate::operator::fleet::Answer;
+use crate::operator::Confirmation;
+use crate::operator::VersionedCatalog;
+use crate::operator::fleet_client::BoxResponse;
 use crate::operator::intent::Intent;
 use crate::operator::plan::Plan;
 use crate::status::Explanation;
@@ -53,7 +53,7 @@
     /// Tell why a request was placed as it was.
     Explain(String),
     /// State an intent, and confirm its plan.
-    Intend(Intent),
+    Submit(Intent),
     /// State the intent that a file (or `-`) holds as JSON, and confirm its plan.
     Apply(PathBuf),
 }
@@ -83,11 +83,11 @@
     let api = Api::new(opts)?;
     match &opts.command {
         Command::Show => {
-            let shown: Shown = api.get("/v1/configuration")?;
+            let shown: VersionedCatalog = api.get("/v1/configuration")?;
             print(opts, &shown, table::configuration);
         }
         Command::Status => {
-            let answers: Vec<Answer<Status>> = api.get("/v1/status")?;
+            let answers: Vec<BoxResponse<Status>> = api.get("/v1/status")?;
             print(opts, &answers, |a| table::status(a));
         }
         Command::Engines => {
@@ -96,10 +96,10 @@
         }
         Command::Explain(request) => {
             let path = format!("/v1/explanations/{request}");
-            let answers: Vec<Answer<Explanation>> = api.get(&path)?;
+            let answers: Vec<BoxResponse<Explanation>> = api.get(&path)?;
             print(opts, &answers, |a| table::explanation(request, a));
         }
-        Command::Intend(intent) => intend(&api, opts, intent)?,
+        Command::Submit(intent) => intend(&api, opts, intent)?,
         Command::Apply(path) => intend(&api, opts, &read_intent(path)?)?,
     }
     Ok(())
@@ -114,7 +114,7 @@
     if !opts.yes && !asked_to_confirm()? {
         return Err(Error::NotConfirmed);
     }
-    let confirmed: Confirmed = api.post("/v1/confirmations", &plan)?;
+    let confirmed: Confirmation = api.post("/v1/confirmations", &plan)?;
     print(opts, &confirmed, |c| format!("applied as revision {}\n", c.revision));
     Ok(())
 }
--- a/src/ctl/table.rs
+++ b/src/ctl/table.rs
@@ -7,14 +7,14 @@
 use crate::config::EngineState;
 use crate::controller::report::Report;
 use crate::dispatch::pool::Waits;
-use crate::operator::Shown;
-use crate::operator::fleet::Answer;
+use crate::operator::VersionedCatalog;
+use crate::operator::fleet_client::BoxResponse;
 use crate::operator::plan::Plan;
 use crate::status::Explanation;
 use crate::status::Status;
 
 /// The configuration.
-pub fn configuration(shown: &Shown) -> String {
+pub fn configuration(shown: &VersionedCatalog) -> String {
     let c = &shown.configuration;
     let mut out = format!("revision {}\n", shown.revision);
     // Writing to a string doesn't fail, here and below.
@@ -92,10 +92,10 @@
 }
 
 /// The state of every box.
-pub fn status(answers: &[Answer<Status>]) -> String {
+pub fn status(answers: &[BoxResponse<Status>]) -> String {
     let mut out = String::new();
     for answer in answers {
-        let Some(s) = &answer.answer else {
+        let Some(s) = &answer.response else {
             let error = answer.error.as_deref().unwrap_or("no answer");
             let _ = writeln!(out, "{:<20} {error}", answer.name);
             continue;
@@ -109,7 +109,7 @@
             s.revision,
             s.waiting,
             s.running,
-            s.live.len()
+            s.live_boxes.len()
         );
         for p in &s.pools {
             let _ = writeln!(
@@ -124,11 +124,11 @@
                     w.workspace,
                     w.waiting,
                     w.virtual_time,
-                    why_waits(w.why)
+                    why_waits(w.wait_reason)
                 );
             }
-            for u in p.upstreams.iter().filter(|u| u.aside.is_some()) {
-                let why = u.aside.as_deref().unwrap_or("");
+            for u in p.upstreams.iter().filter(|u| u.unavailable_reason.is_some()) {
+                let why = u.unavailable_reason.as_deref().unwrap_or("");
                 let _ = writeln!(out, "    upstream {} gets nothing: {why}", u.upstream);
             }
         }
@@ -146,9 +146,9 @@
 }
 
 /// Why a request was placed as it was.
-pub fn explanation(request: &str, answers: &[Answer<Explanation>]) -> String {
+pub fn explanation(request: &str, answers: &[BoxResponse<Explanation>]) -> String {
     let mut out = String::new();
-    for (name, e) in answers.iter().filter_map(|a| Some((&a.name, a.answer.as_ref()?))) {
+    for (name, e) in answers.iter().filter_map(|a| Some((&a.name, a.response.as_ref()?))) {
         if let Some(r) = &e.request {
             let _ = writeln!(
                 out,
@@ -157,7 +157,7 @@
             );
             for a in &r.attempts {
                 let upstream = a.upstream.as_ref().map_or("no upstream", |u| u.as_str());
-                let _ = writeln!(out, "  waited {} ms, {upstream}: {}", a.waited_ms, a.ending);
+                let _ = writeln!(out, "  waited {} ms, {upstream}: {}", a.waited_ms, a.outcome);
             }
         }
         for d in &e.decisions {
--- a/src/fleet/owners.rs
+++ b/src/fleet/owners.rs
@@ -19,7 +19,7 @@
 
 use crate::names::ZoneName;
 use crate::placement::cold::Role;
-use crate::util::mix;
+use crate::util::mix_bits;
 
 /// Target size of a group: enough engines that one is free when others aren't, few enough that the
 /// owner receives a small part of all requests' messages.
@@ -66,7 +66,7 @@
 
     /// Returns the rendezvous rank of a box for the group, by the hash of its address.
     fn rank(self, hash: u64) -> u64 {
-        mix(hash ^ mix((u64::from(self.bits) << (u64::BITS / 2)) ^ self.prefix))
+        mix_bits(hash ^ mix_bits((u64::from(self.bits) << (u64::BITS / 2)) ^ self.prefix))
     }
 }
 
--- a/src/load/client.rs
+++ b/src/load/client.rs
@@ -15,7 +15,7 @@
 use crate::config::Unit;
 use crate::load::histogram;
 use crate::load::scenario::Scenario;
-use crate::load::scenario::Workspace;
+use crate::load::scenario::WorkspaceTraffic;
 use crate::router::cost_meter;
 use crate::util;
 
@@ -30,7 +30,7 @@
 
 /// What one client counted.
 #[derive(Clone, Debug)]
-pub struct Counts {
+pub struct ClientCounts {
     /// Index of its workspace in the scenario.
     pub workspace: usize,
     /// Requests answered in full.
@@ -50,14 +50,14 @@
 /// One caller.
 pub struct Client {
     agent: Agent,
-    workspace: Workspace,
+    workspace: WorkspaceTraffic,
     targets: Vec<SocketAddr>,
     rng: SmallRng,
     started: Instant,
-    length: Duration,
+    duration: Duration,
     /// Cost received of the answer under way.
     received: u64,
-    counts: Counts,
+    counts: ClientCounts,
 }
 
 impl Client {
@@ -77,14 +77,14 @@
             targets,
             rng: SmallRng::seed_from_u64(seed),
             started,
-            length: scenario.length,
+            duration: scenario.duration,
             received: 0,
-            counts: Counts {
+            counts: ClientCounts {
                 workspace,
                 ran: 0,
                 not_run: 0,
                 unknown: 0,
-                service: vec![0; scenario.length.as_secs() as usize + 1],
+                service: vec![0; scenario.duration.as_secs() as usize + 1],
                 first: histogram(),
                 whole: histogram(),
             },
@@ -92,11 +92,11 @@
     }
 
     /// Sends until the run is over.
-    pub fn run(mut self) -> Counts {
-        while self.started.elapsed() < self.length {
+    pub fn run(mut self) -> ClientCounts {
+        while self.started.elapsed() < self.duration {
             let pause = self.pace();
-            thread::sleep(pause.min(self.length.saturating_sub(self.started.elapsed())));
-            if self.started.elapsed() < self.length {
+            thread::sleep(pause.min(self.duration.saturating_sub(self.started.elapsed())));
+            if self.started.elapsed() < self.duration {
                 self.send();
             }
         }
--- a/src/load/mod.rs
+++ b/src/load/mod.rs
@@ -61,8 +61,8 @@
 
 /// Runs a scenario and prints its table.
 pub fn run(opts: Options) -> Result<(), Error> {
-    let (client_counts, samples) = drive(&opts.scenario);
-    let report = report::sum_up(&opts.scenario, &client_counts, &samples);
+    let (client_counts, samples) = run_clients(&opts.scenario);
+    let report = report::summarize(&opts.scenario, &client_counts, &samples);
     print!("{}", report.table());
     if let Some(path) = &opts.json {
         let text = serde_json::to_vec_pretty(&report).expect("figures serialize");
@@ -103,13 +103,13 @@
 }
 
 /// Runs all clients to the end. Gives what each counted, and the samples taken of the routers.
-fn drive(scenario: &Scenario) -> (Vec<client::Counts>, Vec<Sample>) {
+fn run_clients(scenario: &Scenario) -> (Vec<client::ClientCounts>, Vec<Sample>) {
     let started = Instant::now();
     let stop = Arc::new(AtomicBool::new(false));
     let samples = Arc::new(Mutex::new(Vec::new()));
     let scraper = {
         let (stop, samples, pages) = (stop.clone(), samples.clone(), scenario.metrics.clone());
-        thread::spawn(move || scrape::follow(&pages, started, &stop, &samples))
+        thread::spawn(move || scrape::run_until(&pages, started, &stop, &samples))
     };
     let clients: Vec<_> = scenario
         .workspaces
--- a/src/load/report.rs
+++ b/src/load/report.rs
@@ -6,7 +6,7 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use crate::load::client::Counts;
+use crate::load::client::ClientCounts;
 use crate::load::scenario::Scenario;
 use crate::load::scrape::PoolSample;
 use crate::load::scrape::Sample;
@@ -73,10 +73,10 @@
 }
 
 /// Sums up what the clients counted and the routers showed.
-pub fn sum_up(scenario: &Scenario, counts: &[Counts], samples: &[Sample]) -> Report {
+pub fn summarize(scenario: &Scenario, counts: &[ClientCounts], samples: &[Sample]) -> Report {
     let workspaces: Vec<WorkspaceReport> =
         (0..scenario.workspaces.len()).map(|w| workspace(scenario, w, counts)).collect();
-    let seconds = scenario.length.as_secs();
+    let seconds = scenario.duration.as_secs();
     let ran: u64 = workspaces.iter().map(|w| w.ran).sum();
     let bytes = match (samples.first(), samples.last()) {
         (Some(first), Some(last)) => last.peer_bytes - first.peer_bytes,
@@ -136,11 +136,11 @@
     }
 }
 
-fn workspace(scenario: &Scenario, index: usize, counts: &[Counts]) -> WorkspaceReport {
+fn workspace(scenario: &Scenario, index: usize, counts: &[ClientCounts]) -> WorkspaceReport {
     let settings = &scenario.workspaces[index];
     let mine = || counts.iter().filter(|c| c.workspace == index);
     let mut first = Histogram::<u64>::new(3).expect("the digits are valid");
-    let mut per_second = vec![0; scenario.length.as_secs() as usize + 1];
+    let mut per_second = vec![0; scenario.duration.as_secs() as usize + 1];
     for count in mine() {
         // Both histograms hold microseconds, and the sum resizes itself.
         let _ = first.add(&count.first);
--- a/src/load/scenario.rs
+++ b/src/load/scenario.rs
@@ -50,16 +50,16 @@
     /// Metrics pages of the routers.
     pub metrics: Vec<SocketAddr>,
     /// How long to send.
-    pub length: Duration,
+    pub duration: Duration,
     /// Seed of everything random.
     pub seed: u64,
     /// Who sends.
-    pub workspaces: Vec<Workspace>,
+    pub workspaces: Vec<WorkspaceTraffic>,
 }
 
 /// The traffic of one workspace.
 #[derive(Clone, Debug)]
-pub struct Workspace {
+pub struct WorkspaceTraffic {
     /// Its name.
     pub name: String,
     /// What it asks for.
@@ -106,7 +106,7 @@
     Ok(Scenario {
         metrics: rdr.list(&load, "load", "metrics", ',')?,
         targets,
-        length: Duration::from_secs(seconds),
+        duration: Duration::from_secs(seconds),
         seed: rdr.value(&load, "load", "seed")?.unwrap_or(1),
         workspaces,
     })
@@ -117,10 +117,10 @@
 }
 
 impl Reader {
-    fn workspace(&self, name: &str, keys: &Properties) -> Result<Workspace, Error> {
+    fn workspace(&self, name: &str, keys: &Properties) -> Result<WorkspaceTraffic, Error> {
         let service: Option<String> = self.value(keys, name, "service")?;
         let tokens: Vec<u64> = self.list(keys, name, "tokens", ' ')?;
-        Ok(Workspace {
+        Ok(WorkspaceTraffic {
             name: name.to_owned(),
             service: service.ok_or_else(|| self.fault(name, "service", "is missing"))?,
             key: self.value(keys, name, "key")?,
--- a/src/load/scrape.rs
+++ b/src/load/scrape.rs
@@ -40,7 +40,7 @@
 }
 
 /// Reads the pages until told to stop.
-pub fn follow(
+pub fn run_until(
     pages: &[SocketAddr],
     started: Instant,
     stop: &AtomicBool,
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -24,7 +24,7 @@
 use crate::peer::traffic::Traffic;
 use crate::platform::client::Calls;
 use crate::web;
-use crate::web::Page;
+use crate::web::HttpHandler;
 
 /// Bounds of the histograms of waits, in seconds.
 const WAIT_BOUNDS: [f64; 12] =
@@ -89,7 +89,7 @@
     }
 
     /// Shows a figure that is read when the page is.
-    pub fn gauge(
+    pub fn register_gauge(
         &self,
         name: &'static str,
         read: impl Fn() -> Vec<(f64, Vec<KeyValue>)> + Send + Sync + 'static,
@@ -105,7 +105,11 @@
     }
 
     /// Shows a count that somebody else keeps.
-    pub fn count(&self, name: &'static str, read: impl Fn() -> u64 + Send + Sync + 'static) {
+    pub fn register_counter(
+        &self,
+        name: &'static str,
+        read: impl Fn() -> u64 + Send + Sync + 'static,
+    ) {
         self.meter
             .u64_observable_counter(name)
             .with_callback(move |observer| observer.observe(read(), &[]))
@@ -113,9 +117,9 @@
     }
 
     /// Shows the calls to the platform.
-    pub fn store_calls(&self, calls: &Arc<Calls>) {
+    pub fn register_store_calls(&self, calls: &Arc<Calls>) {
         let calls = calls.clone();
-        self.gauge("frostdyke_store_calls", move || {
+        self.register_gauge("frostdyke_store_calls", move || {
             let shown =
                 [("read", &calls.reads), ("write", &calls.writes), ("watch", &calls.watches)];
             let figure = |(kind, count): (&'static str, &AtomicU64)| {
@@ -126,10 +130,10 @@
     }
 
     /// Shows the traffic between routers.
-    pub fn traffic(&self, traffic: &Arc<Traffic>) {
+    pub fn register_peer_traffic(&self, traffic: &Arc<Traffic>) {
         let show = |name, read: fn(&Traffic) -> u64| {
             let traffic = traffic.clone();
-            self.count(name, move || read(&traffic));
+            self.register_counter(name, move || read(&traffic));
         };
         show("frostdyke_peer_bytes_out", |t| t.bytes_out.load(Ordering::Relaxed));
         show("frostdyke_peer_bytes_in", |t| t.bytes_in.load(Ordering::Relaxed));
@@ -139,7 +143,7 @@
     }
 
     /// The page.
-    pub fn page(&self) -> Vec<u8> {
+    pub fn render(&self) -> Vec<u8> {
         let mut buf = Vec::new();
         // Writing to memory doesn't fail; an odd metric is left out.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut buf);
@@ -152,14 +156,14 @@
     }
 
     /// Flushes what is pending.
-    pub fn stop(&self) {
+    pub fn shutdown(&self) {
         let _ = self.provider.shutdown();
     }
 }
 
-impl Page for Metrics {
-    fn answer(&self, _: Request<Bytes>) -> Response<Bytes> {
-        let mut resp = Response::new(Bytes::from(self.page()));
+impl HttpHandler for Metrics {
+    fn handle(&self, _: Request<Bytes>) -> Response<Bytes> {
+        let mut resp = Response::new(Bytes::from(self.render()));
         resp.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(TEXT_FORMAT));
         resp
     }
--- a/src/operator/fleet.rs
+++ b/src/operator/fleet_client.rs
@@ -22,41 +22,42 @@
 
 /// What one box answered.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Answer<T> {
+pub struct BoxResponse<T> {
     /// Which box.
     pub name: BoxName,
     /// What it said.
-    pub answer: Option<T>,
+    #[serde(rename = "answer")]
+    pub response: Option<T>,
     /// Why it said nothing.
     pub error: Option<String>,
 }
 
 /// The routers, as the box list or the settings name them.
-pub struct Fleet {
+pub struct FleetClient {
     boxes: Arc<dyn Boxes>,
     seeds: Vec<ListedBox>,
     secret: Secret,
     runtime: Handle,
 }
 
-impl Fleet {
+impl FleetClient {
     /// Nobody is asked yet. Calls go on `runtime`, from threads that may block.
-    pub fn new(boxes: Arc<dyn Boxes>, cfg: &settings::Operator, runtime: Handle) -> Fleet {
+    pub fn new(boxes: Arc<dyn Boxes>, cfg: &settings::Operator, runtime: Handle) -> FleetClient {
         let (seeds, secret) = (cfg.seeds.clone(), cfg.secret.clone());
-        Fleet { boxes, seeds, secret, runtime }
+        FleetClient { boxes, seeds, secret, runtime }
     }
 
     /// The state of every box.
-    pub fn status(&self) -> Vec<Answer<Status>> {
+    pub fn status(&self) -> Vec<BoxResponse<Status>> {
         self.ask(server::STATUS, None)
     }
 
     /// What every box knows of a request.
-    pub fn explain(&self, request: &str) -> Vec<Answer<Explanation>> {
+    pub fn explain(&self, request: &str) -> Vec<BoxResponse<Explanation>> {
         self.ask(server::EXPLAIN, Some(request.to_owned()))
     }
 
-    fn ask<T>(&self, method: &'static str, argument: Option<String>) -> Vec<Answer<T>>
+    fn ask<T>(&self, method: &'static str, argument: Option<String>) -> Vec<BoxResponse<T>>
     where
         T: serde::de::DeserializeOwned + Send + 'static,
     {
@@ -68,7 +69,7 @@
                 asked.spawn(async move {
                     let result = ask_one::<T>(&listed, &secret, method, argument).await;
                     let error = result.as_ref().err().map(ToString::to_string);
-                    Answer { name: listed.name, answer: result.ok(), error }
+                    BoxResponse { name: listed.name, response: result.ok(), error }
                 });
             }
             asked.join_all().await
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -1,7 +1,7 @@
 //! The intent API for operators: what they want, the plan that comes of it, and its confirmation.
 //! Nothing is done before a plan is confirmed. Any box can check any plan; nothing is kept here.
 
-pub mod fleet;
+pub mod fleet_client;
 pub mod intent;
 pub mod plan;
 
@@ -33,7 +33,7 @@
 use crate::controller::report;
 use crate::controller::report::Report;
 use crate::log;
-use crate::operator::fleet::Fleet;
+use crate::operator::fleet_client::FleetClient;
 use crate::operator::intent::Intent;
 use crate::operator::plan::Plan;
 use crate::platform;
@@ -41,7 +41,7 @@
 use crate::platform::client::Client;
 use crate::stop::Signals;
 use crate::web;
-use crate::web::Page;
+use crate::web::HttpHandler;
 
 /// Threads of the asynchronous runtime.
 const WORKERS: usize = 2;
@@ -108,7 +108,7 @@
 
 /// A configuration with its revision, as operators are shown it.
 #[derive(Clone, Debug, Serialize, serde::Deserialize)]
-pub struct Shown {
+pub struct VersionedCatalog {
     /// The object's version.
     pub revision: u64,
     /// What is in force, or soon will be.
@@ -117,7 +117,7 @@
 
 /// A plan that was applied.
 #[derive(Clone, Copy, Debug, Serialize, serde::Deserialize)]
-pub struct Confirmed {
+pub struct Confirmation {
     /// The revision that it gave.
     pub revision: u64,
 }
@@ -137,7 +137,7 @@
     let mut signals = Signals::new().map_err(Error::Runtime)?;
     let listener = TcpListener::bind(cfg.operators).await.map_err(Error::Serve)?;
     let client = Arc::new(Client::new(cfg.platform));
-    let fleet = Fleet::new(client.clone(), &cfg, Handle::current());
+    let fleet = FleetClient::new(client.clone(), &cfg, Handle::current());
     info!(log, "listening"; "operators" => %cfg.operators);
     let api = Arc::new(Api { objects: client, fleet, tokens: cfg.tokens, log });
     web::serve(listener, BODY_MAX, api, signals.next()).await;
@@ -146,31 +146,33 @@
 
 struct Api {
     objects: Arc<dyn Objects>,
-    fleet: Fleet,
+    fleet: FleetClient,
     tokens: Vec<Token>,
     log: Logger,
 }
 
-impl Page for Api {
-    fn refuse(&self, head: &Parts) -> Option<Response<Bytes>> {
+impl HttpHandler for Api {
+    fn check_head(&self, head: &Parts) -> Option<Response<Bytes>> {
         self.authenticate(&head.headers).err().map(|problem| refusal(&problem))
     }
 
-    fn answer(&self, req: Request<Bytes>) -> Response<Bytes> {
-        self.handle(&req).unwrap_or_else(|problem| refusal(&problem))
+    fn handle(&self, req: Request<Bytes>) -> Response<Bytes> {
+        self.dispatch(&req).unwrap_or_else(|problem| refusal(&problem))
     }
 }
 
 impl Api {
-    fn handle(&self, req: &Request<Bytes>) -> Result<Response<Bytes>, Problem> {
+    fn dispatch(&self, req: &Request<Bytes>) -> Result<Response<Bytes>, Problem> {
         let operator = self.authenticate(req.headers())?;
         match (req.method().as_str(), req.uri().path()) {
-            ("GET", "/v1/configuration") => Ok(answer(200, &plan::read(&*self.objects)?)),
+            ("GET", "/v1/configuration") => {
+                Ok(answer(200, &plan::read_configuration(&*self.objects)?))
+            }
             ("GET", "/v1/engines") => Ok(answer(200, &self.engines()?)),
             ("GET", "/v1/status") => Ok(answer(200, &self.fleet.status())),
             ("POST", "/v1/plans") => {
                 let intent: Intent = read(req.body())?;
-                Ok(answer(200, &plan::make(&*self.objects, intent)?))
+                Ok(answer(200, &plan::create(&*self.objects, intent)?))
             }
             ("POST", "/v1/confirmations") => {
                 let plan: Plan = read(req.body())?;
@@ -189,7 +191,7 @@
 
     /// What the controllers of all zones have reported.
     fn engines(&self) -> Result<Vec<Report>, Problem> {
-        let shown = plan::read(&*self.objects)?;
+        let shown = plan::read_configuration(&*self.objects)?;
         let mut reports = Vec::new();
         for zone in shown.configuration.zones() {
             reports.extend(report::read(&*self.objects, zone)?);
--- a/src/operator/plan.rs
+++ b/src/operator/plan.rs
@@ -9,9 +9,9 @@
 use crate::config::Applied;
 use crate::config::Catalog;
 use crate::config::catalog;
-use crate::operator::Confirmed;
+use crate::operator::Confirmation;
 use crate::operator::Problem;
-use crate::operator::Shown;
+use crate::operator::VersionedCatalog;
 use crate::operator::intent;
 use crate::operator::intent::Intent;
 use crate::platform::Error;
@@ -31,7 +31,7 @@
     /// The revision that it was made for.
     pub base: u64,
     /// What it changes.
-    pub changes: Vec<Difference>,
+    pub changes: Vec<FieldChange>,
     /// What an operator should know before confirming.
     pub warnings: Vec<String>,
     /// Names the plan: SHA-256 over the base, the intent and the configuration it gives.
@@ -40,7 +40,7 @@
 
 /// One field that changes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Difference {
+pub struct FieldChange {
     /// Its place, such as `upstreams.llm-1.draining`.
     pub field: String,
     /// Its value now; nothing for a new one.
@@ -50,28 +50,28 @@
 }
 
 /// Reads the configuration.
-pub fn read(objects: &dyn Objects) -> Result<Shown, Problem> {
+pub fn read_configuration(objects: &dyn Objects) -> Result<VersionedCatalog, Problem> {
     let Some(object) = objects.get(catalog::OBJECT)? else {
-        return Ok(Shown { revision: 0, configuration: Catalog::default() });
+        return Ok(VersionedCatalog { revision: 0, configuration: Catalog::default() });
     };
     let configuration = serde_json::from_slice(&object.value)
         .map_err(|e| Problem::Platform { reason: format!("the configuration: {e}") })?;
-    Ok(Shown { revision: object.version, configuration })
+    Ok(VersionedCatalog { revision: object.version, configuration })
 }
 
 /// Makes a plan for the configuration as it is now.
-pub fn make(objects: &dyn Objects, intent: Intent) -> Result<Plan, Problem> {
-    let shown = read(objects)?;
+pub fn create(objects: &dyn Objects, intent: Intent) -> Result<Plan, Problem> {
+    let shown = read_configuration(objects)?;
     plan(&shown, intent).map(|(plan, _)| plan)
 }
 
 /// Applies a plan, unless the configuration has changed since. Confirming a plan twice applies it
 /// once, and so does a write whose answer was lost: the configuration names the plans applied.
-pub fn confirm(objects: &dyn Objects, wanted: &Plan, by: &str) -> Result<Confirmed, Problem> {
+pub fn confirm(objects: &dyn Objects, wanted: &Plan, by: &str) -> Result<Confirmation, Problem> {
     for _ in 0..SETTLE_MAX {
-        let shown = read(objects)?;
+        let shown = read_configuration(objects)?;
         if shown.configuration.applied.iter().any(|a| a.plan == wanted.hash) {
-            return Ok(Confirmed { revision: shown.revision });
+            return Ok(Confirmation { revision: shown.revision });
         }
         let (plan, mut next) = plan(&shown, wanted.intent.clone())?;
         if shown.revision != wanted.base {
@@ -85,7 +85,7 @@
         next.applied.drain(..surplus);
         let value = serde_json::to_vec(&next).expect("a configuration serializes");
         match objects.put(catalog::OBJECT, &value, shown.revision) {
-            Ok(revision) => return Ok(Confirmed { revision }),
+            Ok(revision) => return Ok(Confirmation { revision }),
             // Read back: either this plan is in there now, or another one was faster.
             Err(Error::Conflict { .. } | Error::Unknown(_)) => {}
             Err(e) => return Err(e.into()),
@@ -96,7 +96,7 @@
     })
 }
 
-fn plan(shown: &Shown, intent: Intent) -> Result<(Plan, Catalog), Problem> {
+fn plan(shown: &VersionedCatalog, intent: Intent) -> Result<(Plan, Catalog), Problem> {
     let base = &shown.configuration;
     let next = intent::apply(base, &intent).map_err(|faults| Problem::Invalid { faults })?;
     let text = serde_json::to_vec(&(shown.revision, &intent, &next)).expect("it serializes");
@@ -110,7 +110,7 @@
     Ok((plan, next))
 }
 
-fn differences(base: &Catalog, next: &Catalog) -> Vec<Difference> {
+fn differences(base: &Catalog, next: &Catalog) -> Vec<FieldChange> {
     let value = |c: &Catalog| {
         let c = Catalog { applied: Vec::new(), ..c.clone() };
         serde_json::to_value(c).expect("a configuration serializes")
@@ -125,7 +125,7 @@
     field: &str,
     before: Option<&Value>,
     after: Option<&Value>,
-    found: &mut Vec<Difference>,
+    found: &mut Vec<FieldChange>,
 ) {
     if before == after {
         return;
@@ -134,7 +134,7 @@
     let (old, new) = (parts(before), parts(after));
     if old.is_empty() || new.is_empty() {
         let (before, after) = (before.cloned(), after.cloned());
-        found.push(Difference { field: field.to_owned(), before, after });
+        found.push(FieldChange { field: field.to_owned(), before, after });
         return;
     }
     let mut names: Vec<&String> = old.iter().chain(&new).map(|(name, _)| name).collect();
--- a/src/placement/registry/index.rs
+++ b/src/placement/registry/index.rs
@@ -12,7 +12,7 @@
 use crate::names::ServiceName;
 use crate::names::UpstreamName;
 use crate::placement::upstream::Upstream;
-use crate::util::mix;
+use crate::util::mix_bits;
 
 /// Number of ring positions tried for each key; the engine nearest to its position is taken. With
 /// this many, each engine gets at most some 5 % more than its even part (multi-probe consistent
@@ -40,7 +40,7 @@
         if u.listed.leaving {
             self.leaving.insert((service.clone(), name.clone()));
         } else {
-            self.digest = self.digest.wrapping_add(mix(u.hash));
+            self.digest = self.digest.wrapping_add(mix_bits(u.hash));
         }
         let entries = self.by_hash.entry(service).or_default();
         entries.insert((u.hash, name), u.engine.is_some());
@@ -59,7 +59,7 @@
         if listed.leaving {
             self.leaving.remove(&(listed.service.clone(), listed.name.clone()));
         } else {
-            self.digest = self.digest.wrapping_sub(mix(u.hash));
+            self.digest = self.digest.wrapping_sub(mix_bits(u.hash));
         }
         if let Some(entries) = self.by_hash.get_mut(&listed.service) {
             entries.remove(&(u.hash, listed.name.clone()));
@@ -121,11 +121,11 @@
             let mut ring = ring.take(all.len()).filter(|(_, is_engine)| **is_engine);
             ring.find(|((_, name), _)| eligible(name)).map(|((hash, _), _)| *hash)
         };
-        let first = next(mix(key))?;
+        let first = next(mix_bits(key))?;
         let distance = |point: u64| next(point).map(|hash| (hash.wrapping_sub(point), hash));
-        let points = (1..HASH_PROBES).map(|n| mix(key ^ n.rotate_left(32)));
+        let points = (1..HASH_PROBES).map(|n| mix_bits(key ^ n.rotate_left(32)));
         let nearest =
-            points.filter_map(distance).chain([(first.wrapping_sub(mix(key)), first)]).min();
+            points.filter_map(distance).chain([(first.wrapping_sub(mix_bits(key)), first)]).min();
         nearest.map(|(_, hash)| hash)
     }
 }
--- a/src/placement/registry/selection.rs
+++ b/src/placement/registry/selection.rs
@@ -14,7 +14,7 @@
 use crate::placement::upstream::PrefillPlan;
 use crate::placement::upstream::Upstream;
 use crate::proxy::adapter::Prompt;
-use crate::util::mix;
+use crate::util::mix_bits;
 
 /// Preferences for the engines to which a prompt's shared parts hash, in order of rank. They make
 /// boxes that have no state yet, or don't know each other's requests, choose the same engine; when
@@ -216,7 +216,7 @@
     let [.., shared, _] = &prompt.parts[..] else { return Default::default() };
     let mut ranked: [Option<(u64, &Upstream)>; HOME_BONUSES.len()] = Default::default();
     for upstream in upstreams {
-        let mut next = Some((mix(upstream.hash ^ shared.id), *upstream));
+        let mut next = Some((mix_bits(upstream.hash ^ shared.id), *upstream));
         for place in &mut ranked {
             if place.map(|(draw, _)| draw) < next.map(|(draw, _)| draw) {
                 std::mem::swap(place, &mut next);
--- a/src/proxy/admission.rs
+++ b/src/proxy/admission.rs
@@ -17,7 +17,7 @@
 use crate::proxy::routing_table::Route;
 use crate::proxy::routing_table::RoutingTable;
 use crate::web;
-use crate::web::BodyFault;
+use crate::web::BodyError;
 
 /// Resolves the route, service and workspace of a request from its head. On failure, returns the id
 /// of the request too, as far as it could be read.
@@ -84,7 +84,7 @@
     let max = hub.table().map_or(0, |t| t.limits.body_bytes);
     let remaining = deadline.saturating_sub(hub.now());
     web::read_body(body, max, remaining).await.map_err(|fault| match fault {
-        BodyFault::TooLong => Refusal::BodyTooLong,
-        BodyFault::Cut => Refusal::BodyCut,
+        BodyError::TooLong => Refusal::BodyTooLong,
+        BodyError::Truncated => Refusal::BodyCut,
     })
 }
--- a/src/proxy/box_api.rs
+++ b/src/proxy/box_api.rs
@@ -27,7 +27,7 @@
 use crate::proxy::view::Snapshot;
 use crate::proxy::view::View;
 use crate::web;
-use crate::web::Page;
+use crate::web::HttpHandler;
 
 /// Path of the full state of a box, as JSON.
 const SNAPSHOT_PATH: &str = "/v1/snapshot";
@@ -73,13 +73,13 @@
     hub: Arc<Hub>,
     stopping: watch::Receiver<ShutdownPhase>,
 ) {
-    let page = Arc::new(ReadinessPage { hub, stopping });
-    web::serve(listener, 0, page, std::future::pending()).await;
+    let handler = Arc::new(ReadinessHandler { hub, stopping });
+    web::serve(listener, 0, handler, std::future::pending()).await;
 }
 
 /// Serves the endpoints for other boxes until the process ends.
 pub async fn serve_peers(listener: TcpListener, hub: Arc<Hub>) {
-    web::serve(listener, 0, Arc::new(BoxPage { hub }), std::future::pending()).await;
+    web::serve(listener, 0, Arc::new(BoxApiHandler { hub }), std::future::pending()).await;
 }
 
 /// Fetches from another box the state that this one lacks.
@@ -125,13 +125,13 @@
     Ok(body)
 }
 
-struct ReadinessPage {
+struct ReadinessHandler {
     hub: Arc<Hub>,
     stopping: watch::Receiver<ShutdownPhase>,
 }
 
-impl Page for ReadinessPage {
-    fn refuse(&self, _: &http::request::Parts) -> Option<Response<Bytes>> {
+impl HttpHandler for ReadinessHandler {
+    fn check_head(&self, _: &http::request::Parts) -> Option<Response<Bytes>> {
         let ready = self.hub.read(View::is_ready)
             && !self.hub.is_full()
             && *self.stopping.borrow() == ShutdownPhase::Running;
@@ -139,16 +139,16 @@
         Some(empty_response(status))
     }
 
-    fn answer(&self, _: Request<Bytes>) -> Response<Bytes> {
+    fn handle(&self, _: Request<Bytes>) -> Response<Bytes> {
         empty_response(StatusCode::NOT_FOUND)
     }
 }
 
-struct BoxPage {
+struct BoxApiHandler {
     hub: Arc<Hub>,
 }
 
-impl BoxPage {
+impl BoxApiHandler {
     /// Returns the response for a path with parameters; `None` if the path is unknown or malformed.
     fn parameterized(&self, path: &str) -> Option<Response<Bytes>> {
         if let Some(group) = path.strip_prefix(LEARNED_PATH) {
@@ -184,22 +184,22 @@
     }
 }
 
-impl Page for BoxPage {
-    fn refuse(&self, head: &http::request::Parts) -> Option<Response<Bytes>> {
+impl HttpHandler for BoxApiHandler {
+    fn check_head(&self, head: &http::request::Parts) -> Option<Response<Bytes>> {
         match head.uri.path() {
             SNAPSHOT_PATH => {
                 Some(json_response(&self.hub.read(|view| view.snapshot(self.hub.now()))))
             }
             LEARNED_PATH => Some(self.learned(None)),
             HELD_PATH => Some(self.held()),
-            METRICS_PATH => Some(Response::new(Bytes::from(self.hub.metrics().page()))),
+            METRICS_PATH => Some(Response::new(Bytes::from(self.hub.metrics().render()))),
             path => Some(
                 self.parameterized(path).unwrap_or_else(|| empty_response(StatusCode::NOT_FOUND)),
             ),
         }
     }
 
-    fn answer(&self, _: Request<Bytes>) -> Response<Bytes> {
+    fn handle(&self, _: Request<Bytes>) -> Response<Bytes> {
         empty_response(StatusCode::NOT_FOUND)
     }
 }
--- a/src/proxy/proxy_metrics.rs
+++ b/src/proxy/proxy_metrics.rs
@@ -82,8 +82,8 @@
     }
 
     /// Renders all metrics as a page in Prometheus' format.
-    pub fn page(&self) -> Vec<u8> {
-        self.metrics.page()
+    pub fn render(&self) -> Vec<u8> {
+        self.metrics.render()
     }
 
     /// Registers gauges of the hub's state, which are read whenever the page is requested.
--- a/src/proxy/reachability.rs
+++ b/src/proxy/reachability.rs
@@ -54,7 +54,7 @@
         }
         if hub.fleet(|fleet| fleet.record_connect_failure(&name, now)) {
             info!(hub.log(), "upstream unreachable"; "name" => name.as_str(),
-                "error" => util::with_causes(&e));
+                "error" => util::error_chain(&e));
             let message = Message::Unreachable { upstream: name.clone() };
             match hub.read(|view| view.fleet().is_engine(&name)) {
                 true => engine_placement::notify_owners(&hub, &name, &message),
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -52,7 +52,7 @@
 use crate::proxy::upstream_selection::OVERLOAD_RETRY_MIN;
 use crate::util;
 use crate::web;
-use crate::web::BodyFault;
+use crate::web::BodyError;
 
 /// Attempts that did not reach an upstream after which a request is refused.
 const UNSENT_ATTEMPTS_MAX: u32 = 4;
@@ -235,7 +235,7 @@
                 }
                 SendOutcome::NotSent(e) => {
                     info!(self.hub.log(), "request not sent"; "id" => &self.head.id,
-                        "upstream" => choice.upstream.as_str(), "error" => util::with_causes(&e));
+                        "upstream" => choice.upstream.as_str(), "error" => util::error_chain(&e));
                     unsent_attempts += 1;
                     if UNSENT_ATTEMPTS_MAX <= unsent_attempts {
                         let retry_after = self.min_backoff_remaining().unwrap_or(NO_UPSTREAM_RETRY);
@@ -381,7 +381,7 @@
                 self.sends += 1;
                 info!(self.hub.log(), "no response from upstream"; "id" => &self.head.id,
                     "content" => %self.fingerprint(), "upstream" => choice.upstream.as_str(),
-                    "error" => util::with_causes(&e));
+                    "error" => util::error_chain(&e));
                 self.record_break(placed, matches!(e, upstream_connections::Error::Restarted));
                 return SendOutcome::MayHaveRun(None);
             }
@@ -524,10 +524,10 @@
                     "content" => %self.fingerprint(), "upstream" => placed.upstream().as_str(),
                     "error" => %fault);
                 match fault {
-                    BodyFault::Cut if !self.remaining().is_zero() => {
+                    BodyError::Truncated if !self.remaining().is_zero() => {
                         self.record_break(placed, false);
                     }
-                    BodyFault::Cut | BodyFault::TooLong => placed.close(Some(Health::Broken)),
+                    BodyError::Truncated | BodyError::TooLong => placed.close(Some(Health::Broken)),
                 }
                 self.refuse(Refusal::Broken)
             }
--- a/src/proxy/stream_relay.rs
+++ b/src/proxy/stream_relay.rs
@@ -247,7 +247,7 @@
         if let State::Relaying(source) = std::mem::replace(&mut self.state, State::Ended) {
             info!(ctx.hub.log(), "response broke off"; "id" => &ctx.head.id,
                 "content" => %ctx.fingerprint(), "upstream" => source.placed.upstream().as_str(),
-                "error" => util::with_causes(e),
+                "error" => util::error_chain(e),
                 "begun" => self.has_begun, "last_event" => self.events.last_id());
             ctx.record_break(source.placed, matches!(e, upstream_connections::Error::Restarted));
         }
--- a/src/retry_after.rs
+++ b/src/retry_after.rs
@@ -13,7 +13,7 @@
 
 /// Reads the longest time that an answer names, in seconds or as a date; nothing if it names none that lies ahead. A
 /// date is relative to the answer's own `Date` where it has one, else to `now`.
-pub fn read(headers: &HeaderMap, now: SystemTime) -> Option<Duration> {
+pub fn from_headers(headers: &HeaderMap, now: SystemTime) -> Option<Duration> {
     let now = headers.get(DATE).and_then(date).unwrap_or(now);
     let times = headers.get_all(RETRY_AFTER).iter().filter_map(|value| time(value, now));
     times.max().filter(|time| !time.is_zero())
--- a/src/router/hub.rs
+++ b/src/router/hub.rs
@@ -383,7 +383,7 @@
         zone: id.zone.clone(),
         revision: node.configuration().number,
         leaving: node.members().is_leaving(),
-        live: node.members().live(now).cloned().collect(),
+        live_boxes: node.members().live(now).cloned().collect(),
         waiting: node.waiting_count(),
         running: node.running_count(),
         pools: node.pools().map(pool_status).collect(),
@@ -395,14 +395,14 @@
         workspace: w.clone(),
         waiting: pool.queue().waiting(w),
         virtual_time: pool.ledger().virtual_time(w),
-        why: pool.why_waits(w),
+        wait_reason: pool.why_waits(w),
     };
     let mut workspaces: Vec<WorkspaceStatus> = pool.queue().workspaces().map(status).collect();
     workspaces.sort_by_key(|w| w.virtual_time);
     workspaces.truncate(WORKSPACES_SHOWN);
     let upstreams = pool.upstreams().states().map(|(name, aside)| UpstreamStatus {
         upstream: name.clone(),
-        aside: aside.map(|a| format!("{a:?}").to_lowercase()),
+        unavailable_reason: aside.map(|a| format!("{a:?}").to_lowercase()),
     });
     PoolStatus {
         pool: pool.name().clone(),
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -102,7 +102,7 @@
     let stopped = wait_for_stop(hub.clone(), signals, stop);
     listener::serve(callers, service, cfg.identity.name.clone(), stopped).await;
     info!(log, "stopped");
-    metrics.stop();
+    metrics.shutdown();
     Ok(())
 }
 
@@ -130,7 +130,7 @@
 
 fn follow_platform(cfg: &settings::Router, hub: &Arc<Hub>) {
     let client = Arc::new(Client::new(cfg.platform));
-    hub.metrics().store_calls(client.calls());
+    hub.metrics().register_store_calls(client.calls());
     let tell = |hub: Arc<Hub>| move |news| take_in(&hub, news);
     platform::watch::configuration(client.clone(), tell(hub.clone()));
     hub.open_claims(Arc::new(client.with_timeout(CLAIM_TIMEOUT)));
@@ -179,13 +179,13 @@
 
 /// Shows the figures that are read when the page is.
 fn show(metrics: &Metrics, traffic: &Arc<Traffic>, service: &Arc<Service>) {
-    metrics.traffic(traffic);
+    metrics.register_peer_traffic(traffic);
     let senders = service.clone();
-    metrics.gauge("frostdyke_sending_threads", move || {
+    metrics.register_gauge("frostdyke_sending_threads", move || {
         vec![(senders.senders.live() as f64, Vec::new())]
     });
     let hub = service.hub.clone();
-    metrics.gauge("frostdyke_router", move || {
+    metrics.register_gauge("frostdyke_router", move || {
         hub.read(|node, _| {
             let label = |state: &'static str| vec![KeyValue::new("state", state)];
             vec![
@@ -195,22 +195,23 @@
         })
     });
     let hub = service.hub.clone();
-    metrics.count("frostdyke_claim_writes", move || hub.claims().map_or(0, |c| c.writes()));
+    metrics
+        .register_counter("frostdyke_claim_writes", move || hub.claims().map_or(0, |c| c.writes()));
     let hub = service.hub.clone();
-    metrics.gauge("frostdyke_claims_down", move || {
+    metrics.register_gauge("frostdyke_claims_down", move || {
         let down = hub.claims().is_some_and(|c| c.is_down());
         vec![(f64::from(u8::from(down)), Vec::new())]
     });
     let hub = service.hub.clone();
-    metrics.gauge("frostdyke_live_boxes", move || {
+    metrics.register_gauge("frostdyke_live_boxes", move || {
         vec![(hub.read(|node, now| node.members().live(now).count()) as f64, Vec::new())]
     });
     let hub = service.hub.clone();
-    metrics.gauge("frostdyke_revision", move || {
+    metrics.register_gauge("frostdyke_revision", move || {
         vec![(hub.read(|node, _| node.configuration().number) as f64, Vec::new())]
     });
     let hub = service.hub.clone();
-    metrics.gauge("frostdyke_pool", move || hub.read(|node, _| pool_figures(node)));
+    metrics.register_gauge("frostdyke_pool", move || hub.read(|node, _| pool_figures(node)));
 }
 
 /// For each dispatcher on this box: waiting, running, slots, utilisation and fairness gap.
--- a/src/router/refusal.rs
+++ b/src/router/refusal.rs
@@ -17,7 +17,7 @@
 use crate::claims::KeyFault;
 use crate::node::Refusal;
 use crate::router::service_request::InvalidRequest;
-use crate::web::BodyFault;
+use crate::web::BodyError;
 
 /// Names the request, for whoever asks about it.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("frostdyke-request-id");
@@ -71,7 +71,7 @@
     Method,
     /// The body is longer than the limit, or didn't come whole in time.
     #[error(transparent)]
-    Body(#[from] BodyFault),
+    Body(#[from] BodyError),
     /// The router refused to let it wait.
     #[error(transparent)]
     Refused(#[from] Refusal),
@@ -124,8 +124,8 @@
             Cause::NoClaim { .. } => "no-claim",
             Cause::NoPath => "no-path",
             Cause::Method => "method",
-            Cause::Body(BodyFault::TooLong) => "body-too-long",
-            Cause::Body(BodyFault::Cut) => "body-cut",
+            Cause::Body(BodyError::TooLong) => "body-too-long",
+            Cause::Body(BodyError::Truncated) => "body-cut",
             Cause::Refused(Refusal::WaitingLimit { .. }) => "waiting-limit",
             Cause::Refused(Refusal::DeadlineTooShort { .. }) => "deadline-hopeless",
             Cause::Refused(Refusal::NoPool) => "no-pool",
@@ -152,8 +152,8 @@
             }
             Cause::DuplicateRan | Cause::DuplicateElsewhere => StatusCode::CONFLICT,
             Cause::Method => StatusCode::METHOD_NOT_ALLOWED,
-            Cause::Body(BodyFault::TooLong) => StatusCode::PAYLOAD_TOO_LARGE,
-            Cause::Body(BodyFault::Cut) => StatusCode::REQUEST_TIMEOUT,
+            Cause::Body(BodyError::TooLong) => StatusCode::PAYLOAD_TOO_LARGE,
+            Cause::Body(BodyError::Truncated) => StatusCode::REQUEST_TIMEOUT,
             Cause::Refused(Refusal::WaitingLimit { .. }) => StatusCode::TOO_MANY_REQUESTS,
             Cause::Refused(Refusal::DeadlineTooShort { .. }) => StatusCode::SERVICE_UNAVAILABLE,
             Cause::Refused(Refusal::NoPool)
--- a/src/router/request_handler.rs
+++ b/src/router/request_handler.rs
@@ -175,7 +175,7 @@
             ticket: id,
             upstream: None,
             waited_ms: 0,
-            ending: "waiting".to_owned(),
+            outcome: "waiting".to_owned(),
         });
         let mut stopping = self.service.stopping.clone();
         let start = tokio::select! {
@@ -190,10 +190,10 @@
         let waited = arrived.elapsed();
         let attempt = self.tale.attempts.last_mut().expect("pushed above");
         attempt.waited_ms = waited.as_millis() as u64;
-        let start = start.inspect_err(|cause| attempt.ending = cause.code().to_owned())?;
+        let start = start.inspect_err(|cause| attempt.outcome = cause.code().to_owned())?;
         waiting.granted = true;
         attempt.upstream = Some(start.upstream.clone());
-        attempt.ending = "sent".to_owned();
+        attempt.outcome = "sent".to_owned();
         let class = KeyValue::new("class", class_name(self.ask.class));
         hub.metrics().waits.record(waited.as_secs_f64(), &[class]);
         Ok(Placed::new(hub, id, start, &self.ask))
@@ -280,7 +280,7 @@
             return self.failed(true, "the answer belongs to another request".to_owned());
         }
         if status == StatusCode::SERVICE_UNAVAILABLE
-            && let Some(backoff) = retry_after::read(&headers, SystemTime::now())
+            && let Some(backoff) = retry_after::from_headers(&headers, SystemTime::now())
         {
             placed.back_off(backoff);
         }
@@ -397,7 +397,7 @@
     /// Notes how the last attempt ended, or goes on.
     pub fn note_ending(&mut self, ending: &str) {
         if let Some(attempt) = self.attempts.last_mut() {
-            attempt.ending = ending.to_owned();
+            attempt.outcome = ending.to_owned();
         }
     }
 
@@ -409,7 +409,7 @@
         ];
         self.hub.metrics().requests.add(1, &labels);
         self.hub.records().ended(RequestRecord {
-            request: self.request.clone(),
+            request_id: self.request.clone(),
             workspace: self.workspace.clone(),
             service: self.service.clone(),
             attempts: std::mem::take(&mut self.attempts),
--- a/src/router/request_history.rs
+++ b/src/router/request_history.rs
@@ -39,7 +39,7 @@
     /// The rings are read by taking each record out and putting it back, which may forget a few
     /// of the oldest if others are added meanwhile.
     pub fn explain(&self, request: &str) -> Explanation {
-        let requests = rotate(&self.requests, |r| r.request == request);
+        let requests = rotate(&self.requests, |r| r.request_id == request);
         let mut tickets: Vec<TicketId> =
             requests.iter().flat_map(|r| r.attempts.iter().map(|a| a.ticket)).collect();
         tickets.extend(ticket_of(request));
--- a/src/status.rs
+++ b/src/status.rs
@@ -27,7 +27,8 @@
     /// Whether it is about to stop.
     pub leaving: bool,
     /// The boxes of its zone that it believes alive.
-    pub live: Vec<BoxName>,
+    #[serde(rename = "live")]
+    pub live_boxes: Vec<BoxName>,
     /// Requests waiting at this router.
     pub waiting: usize,
     /// Requests of this router running at upstreams.
@@ -63,7 +64,8 @@
     /// Its virtual time, in thousandths of the pool's unit.
     pub virtual_time: i64,
     /// Why its first ticket isn't served now.
-    pub why: Waits,
+    #[serde(rename = "why")]
+    pub wait_reason: Waits,
 }
 
 /// An upstream, and why it gets nothing if it doesn't.
@@ -72,7 +74,8 @@
     /// Which upstream.
     pub upstream: UpstreamName,
     /// Why it gets no work now.
-    pub aside: Option<String>,
+    #[serde(rename = "aside")]
+    pub unavailable_reason: Option<String>,
 }
 
 /// What one box knows of a request.
@@ -88,7 +91,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RequestRecord {
     /// The request's id, as the caller was told.
-    pub request: String,
+    #[serde(rename = "request")]
+    pub request_id: String,
     /// Its workspace.
     pub workspace: WorkspaceName,
     /// Its service.
@@ -111,7 +115,8 @@
     /// Milliseconds it waited.
     pub waited_ms: u64,
     /// How it ended.
-    pub ending: String,
+    #[serde(rename = "ending")]
+    pub outcome: String,
 }
 
 impl IntoResponse for Status {
--- a/src/util.rs
+++ b/src/util.rs
@@ -53,7 +53,7 @@
 }
 
 /// An error with what caused it, and what caused that.
-pub fn with_causes(e: &dyn Error) -> String {
+pub fn error_chain(e: &dyn Error) -> String {
     let mut text = e.to_string();
     let mut cause = e.source();
     while let Some(e) = cause {
@@ -65,7 +65,7 @@
 }
 
 /// Spreads a number over all its bits: the finish of `splitmix64` (Steele et al., 2014).
-pub fn mix(mut x: u64) -> u64 {
+pub fn mix_bits(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ (x >> 31)
--- a/src/web.rs
+++ b/src/web.rs
@@ -32,21 +32,21 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
 /// Connections that a page serves at once. Idle ones hold no thread.
-const PAGE_CONNECTIONS_MAX: usize = 256;
+const HANDLER_CONNECTIONS_MAX: usize = 256;
 
 /// How long a client of a page may take to send a request's head, and again its body. An idle
 /// connection is closed after it, so that idle ones can't use up all that there may be.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Answers the requests of a page.
-pub trait Page: Send + Sync + 'static {
+pub trait HttpHandler: Send + Sync + 'static {
     /// Looks at a request's head before its body is read; an answer here is the only one.
-    fn refuse(&self, _head: &Parts) -> Option<Response<Bytes>> {
+    fn check_head(&self, _head: &Parts) -> Option<Response<Bytes>> {
         None
     }
 
     /// Answers a request; it may block.
-    fn answer(&self, req: Request<Bytes>) -> Response<Bytes>;
+    fn handle(&self, req: Request<Bytes>) -> Response<Bytes>;
 }
 
 /// Accepts connections, `max` at once, until `stopped`; then lets what is under way end and
@@ -92,14 +92,14 @@
 pub async fn serve(
     listener: TcpListener,
     body_max: usize,
-    page: Arc<dyn Page>,
+    handler: Arc<dyn HttpHandler>,
     stopped: impl Future<Output = ()>,
 ) {
-    accept(listener, PAGE_CONNECTIONS_MAX, stopped, |stream| {
-        let page = page.clone();
+    accept(listener, HANDLER_CONNECTIONS_MAX, stopped, |stream| {
+        let handler = handler.clone();
         let service = service_fn(move |req| {
-            let page = page.clone();
-            async move { Ok::<_, Infallible>(handle(req, body_max, page).await) }
+            let handler = handler.clone();
+            async move { Ok::<_, Infallible>(handle(req, body_max, handler).await) }
         });
         http1::Builder::new()
             .timer(TokioTimer::new())
@@ -111,47 +111,47 @@
 
 /// Why a body can't be had.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BodyFault {
+pub enum BodyError {
     /// It is longer than it may be.
     #[error("the body is too long")]
     TooLong,
     /// It didn't come whole, or not in time.
     #[error("the body did not come whole")]
-    Cut,
+    Truncated,
 }
 
 /// Reads a body of at most `max` bytes. One that says it is longer is refused unread.
-pub async fn read_body<B>(body: B, max: usize, timeout: Duration) -> Result<Bytes, BodyFault>
+pub async fn read_body<B>(body: B, max: usize, timeout: Duration) -> Result<Bytes, BodyError>
 where
     B: Body<Data = Bytes>,
     B::Error: Into<Box<dyn Error + Send + Sync>>,
 {
     if (max as u64) < body.size_hint().lower() {
-        return Err(BodyFault::TooLong);
+        return Err(BodyError::TooLong);
     }
     match tokio::time::timeout(timeout, Limited::new(body, max).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(e)) if e.is::<LengthLimitError>() => Err(BodyFault::TooLong),
-        Ok(Err(_)) | Err(_) => Err(BodyFault::Cut),
+        Ok(Err(e)) if e.is::<LengthLimitError>() => Err(BodyError::TooLong),
+        Ok(Err(_)) | Err(_) => Err(BodyError::Truncated),
     }
 }
 
 async fn handle(
     req: Request<Incoming>,
     body_max: usize,
-    page: Arc<dyn Page>,
+    handler: Arc<dyn HttpHandler>,
 ) -> Response<Full<Bytes>> {
     let (head, body) = req.into_parts();
-    if let Some(resp) = page.refuse(&head) {
+    if let Some(resp) = handler.check_head(&head) {
         return resp.map(Full::new);
     }
     let body = match read_body(body, body_max, READ_TIMEOUT).await {
         Ok(body) => body,
-        Err(BodyFault::TooLong) => return empty(StatusCode::PAYLOAD_TOO_LARGE),
-        Err(BodyFault::Cut) => return empty(StatusCode::REQUEST_TIMEOUT),
+        Err(BodyError::TooLong) => return empty(StatusCode::PAYLOAD_TOO_LARGE),
+        Err(BodyError::Truncated) => return empty(StatusCode::REQUEST_TIMEOUT),
     };
     let req = Request::from_parts(head, body);
-    let answered = tokio::task::spawn_blocking(move || page.answer(req)).await;
+    let answered = tokio::task::spawn_blocking(move || handler.handle(req)).await;
     // A panic has been printed; this client hears of it, and the others are served on.
     answered.map_or_else(|_| empty(StatusCode::INTERNAL_SERVER_ERROR), |r| r.map(Full::new))
 }
--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -7,8 +7,8 @@
 
 use frostdyke::clock::Clock;
 use frostdyke::clock::SinceBoot;
-use frostdyke::clock::Source;
 use frostdyke::clock::SuspensionMeter;
+use frostdyke::clock::TimeSource;
 use tokio::time::Instant;
 
 /// The runtime's clock and the time for which the machine was suspended, in milliseconds.
@@ -28,7 +28,7 @@
     }
 }
 
-impl Source for Machine {
+impl TimeSource for Machine {
     fn now(&self) -> Duration {
         self.began.elapsed() + Duration::from_millis(self.suspended.load(Ordering::Relaxed))
     }
--- a/tests/holds_configuration.rs
+++ b/tests/holds_configuration.rs
@@ -168,21 +168,24 @@
 #[test]
 fn of_racing_operators_one_wins_and_the_other_gets_a_new_plan() {
     let (_platform, store) = store();
-    let mine = plan::make(&store, put("mine")).expect("a plan");
-    let theirs = plan::make(&store, put("theirs")).expect("a plan");
+    let mine = plan::create(&store, put("mine")).expect("a plan");
+    let theirs = plan::create(&store, put("theirs")).expect("a plan");
     plan::confirm(&store, &theirs, "them").expect("it is applied");
     let Err(Problem::Stale { plan }) = plan::confirm(&store, &mine, "me") else {
         panic!("a stale plan was applied");
     };
     assert_eq!(plan.base, 1);
     plan::confirm(&store, &plan, "me").expect("the new plan is applied");
-    assert_eq!(plan::read(&store).expect("it is there").configuration.workspaces.len(), 2);
+    assert_eq!(
+        plan::read_configuration(&store).expect("it is there").configuration.workspaces.len(),
+        2
+    );
 }
 
 #[test]
 fn a_lost_answer_to_the_update_is_settled() {
     let (platform, store) = store();
-    let wanted = plan::make(&store, put("mine")).expect("a plan");
+    let wanted = plan::create(&store, put("mine")).expect("a plan");
     platform.set_faults(Faults { lose_answers: 1, ..Faults::default() });
     let confirmed = plan::confirm(&store, &wanted, "me").expect("it is applied");
     assert_eq!(confirmed.revision, 1);
@@ -194,7 +197,7 @@
 #[test]
 fn a_plan_that_was_tampered_with_is_refused() {
     let (_platform, store) = store();
-    let mut wanted = plan::make(&store, put("mine")).expect("a plan");
+    let mut wanted = plan::create(&store, put("mine")).expect("a plan");
     wanted.intent = put("other");
     let result = plan::confirm(&store, &wanted, "me");
     assert!(matches!(result, Err(Problem::Forged)), "{result:?}");
@@ -211,7 +214,7 @@
             "address": "127.0.0.1:1", "slots": 0}],
     }))
     .expect("it can be read");
-    let result = plan::make(&store, Intent::Replace { configuration });
+    let result = plan::create(&store, Intent::Replace { configuration });
     let Err(Problem::Invalid { faults }) = result else { panic!("it was accepted") };
     let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
     insta::assert_snapshot!(lines.join("\n"), @r"
--- a/tests/holds_leases.rs
+++ b/tests/holds_leases.rs
@@ -11,16 +11,16 @@
 use frostdyke::config::catalog::OBJECT;
 use frostdyke::controller::lease::Fence;
 use frostdyke::controller::lease::Lease;
-use frostdyke::controller::lease::Record;
+use frostdyke::controller::lease::LeaseAction;
+use frostdyke::controller::lease::LeaseRecord;
 use frostdyke::controller::lease::TTL;
-use frostdyke::controller::lease::Turn;
-use frostdyke::controller::lease::Written;
+use frostdyke::controller::lease::WriteOutcome;
 use frostdyke::controller::rollout;
-use frostdyke::controller::rollout::Observed;
-use frostdyke::controller::rollout::Order;
+use frostdyke::controller::rollout::EngineOrder;
+use frostdyke::controller::rollout::EngineStatus;
+use frostdyke::controller::rollout::LoadRateLimiter;
+use frostdyke::controller::rollout::ManagedEngines;
 use frostdyke::controller::rollout::Stage;
-use frostdyke::controller::rollout::Touched;
-use frostdyke::controller::rollout::Weights;
 use frostdyke::names::UpstreamName;
 use frostdyke_standin::engine;
 use frostdyke_standin::hold::Hold;
@@ -38,30 +38,34 @@
 #[derive(Default)]
 struct Store {
     version: u64,
-    record: Option<Record>,
+    record: Option<LeaseRecord>,
 }
 
 impl Store {
-    fn put(&mut self, record: Record, expected: u64) -> Written {
+    fn put(&mut self, record: LeaseRecord, expected: u64) -> WriteOutcome {
         if expected != self.version {
-            return Written::Conflict;
+            return WriteOutcome::Conflict;
         }
         self.version += 1;
         self.record = Some(record);
-        Written::Yes(self.version)
+        WriteOutcome::Written(self.version)
     }
 
     /// One whole turn of a process whose clock shows `now`.
     fn serve(&mut self, lease: &mut Lease, now: Duration) {
-        let turn = lease.turn(now);
-        self.act(lease, turn, now);
+        let action = lease.next_action(now);
+        self.act(lease, action, now);
     }
 
-    fn act(&mut self, lease: &mut Lease, turn: Turn, now: Duration) {
-        match turn {
-            Turn::Wait => {}
-            Turn::Read => lease.read(self.record.as_ref().map(|r| (self.version, r)), now),
-            Turn::Write { record, expected } => lease.written(self.put(record, expected)),
+    fn act(&mut self, lease: &mut Lease, action: LeaseAction, now: Duration) {
+        match action {
+            LeaseAction::Wait => {}
+            LeaseAction::Read => {
+                lease.handle_read(self.record.as_ref().map(|r| (self.version, r)), now)
+            }
+            LeaseAction::Write { record, expected } => {
+                lease.handle_write(self.put(record, expected))
+            }
         }
     }
 }
@@ -81,9 +85,9 @@
 fn a_holder_renews_and_keeps_its_fence() {
     let (mut store, mut lease) = (Store::default(), Lease::new("a/1"));
     let now = live(&mut store, &mut lease, Duration::ZERO, SECOND);
-    let fence = lease.held(now).expect("nobody else wants it");
+    let fence = lease.fence(now).expect("nobody else wants it");
     let now = live(&mut store, &mut lease, now, 10 * TTL);
-    assert_eq!(lease.held(now), Some(fence));
+    assert_eq!(lease.fence(now), Some(fence));
 }
 
 #[test]
@@ -91,13 +95,13 @@
     let mut store = Store::default();
     let (mut frozen, mut other) = (Lease::new("a/1"), Lease::new("b/1"));
     let now = live(&mut store, &mut frozen, Duration::ZERO, SECOND);
-    let before = frozen.held(now).expect("nobody else wants it");
+    let before = frozen.fence(now).expect("nobody else wants it");
     let now = live(&mut store, &mut other, now, 2 * TTL);
-    let after = other.held(now).expect("the holder didn't renew");
+    let after = other.fence(now).expect("the holder didn't renew");
     assert!(before < after);
-    assert_eq!(frozen.held(now), None);
+    assert_eq!(frozen.fence(now), None);
     store.serve(&mut frozen, now);
-    assert_eq!(frozen.held(now), None);
+    assert_eq!(frozen.fence(now), None);
 }
 
 #[test]
@@ -106,30 +110,32 @@
     let (mut first, mut second) = (Lease::new("a/1"), Lease::new("b/1"));
     let now = live(&mut store, &mut first, Duration::ZERO, SECOND);
     let now = live(&mut store, &mut second, now, SECOND);
-    assert_eq!(second.held(now), None);
-    let turn = first.release(now);
-    store.act(&mut first, turn, now);
-    assert_eq!(first.held(now), None);
+    assert_eq!(second.fence(now), None);
+    let action = first.release(now);
+    store.act(&mut first, action, now);
+    assert_eq!(first.fence(now), None);
     let now = live(&mut store, &mut second, now, 4 * SECOND);
-    assert!(second.held(now).is_some());
+    assert!(second.fence(now).is_some());
 }
 
 #[test]
 fn a_lost_answer_to_a_renewal_is_settled_by_reading_back() {
     let (mut store, mut lease) = (Store::default(), Lease::new("a/1"));
     let mut now = live(&mut store, &mut lease, Duration::ZERO, SECOND);
-    let fence = lease.held(now);
-    let turn = loop {
-        match lease.turn(now) {
-            Turn::Wait => now += SECOND / 10,
-            turn => break turn,
+    let fence = lease.fence(now);
+    let action = loop {
+        match lease.next_action(now) {
+            LeaseAction::Wait => now += SECOND / 10,
+            action => break action,
         }
     };
-    let Turn::Write { record, expected } = turn else { panic!("a renewal is due: {turn:?}") };
+    let LeaseAction::Write { record, expected } = action else {
+        panic!("a renewal is due: {action:?}")
+    };
     store.put(record, expected);
-    lease.written(Written::Unknown);
+    lease.handle_write(WriteOutcome::Unknown);
     let now = live(&mut store, &mut lease, now, 3 * TTL);
-    assert_eq!(lease.held(now), fence);
+    assert_eq!(lease.fence(now), fence);
 }
 
 /// What may happen between two turns of one of the processes.
@@ -170,7 +176,7 @@
         let mut store = Store::default();
         let mut leases = ["a/1", "b/1", "c/1"].map(Lease::new);
         let mut asleep = [Duration::ZERO; 3];
-        let mut late: Vec<(Duration, Record, u64)> = Vec::new();
+        let mut late: Vec<(Duration, LeaseRecord, u64)> = Vec::new();
         let mut highest = Fence(0);
         let mut now = Duration::ZERO;
         for (i, fate) in fates {
@@ -188,26 +194,26 @@
             let clock = |i: usize, now: Duration| now + SECOND * offsets[i] as u32;
             let tenths = |n: u16| SECOND / 10 * u32::from(n);
             let lease = &mut leases[i];
-            let turn = lease.turn(clock(i, now));
-            match (turn, fate) {
-                (turn, Fate::Turn) => store.act(lease, turn, clock(i, now)),
-                (turn, Fate::Freeze(n)) => {
-                    store.act(lease, turn, clock(i, now));
+            let action = lease.next_action(clock(i, now));
+            match (action, fate) {
+                (action, Fate::Turn) => store.act(lease, action, clock(i, now)),
+                (action, Fate::Freeze(n)) => {
+                    store.act(lease, action, clock(i, now));
                     asleep[i] = now + tenths(n);
                 }
-                (Turn::Write { record, expected }, Fate::LoseAnswer) => {
+                (LeaseAction::Write { record, expected }, Fate::LoseAnswer) => {
                     store.put(record, expected);
-                    lease.written(Written::Unknown);
+                    lease.handle_write(WriteOutcome::Unknown);
                 }
-                (Turn::Write { record, expected }, Fate::Delay(n)) => {
+                (LeaseAction::Write { record, expected }, Fate::Delay(n)) => {
                     late.push((now + tenths(n), record, expected));
-                    lease.written(Written::Unknown);
+                    lease.handle_write(WriteOutcome::Unknown);
                 }
-                (Turn::Write { .. }, Fate::Down) => lease.written(Written::No),
+                (LeaseAction::Write { .. }, Fate::Down) => lease.handle_write(WriteOutcome::NotWritten),
                 _ => {}
             }
             let held: Vec<Fence> =
-                (0..3).filter_map(|i| leases[i].held(clock(i, now))).collect();
+                (0..3).filter_map(|i| leases[i].fence(clock(i, now))).collect();
             prop_assert!(held.len() <= 1, "{held:?} at {now:?}");
             if let Some(&fence) = held.first() {
                 prop_assert!(highest <= fence, "{fence:?} after {highest:?}");
@@ -222,7 +228,7 @@
 }
 
 /// Four engines that are to go from version 1 to version 2.
-fn four_engines() -> (Revision, BTreeMap<UpstreamName, Observed>) {
+fn four_engines() -> (Revision, BTreeMap<UpstreamName, EngineStatus>) {
     let upstream = |i: usize| {
         let upstream = catalog::upstream(&format!("e{i}"), "here", 8);
         frostdyke::config::Upstream { engine: Some(state("2")), ..upstream }
@@ -230,39 +236,47 @@
     let mut wanted = catalog::catalog(Vec::new(), (0..4).map(upstream).collect());
     wanted.weights.loads_per_minute = 60;
     let observed = |i: usize| {
-        let observed = Observed { state: state("1"), running: 3, ..Observed::default() };
+        let observed = EngineStatus { state: state("1"), running: 3, ..EngineStatus::default() };
         (UpstreamName::from(&*format!("e{i}")), observed)
     };
     (Revision::new(1, wanted).expect("it is valid"), (0..4).map(observed).collect())
 }
 
 /// Does what was ordered, as an engine would; work ends at once, loading takes a turn.
-fn obey(observed: &mut Observed, order: &Order) {
+fn obey(observed: &mut EngineStatus, order: &EngineOrder) {
     match order {
-        Order::Drain => (observed.drained, observed.leaving, observed.running) = (true, true, 0),
-        Order::Load { state } => {
+        EngineOrder::Drain => {
+            (observed.drained, observed.leaving, observed.running) = (true, true, 0)
+        }
+        EngineOrder::Load { state } => {
             assert!(observed.drained && observed.running == 0, "{observed:?}");
             (observed.state, observed.loading) = (state.clone(), true);
         }
-        Order::Undrain => (observed.drained, observed.leaving) = (false, false),
+        EngineOrder::Undrain => (observed.drained, observed.leaving) = (false, false),
     }
 }
 
 #[test]
 fn engines_are_changed_one_after_the_other_and_end_up_in_work() {
     let (cfg, mut observed) = four_engines();
-    let mut weights = Weights::new(Duration::ZERO);
+    let mut load_limiter = LoadRateLimiter::new(Duration::ZERO);
     let mut loads = 0;
     for turn in 1..400 {
         let now = SECOND / 2 * turn;
-        let steps =
-            rollout::steps(&cfg, &"here".into(), &Touched::new(), &observed, &mut weights, now);
+        let steps = rollout::next_steps(
+            &cfg,
+            &"here".into(),
+            &ManagedEngines::new(),
+            &observed,
+            &mut load_limiter,
+            now,
+        );
         let out = observed.values().filter(|o| o.leaving).count();
         assert!(out <= 1, "{out} engines are without work at once");
         observed.values_mut().for_each(|o| o.loading = false);
         for step in steps {
             if let Some(order) = step.order {
-                loads += u32::from(matches!(order, Order::Load { .. }));
+                loads += u32::from(matches!(order, EngineOrder::Load { .. }));
                 obey(observed.get_mut(&step.upstream).expect("it is there"), &order);
             }
         }
@@ -279,14 +293,19 @@
         (o.drained, o.leaving, o.running) = (true, true, 0);
     }
     // After a long time without any load, still one at a time.
-    let mut weights = Weights::new(Duration::ZERO);
+    let mut load_limiter = LoadRateLimiter::new(Duration::ZERO);
     let mut loads = Vec::new();
     for turn in 0..120 {
         let now = 600 * SECOND + SECOND * turn;
-        for step in
-            rollout::steps(&cfg, &"here".into(), &Touched::new(), &observed, &mut weights, now)
-        {
-            if let Some(order @ Order::Load { .. }) = step.order {
+        for step in rollout::next_steps(
+            &cfg,
+            &"here".into(),
+            &ManagedEngines::new(),
+            &observed,
+            &mut load_limiter,
+            now,
+        ) {
+            if let Some(order @ EngineOrder::Load { .. }) = step.order {
                 obey(observed.get_mut(&step.upstream).expect("it is there"), &order);
                 loads.push(turn);
             } else {
@@ -305,12 +324,13 @@
     let mut catalog = cfg.catalog.clone();
     catalog.upstreams.iter_mut().for_each(|u| u.engine = None);
     let cfg = Revision::new(2, catalog).expect("it is valid");
-    obey(observed.get_mut("e1").expect("it is there"), &Order::Drain);
-    let mut weights = Weights::new(Duration::ZERO);
-    let touched = Touched::from(["e1".into()]);
-    let steps = rollout::steps(&cfg, &"here".into(), &touched, &observed, &mut weights, SECOND);
+    obey(observed.get_mut("e1").expect("it is there"), &EngineOrder::Drain);
+    let mut load_limiter = LoadRateLimiter::new(Duration::ZERO);
+    let managed = ManagedEngines::from(["e1".into()]);
+    let steps =
+        rollout::next_steps(&cfg, &"here".into(), &managed, &observed, &mut load_limiter, SECOND);
     assert_eq!(steps.len(), 1, "the others were never touched");
-    assert_eq!(steps[0].order, Some(Order::Undrain));
+    assert_eq!(steps[0].order, Some(EngineOrder::Undrain));
 }
 
 /// The controller that drained it is gone, and what it was drained for, too.
@@ -343,9 +363,15 @@
 fn an_engine_that_gives_no_answer_holds_the_others_up() {
     let (cfg, mut observed) = four_engines();
     observed.remove("e2");
-    let mut weights = Weights::new(Duration::ZERO);
-    let steps =
-        rollout::steps(&cfg, &"here".into(), &Touched::new(), &observed, &mut weights, SECOND);
+    let mut load_limiter = LoadRateLimiter::new(Duration::ZERO);
+    let steps = rollout::next_steps(
+        &cfg,
+        &"here".into(),
+        &ManagedEngines::new(),
+        &observed,
+        &mut load_limiter,
+        SECOND,
+    );
     let stages: Vec<Stage> = steps.iter().map(|s| s.stage).collect();
     let waits = Stage::WaitsForTurn;
     assert_eq!(stages, [waits, waits, Stage::Unreachable, waits]);
--- a/tests/proxy_retry_after.rs
+++ b/tests/proxy_retry_after.rs
@@ -21,7 +21,7 @@
     if let Some(date) = date {
         headers.insert(DATE, HeaderValue::from_str(date).expect("a value"));
     }
-    retry_after::read(&headers, SystemTime::UNIX_EPOCH + NOW)
+    retry_after::from_headers(&headers, SystemTime::UNIX_EPOCH + NOW)
 }
 
 fn seconds(seconds: f64) -> Option<Duration> {
