--- a/src/bin/controller.rs
+++ b/src/bin/controller.rs
@@ -6,7 +6,7 @@
 use frostdyke::config::settings;
 use frostdyke::controller;
 
-const USAGE: &str = "Brings the engines of an availability zone to what the configuration wants.";
+const USAGE: &str = "Rolls out the configured models on the engines of an availability zone.";
 
 fn main() -> ExitCode {
     let opts = cli::options().descr(USAGE).run();
--- a/src/bin/ctl.rs
+++ b/src/bin/ctl.rs
@@ -10,13 +10,13 @@
 use frostdyke::ctl::Error;
 use frostdyke::operator::intent::Intent;
 
-/// The exit code when an input is wrong or refused.
-const BAD_INPUT: u8 = 2;
+/// Exit code for input that is invalid or was rejected.
+const EXIT_INVALID_INPUT: u8 = 2;
 
-/// The exit code when the operator didn't confirm.
-const NOT_CONFIRMED: u8 = 3;
+/// Exit code if the operator did not confirm.
+const EXIT_NOT_CONFIRMED: u8 = 3;
 
-/// Tells the fleet what operators want, and shows how it is.
+/// Changes the configuration of the fleet and shows its state.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 struct Options {
@@ -41,19 +41,19 @@
     /// Show the configuration
     #[bpaf(command)]
     Show,
-    /// Show the state of every box: who waits, and which upstream gets nothing and why
+    /// Show the state of every box: waiting workspaces, and upstreams that get no requests and why
     #[bpaf(command)]
     Status,
-    /// Show what the engines of every zone have loaded, and what they wait for
+    /// Show what the engines of every zone have loaded, and the stage of their changes
     #[bpaf(command)]
     Engines,
     /// Load a model on every engine of a pool, one after the other
     #[bpaf(command)]
     Load {
-        /// An adapter beside it; may stand more than once
+        /// An adapter to load with it; may be given more than once
         #[bpaf(argument("NAME"))]
         adapter: Vec<String>,
-        /// What the engines do for their pool, such as prefill or decode
+        /// The role of the engines in their pool, such as prefill or decode
         #[bpaf(argument("ROLE"), fallback(String::new()))]
         role: String,
         /// The pool
@@ -66,28 +66,28 @@
         #[bpaf(positional("VERSION"))]
         version: String,
     },
-    /// Tell why a request was placed as it was
+    /// Explain why a request was placed as it was
     #[bpaf(command)]
     Explain {
         /// The request's id, from the header frostdyke-request-id
         #[bpaf(positional("REQUEST-ID"))]
         request: String,
     },
-    /// Give an upstream no new work
+    /// Send an upstream no new requests
     #[bpaf(command)]
     Drain {
         /// The upstream
         #[bpaf(positional("UPSTREAM"))]
         upstream: String,
     },
-    /// Give an upstream work again
+    /// Send an upstream requests again
     #[bpaf(command)]
     Undrain {
         /// The upstream
         #[bpaf(positional("UPSTREAM"))]
         upstream: String,
     },
-    /// State the intent in a file
+    /// Submit the intent in a file
     #[bpaf(command)]
     Apply {
         /// The intent (JSON), or - for standard input
@@ -123,8 +123,10 @@
     let Err(e) = result else { return ExitCode::SUCCESS };
     eprintln!("{e}");
     match e {
-        Error::File { .. } | Error::Intent { .. } | Error::Refused(_) => ExitCode::from(BAD_INPUT),
-        Error::NotConfirmed => ExitCode::from(NOT_CONFIRMED),
+        Error::File { .. } | Error::Intent { .. } | Error::Refused(_) => {
+            ExitCode::from(EXIT_INVALID_INPUT)
+        }
+        Error::NotConfirmed => ExitCode::from(EXIT_NOT_CONFIRMED),
         Error::Call(_) => ExitCode::FAILURE,
     }
 }
--- a/src/bin/load.rs
+++ b/src/bin/load.rs
@@ -11,19 +11,19 @@
 use frostdyke::load::compare;
 use frostdyke::load::scenario;
 
-/// Sends callers' traffic and tells what came of it.
+/// Generates callers' traffic and reports the results.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 enum Options {
     /// Run a scenario
     #[bpaf(command)]
     Run {
-        /// Check the scenario and exit: 0 when it is right, 2 when not
+        /// Check the scenario and exit: 0 if it is valid, 2 if not
         check: bool,
-        /// Write the figures to this file, as JSON
+        /// Write the results to this file, as JSON
         #[bpaf(argument("FILE"))]
         json: Option<PathBuf>,
-        /// Draw the service over time into this file, as SVG
+        /// Plot the service over time to this file, as SVG
         #[bpaf(argument("FILE"))]
         plot: Option<PathBuf>,
         /// The scenario (INI)
@@ -40,7 +40,7 @@
         #[bpaf(positional("SCENARIO"))]
         scenario: PathBuf,
     },
-    /// Measure what a router adds to the time of a request
+    /// Measure the latency that a router adds to a request
     #[bpaf(command)]
     Compare {
         /// A router's callers' port
@@ -49,7 +49,7 @@
         /// The upstream's port
         #[bpaf(argument("IP:PORT"))]
         upstream: SocketAddr,
-        /// The service that reaches that upstream
+        /// The service that is routed to that upstream
         #[bpaf(argument("NAME"))]
         service: String,
         /// The path on the upstream
@@ -58,7 +58,7 @@
         /// The workspace to send for; the router must trust the workspace header
         #[bpaf(argument("NAME"))]
         workspace: String,
-        /// Requests each way
+        /// Requests to send to each of the two
         #[bpaf(argument("N"), fallback(1000))]
         requests: u64,
     },
--- a/src/bin/operator.rs
+++ b/src/bin/operator.rs
@@ -7,7 +7,7 @@
 use frostdyke::operator;
 
 const USAGE: &str =
-    "Serves operators: intents, plans and their confirmation, status, explanations.";
+    "Serves the operators' API: intents, plans and their confirmation, status, explanations.";
 
 fn main() -> ExitCode {
     let opts = cli::options().descr(USAGE).run();
--- a/src/bin/router.rs
+++ b/src/bin/router.rs
@@ -6,7 +6,7 @@
 use frostdyke::config::settings;
 use frostdyke::router;
 
-const USAGE: &str = "Serves callers: places their requests on upstreams, fairly among workspaces.";
+const USAGE: &str = "Routes callers' requests to upstreams, fairly among workspaces.";
 
 fn main() -> ExitCode {
     let opts = cli::options().descr(USAGE).run();
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! What all programs do alike on their command line.
+//! Command-line handling shared by all programs.
 
 use std::error::Error;
 use std::path::PathBuf;
@@ -6,21 +6,21 @@
 
 use bpaf::Bpaf;
 
-/// The exit code for settings that are wrong.
-const BAD_SETTINGS: u8 = 2;
+/// Exit code for invalid settings.
+const EXIT_INVALID_SETTINGS: u8 = 2;
 
-/// What a program that serves is told.
+/// Command-line options of a server program.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 pub struct Options {
-    /// Check the settings and exit: 0 when they are right, 2 when not
+    /// Check the settings and exit: 0 if they are valid, 2 if not
     pub check: bool,
     /// The settings file (INI); see docs/OPERATIONS.md
     #[bpaf(positional("SETTINGS"))]
     pub settings: PathBuf,
 }
 
-/// Reads the settings and, unless they are only to be checked, runs the program.
+/// Reads the settings and runs the program, or exits after reading them if `check` is set.
 pub fn run<T, E1: Error, E2: Error>(
     check: bool,
     read: impl FnOnce() -> Result<T, E1>,
@@ -30,11 +30,11 @@
         Ok(settings) => settings,
         Err(e) => {
             eprintln!("{e}");
-            return ExitCode::from(BAD_SETTINGS);
+            return ExitCode::from(EXIT_INVALID_SETTINGS);
         }
     };
     if check {
-        println!("the settings are right");
+        println!("settings are valid");
         return ExitCode::SUCCESS;
     }
     match run(settings) {
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,7 +1,7 @@
-//! Time that goes on while the machine is suspended.
+//! A clock that includes the time for which the machine is suspended.
 //!
-//! The steady clock, and the runtime's timers with it, stand still meanwhile: what a box believed before would look as
-//! fresh when it wakes as if no time had gone by.
+//! The monotonic clock and the runtime's timers stop during a suspension. Measured by them, state
+//! from before the suspension would look current on resume.
 
 use std::fmt;
 use std::sync::Arc;
@@ -12,35 +12,35 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// The clocks differ by this much without a suspension: they are read one after the other, by a thread that may have to
-/// wait between.
-const SUSPENDED_MIN: Duration = Duration::from_millis(50);
+/// Shortest difference between the clocks that counts as a suspension. They are read one after the
+/// other, and the thread may be descheduled in between.
+const SUSPENSION_MIN: Duration = Duration::from_millis(50);
 
-/// Where time comes from.
+/// A source of time.
 pub trait TimeSource: Send + Sync {
-    /// Time since some moment, suspended time included.
+    /// Time since a fixed moment, including time suspended.
     fn now(&self) -> Duration;
 }
 
-/// The time since the machine's start.
+/// The time since boot, including time suspended.
 #[derive(Clone, Copy, Debug)]
 pub struct SinceBoot;
 
 impl TimeSource for SinceBoot {
     fn now(&self) -> Duration {
         let now = clock_gettime(ClockId::CLOCK_BOOTTIME);
-        // Every Linux since 2.6.39 has both.
+        // Linux has both clocks since 2.6.39.
         let now = now.or_else(|_| clock_gettime(ClockId::CLOCK_MONOTONIC));
         now.map(Duration::from).unwrap_or_default()
     }
 }
 
-/// The clock of a process.
+/// A clock that starts at zero when it is made.
 pub struct Clock {
     source: Box<dyn TimeSource>,
     epoch: Duration,
-    /// Sent to when the machine has been suspended.
-    woken: watch::Sender<()>,
+    /// Wakes all sleeps, to check the time again.
+    wake_sender: watch::Sender<()>,
 }
 
 impl fmt::Debug for Clock {
@@ -50,56 +50,59 @@
 }
 
 impl Clock {
-    /// A clock that begins now.
+    /// Starts a clock at zero.
     pub fn new(source: Box<dyn TimeSource>) -> Arc<Clock> {
         let epoch = source.now();
-        Arc::new(Clock { source, epoch, woken: watch::Sender::new(()) })
+        Arc::new(Clock { source, epoch, wake_sender: watch::Sender::new(()) })
     }
 
-    /// Time since the clock began.
+    /// Time since the clock was started.
     pub fn now(&self) -> Duration {
         self.source.now().saturating_sub(self.epoch)
     }
 
-    /// Waits until a time by this clock. The runtime's timers don't count suspended time, so who waits is woken to look
-    /// again by [`Clock::wake`].
+    /// Sleeps until a time of this clock. The runtime's timers don't count suspended time, so
+    /// [`Clock::wake`] makes each sleep check the time again.
     pub async fn sleep_until(self: Arc<Clock>, until: Duration) {
-        let mut woken = self.woken.subscribe();
+        let mut wake = self.wake_sender.subscribe();
         loop {
-            let left = until.saturating_sub(self.now());
-            if left.is_zero() {
+            let remaining = until.saturating_sub(self.now());
+            if remaining.is_zero() {
                 return;
             }
-            // Whichever comes first. The sender is this clock's.
-            let _ = tokio::time::timeout(left, woken.changed()).await;
+            // Either result leads to another check; `changed` can't fail while `self` owns the
+            // sender.
+            let _ = tokio::time::timeout(remaining, wake.changed()).await;
         }
     }
 
-    /// Has all who wait look at the time again.
+    /// Makes all sleeps check the time again, after a suspension.
     pub fn wake(&self) {
-        self.woken.send_replace(());
+        self.wake_sender.send_replace(());
     }
 }
 
-/// Finds out how long the machine was suspended.
+/// Measures how long the machine was suspended.
 #[derive(Debug)]
 pub struct SuspensionMeter {
     clock: Arc<Clock>,
-    at: (Instant, Duration),
+    /// Both clocks at the last measurement.
+    last: (Instant, Duration),
 }
 
 impl SuspensionMeter {
-    /// Begins now.
+    /// Starts to measure now.
     pub fn new(clock: Arc<Clock>) -> SuspensionMeter {
-        let at = (Instant::now(), clock.now());
-        SuspensionMeter { clock, at }
+        let last = (Instant::now(), clock.now());
+        SuspensionMeter { clock, last }
     }
 
-    /// How long the machine was suspended since the last call, if it was.
+    /// Returns how long the machine was suspended since the last call, if it was.
     pub fn suspended(&mut self) -> Option<Duration> {
-        let (then, before) = std::mem::replace(&mut self.at, (Instant::now(), self.clock.now()));
-        let (steady, now) = self.at;
-        let suspended = now.saturating_sub(before).saturating_sub(steady - then);
-        (SUSPENDED_MIN < suspended).then_some(suspended)
+        let (monotonic_before, before) =
+            std::mem::replace(&mut self.last, (Instant::now(), self.clock.now()));
+        let (monotonic, now) = self.last;
+        let suspended = now.saturating_sub(before).saturating_sub(monotonic - monotonic_before);
+        (SUSPENSION_MIN < suspended).then_some(suspended)
     }
 }
--- a/src/controller/engine_api.rs
+++ b/src/controller/engine_api.rs
@@ -1,8 +1,9 @@
-//! Engines as the controller speaks to them, over HTTP by `ureq`.
+//! The HTTP API of engines that the controller uses, by `ureq`.
 //!
-//! - `GET /state` gives `EngineStatus`.
-//! - `PUT /orders` takes a `FencedOrder`: 204 when done or begun, 409 when the engine can't now, 412
-//!   when it checks fences and has seen a greater one.
+//! - `GET /state` returns an [`EngineStatus`].
+//! - `PUT /orders` takes a [`FencedOrder`]. The status is 204 if the order was carried out or
+//!   started, 409 if the engine can't carry it out now, and 412 if it checks fences and has seen a
+//!   greater one.
 
 use std::time::Duration;
 
@@ -17,45 +18,45 @@
 use crate::controller::rollout::EngineStatus;
 use crate::util;
 
-/// How long an engine may take to answer.
+/// Timeout of a call to an engine.
 const TIMEOUT: Duration = Duration::from_millis(500);
 
-/// An order with what tells whether it is still to be done.
+/// An order with the fence of its sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FencedOrder {
-    /// The sender's right to order. An engine that checks it refuses any smaller than one it saw.
+    /// The sender's fence. An engine that checks fences refuses one smaller than it has seen.
     pub fence: Fence,
-    /// The configuration that asks for it.
+    /// The configuration that the order implements.
     pub revision: u64,
-    /// What to do.
+    /// The order itself.
     #[serde(flatten)]
     pub order: EngineOrder,
 }
 
-/// Why an engine didn't do what it was asked for.
+/// Why a call to an engine failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// It can't be reached, or answers what it shouldn't.
-    #[error("the engine can't be reached: {0}")]
+    /// It can't be reached, or its response is invalid.
+    #[error("engine unreachable or response invalid: {0}")]
     Unreachable(String),
-    /// It can't do that now.
-    #[error("the engine can't do that now")]
+    /// It can't carry out the order now.
+    #[error("engine cannot carry out the order now")]
     Busy,
-    /// It was ordered by a later holder of the lease.
-    #[error("the fence is too old")]
+    /// It has received an order from a later holder of the lease.
+    #[error("engine has seen an order with a newer fence")]
     StaleFence,
 }
 
-/// The engines of a zone. All calls block.
+/// Calls to the engines of a zone. All calls block.
 pub trait EngineApi: Send + Sync {
-    /// What an engine says of itself.
+    /// Fetches the status of an engine.
     fn fetch_status(&self, upstream: &Upstream) -> Result<EngineStatus, Error>;
 
-    /// Orders something of an engine. It may have been done though an error is given.
+    /// Sends an order to an engine. It may have been carried out even if an error is returned.
     fn send_order(&self, upstream: &Upstream, order: &FencedOrder) -> Result<(), Error>;
 }
 
-/// Engines over HTTP.
+/// Calls to engines over HTTP.
 #[derive(Clone, Debug)]
 pub struct HttpEngineApi {
     agent: Agent,
@@ -71,14 +72,14 @@
     fn fetch_status(&self, upstream: &Upstream) -> Result<EngineStatus, Error> {
         let url = format!("http://{}/state", upstream.address);
         let mut resp = self.agent.get(url).call().map_err(unreachable)?;
-        let text = resp.body_mut().read_to_vec().map_err(unreachable)?;
-        serde_json::from_slice(&text).map_err(|e| Error::Unreachable(e.to_string()))
+        let body = resp.body_mut().read_to_vec().map_err(unreachable)?;
+        serde_json::from_slice(&body).map_err(|e| Error::Unreachable(e.to_string()))
     }
 
     fn send_order(&self, upstream: &Upstream, order: &FencedOrder) -> Result<(), Error> {
-        let text = serde_json::to_vec(order).expect("orders serialize");
+        let body = serde_json::to_vec(order).expect("orders serialize");
         let url = format!("http://{}/orders", upstream.address);
-        let resp = self.agent.put(url).send(&text).map_err(unreachable)?;
+        let resp = self.agent.put(url).send(&body).map_err(unreachable)?;
         match resp.status() {
             StatusCode::NO_CONTENT => Ok(()),
             StatusCode::CONFLICT => Err(Error::Busy),
--- a/src/controller/lease.rs
+++ b/src/controller/lease.rs
@@ -1,13 +1,14 @@
-//! A lease kept in one object of the platform. Pure: the time and the store's answers come in, what
-//! to ask of the store goes out.
+//! A lease kept in one object of the platform. Does no I/O: the caller passes in the time and the
+//! store's responses and carries out the [`LeaseAction`] returned.
 //!
-//! Nobody compares clocks. The holder counts its lease from the moment it SENT the update that
-//! renewed it; a challenger counts from the moment it first READ a version, which is later, and takes
-//! the lease over when that version has stood for longer than the lease lasts. The object's version
-//! at which a holder took the lease is its *fence*: every later holder's is greater.
+//! Clocks of different boxes are never compared. The holder measures its lease from the moment it
+//! SENT the update that renewed it; a challenger measures from the moment it first READ a version,
+//! which is later, and takes the lease over once that version has been unchanged for longer than
+//! [`TTL`]. The object's version at which a holder took the lease is its *fence* (fencing token):
+//! that of every later holder is greater.
 //!
-//! A holder that is frozen between looking at its lease and acting can still act late. Upstreams that
-//! check the fence refuse that; to the others only what converges may be ordered.
+//! A holder that is suspended between checking its lease and acting can still act late. Upstreams
+//! that check the fence refuse such orders; others may only be sent orders that converge.
 
 use std::time::Duration;
 
@@ -17,37 +18,39 @@
 /// How long a lease lasts after the update that renewed it was sent.
 pub const TTL: Duration = Duration::from_secs(10);
 
-/// A holder stops to act this much before its lease ends, and a challenger waits this much longer:
-/// steady clocks differ in speed, though little.
-const MARGIN: Duration = Duration::from_millis(500);
+/// A holder stops acting this long before its lease ends, and a challenger waits this much longer,
+/// since monotonic clocks run at slightly different speeds.
+const CLOCK_DRIFT_MARGIN: Duration = Duration::from_millis(500);
 
-/// A holder renews after this share of the lease, so that it can try three times.
+/// A holder renews this long after the last renewal, which leaves time for three attempts.
 const RENEW_AFTER: Duration = Duration::from_secs(3);
 
-/// How often a challenger reads.
-const READ_EVERY: Duration = Duration::from_secs(3);
+/// Interval between reads of a challenger.
+const READ_INTERVAL: Duration = Duration::from_secs(3);
 
-/// What the lease's object holds.
+/// The content of the lease's object.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// Who holds it: one start of one process.
+    /// The holder: one run of one process.
     pub holder: String,
-    /// Which of its writes this is. No two are alike, so one that is read back is told from an
-    /// earlier one that came late.
-    pub write: u64,
-    /// Whether its holder has given it up.
-    pub free: bool,
+    /// Number of this write of the holder. It is unique, so that a record read back can be told
+    /// from an earlier write that took effect late.
+    #[serde(rename = "write")]
+    pub write_number: u64,
+    /// Whether the holder has released the lease.
+    #[serde(rename = "free")]
+    pub released: bool,
 }
 
-/// The right to act that a lease gives; greater than that of any earlier holder.
+/// The fencing token of a lease's holder; greater than that of any earlier holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Fence(pub u64);
 
-/// What to ask of the store.
+/// The store operation to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseAction {
-    /// Nothing now.
+    /// None now.
     Wait,
     /// Read the object.
     Read,
@@ -55,89 +58,98 @@
     Write { record: LeaseRecord, expected: u64 },
 }
 
-/// How a write ended.
+/// The outcome of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It took effect and gave this version.
+    /// It took effect and created this version.
     Written(u64),
-    /// It had no effect, since somebody else has written.
+    /// It had no effect, since another process has written.
     Conflict,
-    /// It had no effect, since the store can't be reached.
+    /// It had no effect, since the store is unreachable.
     NotWritten,
     /// It may have taken effect.
     Unknown,
 }
 
-/// One process's part in a lease.
+/// The state of one process that holds or seeks the lease.
 #[derive(Debug)]
 pub struct Lease {
-    me: String,
-    writes: u64,
-    seen: Option<Seen>,
-    held: Option<Held>,
-    /// An update whose answer isn't known.
-    pending: Option<Pending>,
-    read_at: Option<Duration>,
+    holder: String,
+    write_count: u64,
+    observed: Option<ObservedVersion>,
+    held: Option<HeldLease>,
+    /// A write whose outcome isn't known yet.
+    pending: Option<PendingWrite>,
+    last_read_at: Option<Duration>,
 }
 
-/// The version that was read last, and since when it stands, as far as this process knows.
+/// The version that was read last, and when this process first read it.
 #[derive(Debug)]
-struct Seen {
+struct ObservedVersion {
     version: u64,
-    free: bool,
-    since: Duration,
+    released: bool,
+    first_read_at: Duration,
 }
 
 #[derive(Debug)]
-struct Held {
+struct HeldLease {
     fence: Fence,
     version: u64,
-    /// When the update that the lease counts from was sent.
-    since: Duration,
+    /// When the update that last renewed the lease was sent.
+    renewed_at: Duration,
 }
 
 #[derive(Debug)]
-struct Pending {
+struct PendingWrite {
     record: LeaseRecord,
-    /// Whether it renews, rather than takes.
-    renews: bool,
-    sent: Duration,
-    lost: bool,
+    /// Whether it renews a held lease rather than acquiring it.
+    is_renewal: bool,
+    sent_at: Duration,
+    /// Whether the store's response was lost, so that the object must be read.
+    response_lost: bool,
 }
 
 impl Lease {
-    /// A lease that isn't held. `me` must name this one start of this one process.
-    pub fn new(me: &str) -> Lease {
-        let me = me.to_owned();
-        Lease { me, writes: 0, seen: None, held: None, pending: None, read_at: None }
+    /// Returns a lease that isn't held yet. `holder` must identify this run of this process.
+    pub fn new(holder: &str) -> Lease {
+        let holder = holder.to_owned();
+        Lease {
+            holder,
+            write_count: 0,
+            observed: None,
+            held: None,
+            pending: None,
+            last_read_at: None,
+        }
     }
 
-    /// The fence, while the lease is held. Look right before each act.
+    /// Returns the fence while the lease is held. Callers check it immediately before each action.
     pub fn fence(&self, now: Duration) -> Option<Fence> {
         let held = self.held.as_ref()?;
-        (now < held.since + TTL - MARGIN).then_some(held.fence)
+        (now < held.renewed_at + TTL - CLOCK_DRIFT_MARGIN).then_some(held.fence)
     }
 
-    /// What to ask of the store now. The answer must be told before the next turn.
+    /// Returns the store operation to carry out now. Its result must be passed to
+    /// [`Lease::handle_read`] or [`Lease::handle_write`] before the next call.
     pub fn next_action(&mut self, now: Duration) -> LeaseAction {
         if self.held.is_some() && self.fence(now).is_none() {
             self.held = None;
-            self.seen = None;
+            self.observed = None;
         }
-        if self.pending.as_ref().is_some_and(|p| p.lost) {
+        if self.pending.as_ref().is_some_and(|p| p.response_lost) {
             return LeaseAction::Read;
         }
         match &self.held {
-            Some(held) if now < held.since + RENEW_AFTER => LeaseAction::Wait,
+            Some(held) if now < held.renewed_at + RENEW_AFTER => LeaseAction::Wait,
             Some(held) => {
                 let expected = held.version;
                 self.write(true, false, expected, now)
             }
-            None => self.challenge(now),
+            None => self.try_acquire(now),
         }
     }
 
-    /// Gives the lease up, if it is held.
+    /// Releases the lease if it is held.
     pub fn release(&mut self, now: Duration) -> LeaseAction {
         let held = self.held.take();
         match held {
@@ -146,68 +158,83 @@
         }
     }
 
-    /// Takes in what was read: the version with its record, or nothing where there is no object.
+    /// Handles the result of a read: the version with its record, or `None` if there is no object.
     pub fn handle_read(&mut self, object: Option<(u64, &LeaseRecord)>, now: Duration) {
-        self.read_at = Some(now);
+        self.last_read_at = Some(now);
         let version = object.map_or(0, |(version, _)| version);
-        let free = object.is_none_or(|(_, r)| r.free);
+        let released = object.is_none_or(|(_, r)| r.released);
         if let Some(pending) = self.pending.take()
             && object.is_some_and(|(_, r)| *r == pending.record)
         {
-            // The lost answer was good news.
-            self.wrote(&pending, version);
+            // The write whose response was lost has taken effect.
+            self.complete_write(&pending, version);
             return;
         }
         if self.held.as_ref().is_some_and(|held| held.version == version) {
             return;
         }
         self.held = None;
-        if self.seen.as_ref().is_none_or(|seen| seen.version != version) {
-            self.seen = Some(Seen { version, free, since: now });
+        if self.observed.as_ref().is_none_or(|observed| observed.version != version) {
+            self.observed = Some(ObservedVersion { version, released, first_read_at: now });
         }
     }
 
-    /// Takes in how the write ended that the last turn asked for.
-    pub fn handle_write(&mut self, written: WriteOutcome) {
+    /// Handles the outcome of the write that was returned last.
+    pub fn handle_write(&mut self, outcome: WriteOutcome) {
         let Some(pending) = self.pending.take() else { return };
-        match written {
-            WriteOutcome::Written(version) => self.wrote(&pending, version),
+        match outcome {
+            WriteOutcome::Written(version) => self.complete_write(&pending, version),
             WriteOutcome::Conflict => {
                 self.held = None;
-                self.seen = None;
+                self.observed = None;
             }
             WriteOutcome::NotWritten => {}
-            WriteOutcome::Unknown => self.pending = Some(Pending { lost: true, ..pending }),
+            WriteOutcome::Unknown => {
+                self.pending = Some(PendingWrite { response_lost: true, ..pending })
+            }
         }
     }
 
-    fn challenge(&mut self, now: Duration) -> LeaseAction {
-        if let Some(seen) = &self.seen
-            && (seen.free || seen.since + TTL + MARGIN <= now)
+    fn try_acquire(&mut self, now: Duration) -> LeaseAction {
+        if let Some(observed) = &self.observed
+            && (observed.released || observed.first_read_at + TTL + CLOCK_DRIFT_MARGIN <= now)
         {
-            let expected = seen.version;
+            let expected = observed.version;
             return self.write(false, false, expected, now);
         }
-        match self.read_at {
-            Some(at) if self.seen.is_some() && now < at + READ_EVERY => LeaseAction::Wait,
+        match self.last_read_at {
+            Some(at) if self.observed.is_some() && now < at + READ_INTERVAL => LeaseAction::Wait,
             _ => LeaseAction::Read,
         }
     }
 
-    fn write(&mut self, renews: bool, free: bool, expected: u64, now: Duration) -> LeaseAction {
-        self.writes += 1;
-        let record = LeaseRecord { holder: self.me.clone(), write: self.writes, free };
-        self.pending = Some(Pending { record: record.clone(), renews, sent: now, lost: false });
+    fn write(
+        &mut self,
+        is_renewal: bool,
+        released: bool,
+        expected: u64,
+        now: Duration,
+    ) -> LeaseAction {
+        self.write_count += 1;
+        let record =
+            LeaseRecord { holder: self.holder.clone(), write_number: self.write_count, released };
+        self.pending = Some(PendingWrite {
+            record: record.clone(),
+            is_renewal,
+            sent_at: now,
+            response_lost: false,
+        });
         LeaseAction::Write { record, expected }
     }
 
-    fn wrote(&mut self, pending: &Pending, version: u64) {
-        self.seen = None;
-        let before = self.held.take();
-        if pending.record.free {
+    fn complete_write(&mut self, pending: &PendingWrite, version: u64) {
+        self.observed = None;
+        let previous = self.held.take();
+        if pending.record.released {
             return;
         }
-        let fence = before.filter(|_| pending.renews).map_or(Fence(version), |held| held.fence);
-        self.held = Some(Held { fence, version, since: pending.sent });
+        let fence =
+            previous.filter(|_| pending.is_renewal).map_or(Fence(version), |held| held.fence);
+        self.held = Some(HeldLease { fence, version, renewed_at: pending.sent_at });
     }
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,5 +1,5 @@
-//! The controller: brings the engines of its availability zone to what the configuration wants. One
-//! per box; the one that holds the zone's lease acts.
+//! The controller: brings the engines of its availability zone to the configured state. Each box
+//! runs one; only the one that holds the zone's lease acts.
 
 pub mod engine_api;
 pub mod lease;
@@ -49,44 +49,45 @@
 use crate::stop::Signals;
 use crate::util;
 
-/// Time between two looks at the engines that are being changed.
-const LOOK: Duration = Duration::from_millis(500);
+/// Interval between polls of the engines that are being changed.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time between two looks at all engines while the configuration stays the same.
-const LOOK_AT_ALL: Duration = Duration::from_secs(10);
+/// Interval between polls of all engines while the configuration is unchanged.
+const FULL_POLL_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Engines asked at the same time.
-const AT_ONCE: usize = 16;
+/// Engines polled concurrently.
+const CONCURRENT_POLLS_MAX: usize = 16;
 
-/// How long a call to the store may take: short beside the lease.
+/// Timeout of a call to the store: short compared to the lease.
 const STORE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why a controller can't run.
+/// An error that ends the controller.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A socket, a signal or the runtime can't be had.
+    /// Opening a socket, installing signal handlers or starting the runtime failed.
     #[error("{what}: {source}")]
     Io { what: &'static str, source: io::Error },
-    /// The metrics can't be had.
+    /// Setting up the metrics failed.
     #[error(transparent)]
     Metrics(#[from] metrics::Error),
 }
 
-/// Runs a controller until it is told to stop; then it gives its lease up.
+/// Runs a controller until a shutdown signal arrives; then it releases its lease.
 pub fn run(cfg: settings::Controller) -> Result<(), Error> {
     let io = |what| move |source| Error::Io { what, source };
     let runtime = Builder::new_multi_thread().worker_threads(1).enable_all().build();
     let runtime = runtime.map_err(io("starting the runtime"))?;
     let result = runtime.block_on(async {
         let mut signals = Signals::new().map_err(io("signals"))?;
-        let page = TcpListener::bind(cfg.metrics).await.map_err(io("[listen] metrics"))?;
+        let metrics_listener =
+            TcpListener::bind(cfg.metrics).await.map_err(io("[listen] metrics"))?;
         let (log, _guard) = log::open(&cfg.log, "frostdyke-controller", &cfg.identity.name);
         let metrics = Metrics::new()?;
         let lease_manager = start(&cfg, &metrics, &log);
-        tokio::spawn(metrics.serve(page));
+        tokio::spawn(metrics.serve(metrics_listener));
         signals.next().await;
         info!(log, "stopping");
-        // The store may hang; the lease then runs out by itself.
+        // If the store hangs, the lease expires by itself.
         let _ = tokio::task::spawn_blocking(move || lease_manager.release()).await;
         Ok(())
     });
@@ -99,38 +100,40 @@
     metrics.register_store_calls(client.calls());
     let zone = cfg.identity.zone.clone();
     let object = format!("frostdyke/leases/controller/{zone}");
-    let me = format!("{}/{}", cfg.identity.name, util::new_incarnation());
-    let lease_manager = LeaseManager::start(client.clone(), &object, &me, log.clone());
-    let (shown, revision) =
+    let holder = format!("{}/{}", cfg.identity.name, util::new_incarnation());
+    let lease_manager = LeaseManager::start(client.clone(), &object, &holder, log.clone());
+    let (gauge_manager, revision) =
         (lease_manager.clone(), Arc::new(Mutex::new(Arc::new(Revision::default()))));
     metrics.register_gauge("frostdyke_lease_held", move || {
-        vec![(f64::from(u8::from(shown.fence().is_some())), Vec::new())]
+        vec![(f64::from(u8::from(gauge_manager.fence().is_some())), Vec::new())]
+    });
+    let (latest, watch_log) = (revision.clone(), log.clone());
+    platform::watch::configuration(client.clone(), move |update| {
+        handle_update(&latest, update, &watch_log)
     });
-    let (latest, told) = (revision.clone(), log.clone());
-    platform::watch::configuration(client.clone(), move |news| take_in(&latest, news, &told));
     let mut controller = Controller {
-        me: cfg.identity.clone(),
+        identity: cfg.identity.clone(),
         objects: client,
         engine_api: Box::new(HttpEngineApi::default()),
         lease_manager: lease_manager.clone(),
         reports: ReportWriter::default(),
-        tenure: None,
+        term: None,
         metrics: metrics.clone(),
         log: log.clone(),
     };
     thread::spawn(move || {
-        let epoch = Instant::now();
+        let started_at = Instant::now();
         loop {
             let revision = revision.lock().expect("no panic under lock").clone();
-            controller.round(&revision, epoch.elapsed());
-            thread::sleep(LOOK);
+            controller.reconcile(&revision, started_at.elapsed());
+            thread::sleep(POLL_INTERVAL);
         }
     });
     lease_manager
 }
 
-fn take_in(latest: &Mutex<Arc<Revision>>, news: News, log: &Logger) {
-    match news {
+fn handle_update(latest: &Mutex<Arc<Revision>>, update: News, log: &Logger) {
+    match update {
         News::Configuration { version, revision } => match *revision {
             Ok(revision) => {
                 let mut latest = latest.lock().expect("no panic under lock");
@@ -144,137 +147,139 @@
                 warn!(log, "configuration refused"; "revision" => version, "fault" => fault);
             }
         },
-        News::Reach(Some(e)) => warn!(log, "platform lost"; "error" => %e),
-        News::Reach(None) => info!(log, "platform back"),
+        News::Reach(Some(e)) => warn!(log, "platform unreachable"; "error" => %e),
+        News::Reach(None) => info!(log, "platform reachable again"),
         News::Boxes(_) => {}
     }
 }
 
 struct Controller {
-    me: settings::Box,
+    identity: settings::Box,
     objects: Arc<dyn Objects>,
     engine_api: Box<dyn EngineApi>,
     lease_manager: Arc<LeaseManager>,
     reports: ReportWriter,
-    tenure: Option<Tenure>,
+    term: Option<LeaseTerm>,
     metrics: Metrics,
     log: Logger,
 }
 
-/// What is known for as long as the lease is held under one fence.
-struct Tenure {
+/// State of the controller while it holds the lease under one fence.
+struct LeaseTerm {
     fence: Fence,
     load_limiter: LoadRateLimiter,
     managed: ManagedEngines,
-    /// What the engines said last.
+    /// The last status of each engine that responded.
     observed: BTreeMap<UpstreamName, EngineStatus>,
-    /// Those that are being changed now.
-    moving: BTreeSet<UpstreamName>,
-    /// When all were looked at, and for which configuration.
-    looked: Option<(Duration, u64)>,
+    /// Engines that are being changed.
+    in_progress: BTreeSet<UpstreamName>,
+    /// When all engines were last polled, and for which configuration.
+    last_full_poll: Option<(Duration, u64)>,
 }
 
-impl Tenure {
-    /// Whether it is time to look at all engines.
-    fn is_due(&self, revision: u64, now: Duration) -> bool {
-        self.looked.is_none_or(|(at, seen)| seen != revision || at + LOOK_AT_ALL <= now)
+impl LeaseTerm {
+    /// Whether all engines are to be polled now.
+    fn is_full_poll_due(&self, revision: u64, now: Duration) -> bool {
+        self.last_full_poll
+            .is_none_or(|(at, polled)| polled != revision || at + FULL_POLL_INTERVAL <= now)
     }
 }
 
 impl Controller {
-    /// Looks at the engines, orders what is next, and reports. Does nothing without the lease.
-    fn round(&mut self, cfg: &Revision, now: Duration) {
-        let Some(mut tenure) = self.lease_manager.fence().and_then(|fence| self.tenure(fence, now))
+    /// Polls the engines, sends the next orders, and reports. Does nothing without the lease.
+    fn reconcile(&mut self, cfg: &Revision, now: Duration) {
+        let Some(mut term) = self.lease_manager.fence().and_then(|fence| self.term_for(fence, now))
         else {
-            self.tenure = None;
+            self.term = None;
             return;
         };
-        let (fence, zone) = (tenure.fence, self.me.zone.clone());
-        if !self.look(cfg, &mut tenure, now) {
-            self.tenure = Some(tenure);
+        let (fence, zone) = (term.fence, self.identity.zone.clone());
+        if !self.refresh_statuses(cfg, &mut term, now) {
+            self.term = Some(term);
             return;
         }
-        let Tenure { load_limiter, managed, observed, .. } = &mut tenure;
+        let LeaseTerm { load_limiter, managed, observed, .. } = &mut term;
         let steps = rollout::next_steps(cfg, &zone, managed, observed, load_limiter, now);
-        tenure.moving =
+        term.in_progress =
             steps.iter().filter(|s| s.is_in_progress()).map(|s| s.upstream.clone()).collect();
         let mut engines = Vec::with_capacity(steps.len());
         for step in &steps {
-            tenure.managed.insert(step.upstream.clone());
-            let error = self.order(cfg, fence, step);
-            let seen = tenure.observed.get(&step.upstream);
+            term.managed.insert(step.upstream.clone());
+            let error = self.send_order(cfg, fence, step);
+            let status = term.observed.get(&step.upstream);
             engines.push(EngineReport {
                 upstream: step.upstream.clone(),
                 stage: step.stage,
-                state: seen.map(|o| o.state.clone()),
-                running: seen.map_or(0, |o| o.running),
+                state: status.map(|s| s.state.clone()),
+                running: status.map_or(0, |s| s.running),
                 error,
             });
         }
-        self.tenure = Some(tenure);
+        self.term = Some(term);
         if engines.is_empty() || self.lease_manager.fence() != Some(fence) {
             return;
         }
-        let (holder, revision) = (self.me.name.clone(), cfg.number);
+        let (holder, revision) = (self.identity.name.clone(), cfg.number);
         self.reports.write(&*self.objects, Report { zone, holder, fence, revision, engines });
     }
 
-    /// What is known under this fence. A new holder learns from the last report which engines its
-    /// predecessors have managed; nothing while that can't be read.
-    fn tenure(&mut self, fence: Fence, now: Duration) -> Option<Tenure> {
-        if let Some(tenure) = self.tenure.take().filter(|t| t.fence == fence) {
-            return Some(tenure);
+    /// Returns the state for this fence. A new holder learns from the last report which engines
+    /// earlier holders have managed; `None` while that report can't be read.
+    fn term_for(&mut self, fence: Fence, now: Duration) -> Option<LeaseTerm> {
+        if let Some(term) = self.term.take().filter(|t| t.fence == fence) {
+            return Some(term);
         }
-        let last = report::read(&*self.objects, &self.me.zone).ok()?;
+        let last = report::read(&*self.objects, &self.identity.zone).ok()?;
         let engines = last.into_iter().flat_map(|report| report.engines);
         let managed = engines.map(|engine| engine.upstream).collect();
-        Some(Tenure {
+        Some(LeaseTerm {
             fence,
             load_limiter: LoadRateLimiter::new(now),
             managed,
             observed: BTreeMap::new(),
-            moving: BTreeSet::new(),
-            looked: None,
+            in_progress: BTreeSet::new(),
+            last_full_poll: None,
         })
     }
 
-    /// Asks the engines that are being changed, and now and then all; false when there is none to
-    /// ask. Asking 300 engines twice a second took a quarter of a core.
-    fn look(&self, cfg: &Revision, tenure: &mut Tenure, now: Duration) -> bool {
-        let all = tenure.is_due(cfg.number, now);
-        let engines = rollout::engines_to_manage(cfg, &self.me.zone, &tenure.managed);
-        let asked: Vec<&Upstream> =
-            engines.filter(|u| all || tenure.moving.contains(&u.name)).collect();
-        if all {
-            tenure.looked = Some((now, cfg.number));
+    /// Polls the engines that are being changed, and all of them at longer intervals, since polling
+    /// 300 engines twice a second takes a quarter of a core. Returns whether any was polled.
+    fn refresh_statuses(&self, cfg: &Revision, term: &mut LeaseTerm, now: Duration) -> bool {
+        let poll_all = term.is_full_poll_due(cfg.number, now);
+        let engines = rollout::engines_to_manage(cfg, &self.identity.zone, &term.managed);
+        let polled: Vec<&Upstream> =
+            engines.filter(|u| poll_all || term.in_progress.contains(&u.name)).collect();
+        if poll_all {
+            term.last_full_poll = Some((now, cfg.number));
         }
-        for upstream in &asked {
-            tenure.observed.remove(&upstream.name);
+        for upstream in &polled {
+            term.observed.remove(&upstream.name);
         }
-        tenure.observed.extend(self.observe(&asked));
-        !asked.is_empty()
+        term.observed.extend(self.fetch_statuses(&polled));
+        !polled.is_empty()
     }
 
-    /// What engines say of themselves, those that answer.
-    fn observe(&self, asked: &[&Upstream]) -> BTreeMap<UpstreamName, EngineStatus> {
+    /// Fetches the statuses of engines; those that don't respond are left out.
+    fn fetch_statuses(&self, upstreams: &[&Upstream]) -> BTreeMap<UpstreamName, EngineStatus> {
         let mut observed = BTreeMap::new();
-        for some in asked.chunks(AT_ONCE) {
-            let answers: Vec<_> = thread::scope(|scope| {
-                let mut asked = Vec::with_capacity(some.len());
-                for &upstream in some {
-                    let ask = || (upstream.name.clone(), self.engine_api.fetch_status(upstream));
-                    asked.push(scope.spawn(ask));
+        for chunk in upstreams.chunks(CONCURRENT_POLLS_MAX) {
+            let results: Vec<_> = thread::scope(|scope| {
+                let mut threads = Vec::with_capacity(chunk.len());
+                for &upstream in chunk {
+                    let fetch = || (upstream.name.clone(), self.engine_api.fetch_status(upstream));
+                    threads.push(scope.spawn(fetch));
                 }
-                asked.into_iter().map(|a| a.join().expect("asking doesn't panic")).collect()
+                threads.into_iter().map(|t| t.join().expect("polling doesn't panic")).collect()
             });
-            let good = answers.into_iter().filter_map(|(name, answer)| Some((name, answer.ok()?)));
+            let good = results.into_iter().filter_map(|(name, result)| Some((name, result.ok()?)));
             observed.extend(good);
         }
         observed
     }
 
-    /// Gives one order, if there is one and the lease is still held. Gives why it wasn't done.
-    fn order(&self, cfg: &Revision, fence: Fence, step: &Step) -> Option<String> {
+    /// Sends the order of a step, if there is one and the lease is still held. Returns the error if
+    /// it failed.
+    fn send_order(&self, cfg: &Revision, fence: Fence, step: &Step) -> Option<String> {
         let order = step.order.clone()?;
         let upstream = cfg.upstream(&step.upstream)?;
         if self.lease_manager.fence() != Some(fence) {
@@ -283,8 +288,8 @@
         let fenced = FencedOrder { fence, revision: cfg.number, order };
         let result = self.engine_api.send_order(upstream, &fenced);
         let error = result.err().map(|e| e.to_string());
-        // The users ask for a line for each placement decision: this places models on engines.
-        info!(self.log, "ordered";
+        // Each placement decision must be logged; this one places models on engines.
+        info!(self.log, "sent order to engine";
             "upstream" => %step.upstream,
             "order" => ?fenced.order,
             "fence" => fence.0,
--- a/src/controller/report.rs
+++ b/src/controller/report.rs
@@ -1,4 +1,4 @@
-//! What the controller of a zone tells operators, in one object of the platform.
+//! The report of a zone's controller to operators, in one object of the platform.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -12,49 +12,49 @@
 use crate::platform::Error;
 use crate::platform::Objects;
 
-/// The engines of one zone, as its controller saw them last.
+/// The engines of one zone, as its controller last observed them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Which zone.
+    /// The zone.
     pub zone: ZoneName,
-    /// The box whose controller acts.
+    /// The box whose controller holds the lease.
     pub holder: BoxName,
-    /// Its fence.
+    /// The fence of its lease.
     pub fence: Fence,
-    /// The configuration it goes by.
+    /// The revision of the configuration that it applies.
     pub revision: u64,
-    /// The engines that the configuration wants something of.
+    /// The engines that the controller manages.
     pub engines: Vec<EngineReport>,
 }
 
-/// One engine.
+/// The state of one engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineReport {
-    /// Which.
+    /// The engine.
     pub upstream: UpstreamName,
-    /// Where it stands on its way to what is wanted.
+    /// Its stage on the way to the configured state.
     pub stage: Stage,
-    /// What it has loaded, if it answers.
+    /// The model that it has loaded, if it responds.
     pub state: Option<EngineState>,
     /// Requests that run there.
     pub running: u32,
-    /// Why it didn't do what it was ordered last, if it didn't.
+    /// Why its last order failed, if it did.
     pub error: Option<String>,
 }
 
-/// The object that holds a zone's report.
+/// Returns the name of the object that holds a zone's report.
 pub fn object_name(zone: &ZoneName) -> String {
     format!("frostdyke/engines/{zone}")
 }
 
-/// Reads a zone's report; nothing where none was written.
+/// Reads a zone's report; `None` if none was written.
 pub fn read(objects: &dyn Objects, zone: &ZoneName) -> Result<Option<Report>, Error> {
     let Some(object) = objects.get(&object_name(zone))? else { return Ok(None) };
     let report = serde_json::from_slice(&object.value);
     report.map(Some).map_err(|e| Error::Unexpected(e.to_string()))
 }
 
-/// Writes reports when they change, with as few calls as that takes.
+/// Writes reports when they change, with as few calls as possible.
 #[derive(Debug, Default)]
 pub struct ReportWriter {
     last: Option<Report>,
@@ -62,7 +62,8 @@
 }
 
 impl ReportWriter {
-    /// Writes a report unless it is the one written last. A failure is made up for next time.
+    /// Writes a report unless it equals the last one written. After a failure the next call writes
+    /// again.
     pub fn write(&mut self, objects: &dyn Objects, report: Report) {
         if self.last.as_ref() == Some(&report) {
             return;
@@ -76,7 +77,7 @@
             },
         };
         let value = serde_json::to_vec(&report).expect("reports serialize");
-        // Whatever went wrong, the version is read again: another holder may have written.
+        // After any error the version is read again, since another holder may have written.
         self.version = objects.put(&name, &value, expected).ok();
         self.last = self.version.map(|_| report);
     }
--- a/src/controller/rollout.rs
+++ b/src/controller/rollout.rs
@@ -1,10 +1,10 @@
-//! What to order of the engines of one availability zone, so that each comes to be as the
-//! configuration wants it. Pure.
+//! Decides the orders that bring the engines of one availability zone to the configured state. Does
+//! no I/O.
 //!
-//! An engine is changed in three steps: it is ordered to take no new work, which the routers hear
-//! from its own health answer; when nothing runs there, it is ordered to load; when it has, it takes
-//! work again. Each look at the engines gives the next step of each, so a step that was lost, doubled
-//! or done by an earlier holder of the lease is no matter.
+//! An engine is changed in three steps: it is drained, which the routers learn from its health
+//! response; once no request runs there, it is ordered to load; once it has loaded, it is
+//! undrained. Each poll of the engines determines the next step of each from its current status, so
+//! a step may be lost, repeated, or done by an earlier holder of the lease.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -22,96 +22,98 @@
 
 const MINUTE: Duration = Duration::from_secs(60);
 
-/// What an engine says of itself.
+/// The status that an engine reports.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct EngineStatus {
-    /// What it has loaded.
+    /// The model that it has loaded.
     pub state: EngineState,
-    /// Whether it is loading now.
+    /// Whether it is loading a model now.
     pub loading: bool,
-    /// Whether an order keeps new work from it.
+    /// Whether an order has drained it.
     pub drained: bool,
-    /// Whether it takes no new work, for whatever cause.
+    /// Whether it takes no new requests, for any reason.
     pub leaving: bool,
-    /// Requests that run there, whoever sent them.
+    /// Requests that run there, from all senders.
     pub running: u32,
 }
 
-/// An order to an engine. Doing it twice, or after a later one, does no harm that the next look
-/// doesn't mend: an engine refuses to load while it takes work or has any.
+/// An order to an engine. Orders may be applied twice or out of sequence: an engine refuses to load
+/// unless it is drained and idle, and the next poll corrects the rest.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "order", rename_all = "kebab-case")]
 pub enum EngineOrder {
-    /// Take no new work.
+    /// Take no new requests.
     Drain,
-    /// Load this, in place of what is there.
+    /// Load this model in place of the current one.
     Load { state: EngineState },
-    /// Take work again.
+    /// Take requests again.
     Undrain,
 }
 
-/// Where an engine stands on its way to what the configuration wants.
+/// The stage of an engine on the way to its configured state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Stage {
-    /// It is as wanted.
+    /// It is in the configured state.
     Ready,
-    /// As many of its pool as may are out of work.
+    /// It isn't drained yet: as many engines of its pool are unavailable as may be.
     WaitsForTurn,
-    /// It ends what runs there.
+    /// It is drained and completes its running requests.
     Drains,
-    /// As many loads as the weight store allows were begun.
+    /// It is drained and waits until the weight store allows another load.
     WaitsForWeights,
-    /// It loads.
+    /// It loads a model.
     Loads,
-    /// It gives no answer.
+    /// It does not respond.
     Unreachable,
 }
 
-/// What was decided for one engine.
+/// The decision for one engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Step {
-    /// Which engine.
+    /// The engine.
     pub upstream: UpstreamName,
-    /// Where it stands.
+    /// Its current stage.
     pub stage: Stage,
-    /// What to order of it now.
+    /// The order to send now, if any.
     pub order: Option<EngineOrder>,
 }
 
 impl Step {
-    /// Whether the engine is being changed now, so that it is worth another look soon.
+    /// Whether the engine is being changed, so that it should be polled again soon.
     pub fn is_in_progress(&self) -> bool {
         self.order.is_some() || !matches!(self.stage, Stage::Ready | Stage::WaitsForTurn)
     }
 }
 
-/// Loads that the weight store allows this zone: one at a time, evenly spaced.
+/// Limits the loads of this zone to what the weight store allows: one at a time, evenly spaced.
 #[derive(Debug)]
 pub struct LoadRateLimiter {
-    last: Duration,
+    last_load_at: Duration,
 }
 
 impl LoadRateLimiter {
-    /// Counts from now on, since the lease's earlier holder may just have begun a load.
+    /// Delays the first load by a whole interval, since the lease's previous holder may have
+    /// started one just now.
     pub fn new(now: Duration) -> LoadRateLimiter {
-        LoadRateLimiter { last: now }
+        LoadRateLimiter { last_load_at: now }
     }
 
-    fn try_acquire(&mut self, every: Duration, now: Duration) -> bool {
-        if now < self.last + every {
+    fn try_acquire(&mut self, interval: Duration, now: Duration) -> bool {
+        if now < self.last_load_at + interval {
             return false;
         }
-        self.last = now;
+        self.last_load_at = now;
         true
     }
 }
 
-/// Engines that were ordered something, by this controller or the lease's earlier holders.
+/// Engines that this controller or earlier holders of the lease have handled, and may have drained.
 pub type ManagedEngines = BTreeSet<UpstreamName>;
 
-/// The next step of each engine of a zone that is to be changed, or may be in the middle of it.
+/// Returns the next step of each engine of a zone that is to be changed, or whose change may be
+/// incomplete.
 pub fn next_steps(
     cfg: &Revision,
     zone: &ZoneName,
@@ -120,70 +122,70 @@
     load_limiter: &mut LoadRateLimiter,
     now: Duration,
 ) -> Vec<Step> {
-    let every = load_every(cfg);
-    let mut idle = unavailable(cfg, zone, managed, observed);
+    let interval = load_interval(cfg);
+    let mut unavailable = count_unavailable(cfg, zone, managed, observed);
     let mut steps = Vec::new();
     for upstream in engines_to_manage(cfg, zone, managed) {
-        let wanted = upstream.engine.as_ref();
-        let seen = observed.get(&upstream.name);
-        let idle = idle.entry(&upstream.pool).or_default();
+        let desired = upstream.engine.as_ref();
+        let status = observed.get(&upstream.name);
+        let unavailable = unavailable.entry(&upstream.pool).or_default();
         let max = cfg.pool(&upstream.pool).map_or(0, |p| p.unavailable_max);
-        let (stage, order) = match seen {
+        let (stage, order) = match status {
             None => (Stage::Unreachable, None),
-            Some(seen) => next_step(upstream, wanted, seen, *idle < max, || {
-                load_limiter.try_acquire(every, now)
+            Some(status) => next_step(upstream, desired, status, *unavailable < max, || {
+                load_limiter.try_acquire(interval, now)
             }),
         };
         if order == Some(EngineOrder::Drain) {
-            *idle += 1;
+            *unavailable += 1;
         }
         steps.push(Step { upstream: upstream.name.clone(), stage, order });
     }
     steps
 }
 
-/// The engines of a zone that the configuration wants something of, and those that were managed
-/// when it did: they must not be left without work.
+/// Returns the engines of a zone whose state is configured, and those that were managed before: an
+/// engine that is no longer configured must not stay drained.
 pub fn engines_to_manage<'a>(
     cfg: &'a Revision,
     zone: &ZoneName,
     managed: &ManagedEngines,
 ) -> impl Iterator<Item = &'a Upstream> {
-    let here = cfg.catalog.upstreams.iter().filter(move |u| u.zone == *zone);
-    here.filter(|u| u.engine.is_some() || managed.contains(&u.name))
+    let in_zone = cfg.catalog.upstreams.iter().filter(move |u| u.zone == *zone);
+    in_zone.filter(|u| u.engine.is_some() || managed.contains(&u.name))
 }
 
 fn next_step(
     upstream: &Upstream,
-    wanted: Option<&EngineState>,
-    seen: &EngineStatus,
+    desired: Option<&EngineState>,
+    status: &EngineStatus,
     may_drain: bool,
     may_load: impl FnOnce() -> bool,
 ) -> (Stage, Option<EngineOrder>) {
-    if seen.loading {
+    if status.loading {
         return (Stage::Loads, None);
     }
-    let Some(wanted) = wanted.filter(|wanted| seen.state != **wanted) else {
-        return (Stage::Ready, seen.drained.then_some(EngineOrder::Undrain));
+    let Some(desired) = desired.filter(|desired| status.state != **desired) else {
+        return (Stage::Ready, status.drained.then_some(EngineOrder::Undrain));
     };
-    if !seen.drained {
-        // One that takes no work anyway takes none from the others.
-        return match may_drain || seen.leaving || upstream.draining {
+    if !status.drained {
+        // Draining one that takes no requests anyway doesn't reduce the capacity further.
+        return match may_drain || status.leaving || upstream.draining {
             true => (Stage::Drains, Some(EngineOrder::Drain)),
             false => (Stage::WaitsForTurn, None),
         };
     }
-    if seen.running != 0 {
+    if status.running != 0 {
         return (Stage::Drains, None);
     }
     match may_load() {
-        true => (Stage::Loads, Some(EngineOrder::Load { state: wanted.clone() })),
+        true => (Stage::Loads, Some(EngineOrder::Load { state: desired.clone() })),
         false => (Stage::WaitsForWeights, None),
     }
 }
 
-/// How many engines of each pool take no work, for whatever cause.
-fn unavailable<'a>(
+/// Counts the engines of each pool that take no requests, for any reason.
+fn count_unavailable<'a>(
     cfg: &'a Revision,
     zone: &ZoneName,
     managed: &ManagedEngines,
@@ -191,17 +193,17 @@
 ) -> BTreeMap<&'a PoolName, u32> {
     let mut count = BTreeMap::new();
     for upstream in engines_to_manage(cfg, zone, managed) {
-        let seen = observed.get(&upstream.name);
-        if upstream.draining || seen.is_none_or(|o| o.leaving || o.drained || o.loading) {
+        let status = observed.get(&upstream.name);
+        if upstream.draining || status.is_none_or(|o| o.leaving || o.drained || o.loading) {
             *count.entry(&upstream.pool).or_default() += 1;
         }
     }
     count
 }
 
-/// Time between two loads: this zone's even share of what the weight store allows, so that zones
-/// don't have to agree on anything.
-fn load_every(cfg: &Revision) -> Duration {
+/// Returns the interval between two loads. Each zone gets an equal share of the loads that the
+/// weight store allows, so that zones need no coordination.
+fn load_interval(cfg: &Revision) -> Duration {
     let zones = cfg.catalog.zones().len().max(1) as u32;
     MINUTE * zones / cfg.catalog.weights.loads_per_minute
 }
--- a/src/ctl/mod.rs
+++ b/src/ctl/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' command line: talks to the intent API of any box.
+//! The operators' command-line tool, a client of the intent API of any box.
 
 pub mod table;
 
@@ -21,10 +21,10 @@
 use crate::status::Explanation;
 use crate::status::Status;
 
-/// How long the intent API may take.
+/// Timeout of a call to the intent API.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What to do, and how.
+/// Options of a command.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// The operators' port of any box.
@@ -35,26 +35,26 @@
     pub json: bool,
     /// Show the plan and don't ask for confirmation.
     pub dry_run: bool,
-    /// Confirm without asking.
+    /// Confirm the plan without asking.
     pub yes: bool,
-    /// What to do.
+    /// The command.
     pub command: Command,
 }
 
-/// What to do.
+/// A command.
 #[derive(Clone, Debug)]
 pub enum Command {
     /// Show the configuration.
     Show,
     /// Show the state of every box.
     Status,
-    /// Show what the engines of every zone have loaded, and what they wait for.
+    /// Show what the engines of every zone have loaded, and the stage of their changes.
     Engines,
-    /// Tell why a request was placed as it was.
+    /// Explain why a request was placed as it was.
     Explain(String),
-    /// State an intent, and confirm its plan.
+    /// Submit an intent and confirm its plan.
     Submit(Intent),
-    /// State the intent that a file (or `-`) holds as JSON, and confirm its plan.
+    /// Submit the intent in a JSON file (`-` for standard input) and confirm its plan.
     Apply(PathBuf),
 }
 
@@ -64,13 +64,13 @@
     /// A file can't be read.
     #[error("{}: {source}", path.display())]
     File { path: PathBuf, source: io::Error },
-    /// A file doesn't hold an intent.
+    /// A file does not contain a valid intent.
     #[error("{}: {source}", path.display())]
     Intent { path: PathBuf, source: serde_json::Error },
-    /// The intent API can't be reached, or answered what it shouldn't.
+    /// The intent API can't be reached, or its response can't be read.
     #[error("{0}")]
     Call(#[from] ureq::Error),
-    /// The intent API refused.
+    /// The intent API returned an error.
     #[error("{0}")]
     Refused(String),
     /// The operator didn't confirm.
@@ -83,43 +83,43 @@
     let api = Api::new(opts)?;
     match &opts.command {
         Command::Show => {
-            let shown: VersionedCatalog = api.get("/v1/configuration")?;
-            print(opts, &shown, table::configuration);
+            let current: VersionedCatalog = api.get("/v1/configuration")?;
+            print_result(opts, &current, table::configuration);
         }
         Command::Status => {
-            let answers: Vec<BoxResponse<Status>> = api.get("/v1/status")?;
-            print(opts, &answers, |a| table::status(a));
+            let responses: Vec<BoxResponse<Status>> = api.get("/v1/status")?;
+            print_result(opts, &responses, |r| table::status(r));
         }
         Command::Engines => {
             let reports: Vec<Report> = api.get("/v1/engines")?;
-            print(opts, &reports, |r| table::engines(r));
+            print_result(opts, &reports, |r| table::engines(r));
         }
         Command::Explain(request) => {
             let path = format!("/v1/explanations/{request}");
-            let answers: Vec<BoxResponse<Explanation>> = api.get(&path)?;
-            print(opts, &answers, |a| table::explanation(request, a));
+            let responses: Vec<BoxResponse<Explanation>> = api.get(&path)?;
+            print_result(opts, &responses, |r| table::explanation(request, r));
         }
-        Command::Submit(intent) => intend(&api, opts, intent)?,
-        Command::Apply(path) => intend(&api, opts, &read_intent(path)?)?,
+        Command::Submit(intent) => submit(&api, opts, intent)?,
+        Command::Apply(path) => submit(&api, opts, &read_intent(path)?)?,
     }
     Ok(())
 }
 
-fn intend(api: &Api, opts: &Options, intent: &Intent) -> Result<(), Error> {
+fn submit(api: &Api, opts: &Options, intent: &Intent) -> Result<(), Error> {
     let plan: Plan = api.post("/v1/plans", intent)?;
-    print(opts, &plan, table::plan);
+    print_result(opts, &plan, table::plan);
     if opts.dry_run {
         return Ok(());
     }
-    if !opts.yes && !asked_to_confirm()? {
+    if !opts.yes && !prompt_for_confirmation()? {
         return Err(Error::NotConfirmed);
     }
-    let confirmed: Confirmation = api.post("/v1/confirmations", &plan)?;
-    print(opts, &confirmed, |c| format!("applied as revision {}\n", c.revision));
+    let confirmation: Confirmation = api.post("/v1/confirmations", &plan)?;
+    print_result(opts, &confirmation, |c| format!("applied as revision {}\n", c.revision));
     Ok(())
 }
 
-fn asked_to_confirm() -> Result<bool, Error> {
+fn prompt_for_confirmation() -> Result<bool, Error> {
     eprint!("confirm? [y/N] ");
     let mut line = String::new();
     let read = io::stdin().lock().read_line(&mut line);
@@ -136,9 +136,9 @@
     serde_json::from_str(&text).map_err(|source| Error::Intent { path: path.clone(), source })
 }
 
-fn print<T: Serialize>(opts: &Options, value: &T, table: impl FnOnce(&T) -> String) {
+fn print_result<T: Serialize>(opts: &Options, value: &T, table: impl FnOnce(&T) -> String) {
     if opts.json {
-        println!("{}", serde_json::to_string(value).expect("answers serialize"));
+        println!("{}", serde_json::to_string(value).expect("responses serialize"));
     } else {
         print!("{}", table(value));
     }
@@ -166,17 +166,19 @@
 
     fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Error> {
         let req = self.agent.get(format!("{}{path}", self.base));
-        read(req.header("authorization", &self.bearer).call()?)
+        parse_response(req.header("authorization", &self.bearer).call()?)
     }
 
     fn post<T: DeserializeOwned>(&self, path: &str, body: &impl Serialize) -> Result<T, Error> {
         let req = self.agent.post(format!("{}{path}", self.base));
-        let text = serde_json::to_vec(body).expect("intents and plans serialize");
-        read(req.header("authorization", &self.bearer).send(&text)?)
+        let body = serde_json::to_vec(body).expect("intents and plans serialize");
+        parse_response(req.header("authorization", &self.bearer).send(&body)?)
     }
 }
 
-fn read<T: DeserializeOwned>(mut resp: ureq::http::Response<ureq::Body>) -> Result<T, Error> {
+fn parse_response<T: DeserializeOwned>(
+    mut resp: ureq::http::Response<ureq::Body>,
+) -> Result<T, Error> {
     let text = resp.body_mut().read_to_string()?;
     if !resp.status().is_success() {
         return Err(Error::Refused(table::problem(&text)));
--- a/src/ctl/table.rs
+++ b/src/ctl/table.rs
@@ -1,4 +1,4 @@
-//! Answers of the intent API as a person reads them.
+//! Text output for responses of the intent API.
 
 use std::fmt::Write;
 
@@ -13,17 +13,17 @@
 use crate::status::Explanation;
 use crate::status::Status;
 
-/// The configuration.
-pub fn configuration(shown: &VersionedCatalog) -> String {
-    let c = &shown.configuration;
-    let mut out = format!("revision {}\n", shown.revision);
+/// Formats a configuration.
+pub fn configuration(current: &VersionedCatalog) -> String {
+    let c = &current.configuration;
+    let mut out = format!("revision {}\n", current.revision);
     // Writing to a string doesn't fail, here and below.
     for w in &c.workspaces {
         let _ = writeln!(out, "workspace {:<24} weight {}", w.name, w.weight);
     }
     for s in &c.services {
-        let again = if s.repeatable { "repeatable" } else { "not to be repeated" };
-        let _ = writeln!(out, "service   {:<24} pool {} {} {again}", s.name, s.pool, s.path);
+        let repeatable = if s.repeatable { "repeatable" } else { "not to be repeated" };
+        let _ = writeln!(out, "service   {:<24} pool {} {} {repeatable}", s.name, s.pool, s.path);
     }
     for p in &c.pools {
         let _ = writeln!(out, "pool      {:<24} counts {:?}", p.name, p.unit);
@@ -39,7 +39,7 @@
     out
 }
 
-/// A plan before it is confirmed.
+/// Formats a plan.
 pub fn plan(plan: &Plan) -> String {
     let mut out = format!("plan {} for revision {}\n", &plan.hash[..12], plan.base);
     if plan.changes.is_empty() {
@@ -55,7 +55,7 @@
     out
 }
 
-/// The engines of every zone.
+/// Formats the engines of every zone.
 pub fn engines(reports: &[Report]) -> String {
     let mut out = String::new();
     for r in reports {
@@ -91,19 +91,19 @@
     text
 }
 
-/// The state of every box.
-pub fn status(answers: &[BoxResponse<Status>]) -> String {
+/// Formats the state of every box.
+pub fn status(responses: &[BoxResponse<Status>]) -> String {
     let mut out = String::new();
-    for answer in answers {
-        let Some(s) = &answer.response else {
-            let error = answer.error.as_deref().unwrap_or("no answer");
-            let _ = writeln!(out, "{:<20} {error}", answer.name);
+    for response in responses {
+        let Some(s) = &response.response else {
+            let error = response.error.as_deref().unwrap_or("no response");
+            let _ = writeln!(out, "{:<20} {error}", response.name);
             continue;
         };
         let leaving = if s.leaving { " leaving" } else { "" };
         let _ = writeln!(
             out,
-            "{:<20} zone {} revision {} waiting {} running {} sees {} boxes{leaving}",
+            "{:<20} zone {} revision {} waiting {} running {} live boxes {}{leaving}",
             s.name,
             s.zone,
             s.revision,
@@ -114,41 +114,45 @@
         for p in &s.pools {
             let _ = writeln!(
                 out,
-                "  dispatches {}: waiting {} running {} of {} slots",
+                "  pool {}: waiting {} running {} of {} slots",
                 p.pool, p.waiting, p.running, p.slots
             );
             for w in &p.workspaces {
                 let _ = writeln!(
                     out,
-                    "    workspace {} waits with {} at virtual time {}: {}",
+                    "    workspace {} waiting {} virtual time {}: {}",
                     w.workspace,
                     w.waiting,
                     w.virtual_time,
-                    why_waits(w.wait_reason)
+                    describe_wait(w.wait_reason)
                 );
             }
             for u in p.upstreams.iter().filter(|u| u.unavailable_reason.is_some()) {
-                let why = u.unavailable_reason.as_deref().unwrap_or("");
-                let _ = writeln!(out, "    upstream {} gets nothing: {why}", u.upstream);
+                let reason = u.unavailable_reason.as_deref().unwrap_or("");
+                let _ = writeln!(out, "    upstream {} gets no requests: {reason}", u.upstream);
             }
         }
     }
     out
 }
 
-fn why_waits(why: Waits) -> String {
-    match why {
+fn describe_wait(reason: Waits) -> String {
+    match reason {
         Waits::RunningLimit { running } => format!("at its running limit of {running}"),
         Waits::Slot { first: 0 } => "next when a slot is free".to_owned(),
-        Waits::Slot { first } => format!("no slot is free, {first} further behind go first"),
-        Waits::Turn { first } => format!("about to be served, {first} further behind go first"),
+        Waits::Slot { first } => {
+            format!("no slot is free, {first} with a lower virtual time go first")
+        }
+        Waits::Turn { first } => {
+            format!("about to be served, {first} with a lower virtual time go first")
+        }
     }
 }
 
-/// Why a request was placed as it was.
-pub fn explanation(request: &str, answers: &[BoxResponse<Explanation>]) -> String {
+/// Formats the explanation of a request.
+pub fn explanation(request: &str, responses: &[BoxResponse<Explanation>]) -> String {
     let mut out = String::new();
-    for (name, e) in answers.iter().filter_map(|a| Some((&a.name, a.response.as_ref()?))) {
+    for (name, e) in responses.iter().filter_map(|r| Some((&r.name, r.response.as_ref()?))) {
         if let Some(r) = &e.request {
             let _ = writeln!(
                 out,
@@ -176,9 +180,9 @@
             );
         }
     }
-    for answer in answers.iter().filter(|a| a.error.is_some()) {
-        let error = answer.error.as_deref().unwrap_or("");
-        let _ = writeln!(out, "{} could not be asked: {error}", answer.name);
+    for response in responses.iter().filter(|r| r.error.is_some()) {
+        let error = response.error.as_deref().unwrap_or("");
+        let _ = writeln!(out, "{} could not be queried: {error}", response.name);
     }
     if out.is_empty() {
         let _ = writeln!(out, "{request}: no box remembers it (any more)");
@@ -186,19 +190,19 @@
     out
 }
 
-/// A refusal of the intent API, with every fault.
+/// Formats an error of the intent API, with all faults.
 pub fn problem(text: &str) -> String {
     let Ok(value) = serde_json::from_str::<Value>(text) else { return text.to_owned() };
     let mut out = value["problem"].as_str().unwrap_or("refused").to_owned();
     for fault in value["faults"].as_array().into_iter().flatten() {
-        let part = |key: &str| fault[key].as_str().unwrap_or("").to_owned();
-        let _ = write!(out, "\n  {}: {}", part("field"), part("reason"));
+        let text_of = |key: &str| fault[key].as_str().unwrap_or("").to_owned();
+        let _ = write!(out, "\n  {}: {}", text_of("field"), text_of("reason"));
     }
     if let Some(reason) = value["reason"].as_str() {
         let _ = write!(out, ": {reason}");
     }
-    if let Ok(fresh) = serde_json::from_value::<Plan>(value["plan"].clone()) {
-        let _ = write!(out, "; a new plan:\n{}", plan(&fresh));
+    if let Ok(new_plan) = serde_json::from_value::<Plan>(value["plan"].clone()) {
+        let _ = write!(out, "; a new plan:\n{}", plan(&new_plan));
     }
     out
 }
--- a/src/load/client.rs
+++ b/src/load/client.rs
@@ -1,4 +1,4 @@
-//! One caller: sends requests one after the other and counts what comes back.
+//! One simulated caller: sends requests one after the other and counts the outcomes.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -19,35 +19,35 @@
 use crate::router::cost_meter;
 use crate::util;
 
-/// Pause after a refusal that doesn't say when to come back.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Delay after a refusal without a `Retry-After` header.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Longest pause that a refusal can ask for.
-const PAUSE_MAX: Duration = Duration::from_secs(2);
+/// Longest delay that a refusal can request.
+const RETRY_DELAY_MAX: Duration = Duration::from_secs(2);
 
-/// How long an answer may take.
+/// Timeout of a request.
 const TIMEOUT: Duration = Duration::from_secs(120);
 
-/// What one client counted.
+/// The counts of one client.
 #[derive(Clone, Debug)]
 pub struct ClientCounts {
     /// Index of its workspace in the scenario.
     pub workspace: usize,
-    /// Requests answered in full.
+    /// Requests whose response was received completely.
     pub ran: u64,
     /// Requests that did not run.
     pub not_run: u64,
-    /// Requests of which nobody knows, or that were cut.
+    /// Requests whose outcome is unknown, or whose response was cut off.
     pub unknown: u64,
     /// Cost received in each second of the run.
     pub service: Vec<u64>,
-    /// Microseconds until the answer began.
+    /// Microseconds until the response started.
     pub first: Histogram<u64>,
-    /// Microseconds until the answer was whole.
-    pub whole: Histogram<u64>,
+    /// Microseconds until the response was complete.
+    pub complete: Histogram<u64>,
 }
 
-/// One caller.
+/// One simulated caller.
 pub struct Client {
     agent: Agent,
     workspace: WorkspaceTraffic,
@@ -55,13 +55,13 @@
     rng: SmallRng,
     started: Instant,
     duration: Duration,
-    /// Cost received of the answer under way.
+    /// Cost received so far of the current response.
     received: u64,
     counts: ClientCounts,
 }
 
 impl Client {
-    /// Client number `number` of a scenario's workspace.
+    /// Returns client `number` of the workspace at index `workspace` of a scenario.
     pub fn new(scenario: &Scenario, workspace: usize, number: usize, started: Instant) -> Client {
         let settings = scenario.workspaces[workspace].clone();
         let targets = match settings.routers.is_empty() {
@@ -86,16 +86,16 @@
                 unknown: 0,
                 service: vec![0; scenario.duration.as_secs() as usize + 1],
                 first: histogram(),
-                whole: histogram(),
+                complete: histogram(),
             },
         }
     }
 
-    /// Sends until the run is over.
+    /// Sends requests until the end of the run.
     pub fn run(mut self) -> ClientCounts {
         while self.started.elapsed() < self.duration {
-            let pause = self.pace();
-            thread::sleep(pause.min(self.duration.saturating_sub(self.started.elapsed())));
+            let delay = self.next_delay();
+            thread::sleep(delay.min(self.duration.saturating_sub(self.started.elapsed())));
             if self.started.elapsed() < self.duration {
                 self.send();
             }
@@ -103,8 +103,9 @@
         self.counts
     }
 
-    /// Time until the next request, exponentially distributed where a rate is set.
-    fn pace(&mut self) -> Duration {
+    /// Returns the time until the next request: exponentially distributed if a rate is set, else
+    /// zero.
+    fn next_delay(&mut self) -> Duration {
         let Some(rate) = self.workspace.rate else { return Duration::ZERO };
         let mean = self.workspace.clients as f64 / rate;
         let u: f64 = self.rng.random_range(f64::EPSILON..1.0);
@@ -114,8 +115,8 @@
     fn send(&mut self) {
         let target = self.targets[self.rng.random_range(0..self.targets.len())];
         let url = format!("http://{target}/v1/services/{}", self.workspace.service);
-        let (least, most) = self.workspace.tokens;
-        let tokens = self.rng.random_range(least..=most);
+        let (min, max) = self.workspace.tokens;
+        let tokens = self.rng.random_range(min..=max);
         let mut req = self.agent.post(url).header("content-type", "application/json");
         req = match &self.workspace.key {
             Some(key) => req.header("authorization", format!("Bearer {key}")),
@@ -124,31 +125,31 @@
         if let Some(class) = &self.workspace.class {
             req = req.header("frostdyke-class", class);
         }
-        let begun = Instant::now();
+        let sent_at = Instant::now();
         match req.send(format!("{{\"max_tokens\":{tokens}}}")) {
-            Ok(resp) => self.receive(resp, begun),
+            Ok(resp) => self.receive(resp, sent_at),
             Err(_) => {
                 self.counts.unknown += 1;
-                thread::sleep(PAUSE);
+                thread::sleep(RETRY_DELAY);
             }
         }
     }
 
-    fn receive(&mut self, resp: ureq::http::Response<ureq::Body>, begun: Instant) {
+    fn receive(&mut self, resp: ureq::http::Response<ureq::Body>, sent_at: Instant) {
         let outcome = resp.headers().get("frostdyke-outcome").map(|v| v.as_bytes().to_vec());
         if outcome.as_deref() != Some(b"ran") {
             match outcome.as_deref() {
                 Some(b"not-run") => self.counts.not_run += 1,
                 _ => self.counts.unknown += 1,
             }
-            let after = resp.headers().get("retry-after");
-            let after = after.and_then(|v| v.to_str().ok()?.parse().ok()).map(Duration::from_secs);
-            thread::sleep(after.unwrap_or(PAUSE).min(PAUSE_MAX));
+            let delay = resp.headers().get("retry-after");
+            let delay = delay.and_then(|v| v.to_str().ok()?.parse().ok()).map(Duration::from_secs);
+            thread::sleep(delay.unwrap_or(RETRY_DELAY).min(RETRY_DELAY_MAX));
             return;
         }
-        self.counts.first.saturating_record(begun.elapsed().as_micros() as u64);
-        let kind = resp.headers().get("content-type").map(|v| v.as_bytes());
-        let unit = match kind {
+        self.counts.first.saturating_record(sent_at.elapsed().as_micros() as u64);
+        let content_type = resp.headers().get("content-type").map(|v| v.as_bytes());
+        let unit = match content_type {
             Some(b"text/event-stream") => Unit::Tokens,
             _ => Unit::Calls,
         };
@@ -159,7 +160,7 @@
         loop {
             match rdr.read(&mut buf) {
                 Ok(0) => break,
-                Ok(n) => self.note(&mut *meter, &buf[..n]),
+                Ok(n) => self.record_chunk(&mut *meter, &buf[..n]),
                 Err(_) => {
                     self.counts.unknown += 1;
                     return;
@@ -167,15 +168,15 @@
             }
         }
         self.counts.ran += 1;
-        self.counts.whole.saturating_record(begun.elapsed().as_micros() as u64);
+        self.counts.complete.saturating_record(sent_at.elapsed().as_micros() as u64);
     }
 
-    fn note(&mut self, meter: &mut dyn cost_meter::CostMeter, piece: &[u8]) {
-        let more = meter.add_chunk(piece).saturating_sub(self.received);
-        self.received += more;
+    fn record_chunk(&mut self, meter: &mut dyn cost_meter::CostMeter, chunk: &[u8]) {
+        let added = meter.add_chunk(chunk).saturating_sub(self.received);
+        self.received += added;
         let second = self.started.elapsed().as_secs() as usize;
         if let Some(service) = self.counts.service.get_mut(second) {
-            *service += more;
+            *service += added;
         }
     }
 }
--- a/src/load/compare.rs
+++ b/src/load/compare.rs
@@ -1,4 +1,5 @@
-//! Measures what a router adds: the same requests to it and straight to an upstream, in one run.
+//! Measures the latency that a router adds, by sending the same requests through it and directly to
+//! an upstream in one run.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,36 +10,36 @@
 
 use crate::load::histogram;
 
-/// How long an answer may take.
+/// Timeout of a request.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What to compare.
+/// Options of a comparison.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// A router's callers' port.
     pub router: SocketAddr,
     /// The upstream's port.
     pub upstream: SocketAddr,
-    /// The service that reaches that upstream.
+    /// The service that is routed to that upstream.
     pub service: String,
     /// The path on the upstream.
     pub path: String,
     /// The workspace to send for.
     pub workspace: String,
-    /// Requests each way.
+    /// Requests to send to each of the two.
     pub requests: u64,
 }
 
-/// The figures, in microseconds until the answer was whole.
+/// The results: microseconds until the response was complete.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Comparison {
-    /// Straight to the upstream, half of the requests.
+    /// Median, directly to the upstream.
     pub direct_p50: u64,
-    /// Straight to the upstream, 99 in 100.
+    /// 99th percentile, directly to the upstream.
     pub direct_p99: u64,
-    /// Through the router, half of the requests.
+    /// Median, through the router.
     pub routed_p50: u64,
-    /// Through the router, 99 in 100.
+    /// 99th percentile, through the router.
     pub routed_p99: u64,
 }
 
@@ -50,7 +51,7 @@
     Request(String, ureq::Error),
 }
 
-/// Sends the requests in turns, and prints the figures.
+/// Sends the requests alternately and prints the results.
 pub fn run(opts: &Options) -> Result<Comparison, Error> {
     let agent = Agent::from(
         Agent::config_builder()
@@ -64,7 +65,7 @@
     let mut histograms = [histogram(), histogram()];
     for _ in 0..opts.requests {
         for (url, histogram) in [&direct, &routed].into_iter().zip(&mut histograms) {
-            let micros = time(&agent, url, &opts.workspace)?;
+            let micros = measure(&agent, url, &opts.workspace)?;
             histogram.saturating_record(micros);
         }
     }
@@ -81,11 +82,11 @@
     Ok(result)
 }
 
-fn time(agent: &Agent, url: &str, workspace: &str) -> Result<u64, Error> {
-    let begun = Instant::now();
+fn measure(agent: &Agent, url: &str, workspace: &str) -> Result<u64, Error> {
+    let sent_at = Instant::now();
     let req = agent.post(url).header("frostdyke-workspace", workspace);
     let fail = |e| Error::Request(url.to_owned(), e);
     let mut resp = req.send("{\"max_tokens\":1}").map_err(fail)?;
     resp.body_mut().read_to_vec().map_err(fail)?;
-    Ok(begun.elapsed().as_micros() as u64)
+    Ok(sent_at.elapsed().as_micros() as u64)
 }
--- a/src/load/mod.rs
+++ b/src/load/mod.rs
@@ -1,4 +1,5 @@
-//! Sends callers' traffic as a scenario (INI) says, and tells what each workspace got.
+//! A load generator: sends callers' traffic as described by a scenario (INI), and reports the
+//! service that each workspace got.
 
 pub mod client;
 pub mod compare;
@@ -25,18 +26,18 @@
 use crate::load::scenario::Scenario;
 use crate::load::scrape::Sample;
 
-/// Ten minutes.
+/// Longest time that a histogram records: ten minutes.
 const MICROS_MAX: u64 = 600_000_000;
 
-/// How often a router is asked whether it is ready.
-const READY_EVERY: Duration = Duration::from_millis(50);
+/// Interval between checks whether a router is ready.
+const READY_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What to do with a scenario.
+/// Options of a run.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// The scenario.
     pub scenario: Scenario,
-    /// Where to write the figures as JSON.
+    /// Where to write the report as JSON.
     pub json: Option<PathBuf>,
     /// Where to write the plot as SVG.
     pub plot: Option<PathBuf>,
@@ -45,71 +46,72 @@
 /// Why a run of the load tool failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A file can't be written.
+    /// Writing a file failed.
     #[error("{}: {source}", path.display())]
     Write { path: PathBuf, source: io::Error },
-    /// The plot can't be drawn.
+    /// Drawing the plot failed.
     #[error("plot: {0}")]
     Plot(String),
-    /// A router isn't ready in time.
+    /// A router was not ready in time.
     #[error("{0} is not ready")]
     NotReady(SocketAddr),
-    /// No request was answered at all.
-    #[error("no request was answered")]
-    Nothing,
+    /// No request completed.
+    #[error("no request completed")]
+    NoRequestCompleted,
 }
 
-/// Runs a scenario and prints its table.
+/// Runs a scenario and prints its results.
 pub fn run(opts: Options) -> Result<(), Error> {
     let (client_counts, samples) = run_clients(&opts.scenario);
     let report = report::summarize(&opts.scenario, &client_counts, &samples);
     print!("{}", report.table());
     if let Some(path) = &opts.json {
-        let text = serde_json::to_vec_pretty(&report).expect("figures serialize");
+        let text = serde_json::to_vec_pretty(&report).expect("reports serialize");
         let write = std::fs::write(path, text);
         write.map_err(|source| Error::Write { path: path.clone(), source })?;
     }
     if let Some(path) = &opts.plot {
         plot::draw(path, &report).map_err(Error::Plot)?;
     }
-    check(&report)
+    require_completed_requests(&report)
 }
 
 /// Waits until all routers of a scenario are ready.
-pub fn wait(scenario: &Scenario, patience: Duration) -> Result<(), Error> {
-    let until = Instant::now() + patience;
+pub fn wait(scenario: &Scenario, timeout: Duration) -> Result<(), Error> {
+    let deadline = Instant::now() + timeout;
     for &target in &scenario.targets {
         let url = format!("http://{target}/readyz");
         while ureq::get(&url).call().is_err() {
-            if until <= Instant::now() {
+            if deadline <= Instant::now() {
                 return Err(Error::NotReady(target));
             }
-            thread::sleep(READY_EVERY);
+            thread::sleep(READY_CHECK_INTERVAL);
         }
     }
     Ok(())
 }
 
-/// A histogram of microseconds up to ten minutes, to three digits. Longer times count as that.
+/// Returns a histogram of microseconds up to ten minutes, to three digits. Longer times count as
+/// ten minutes.
 pub fn histogram() -> Histogram<u64> {
     Histogram::new_with_max(MICROS_MAX, 3).expect("the bounds are valid")
 }
 
-fn check(report: &Report) -> Result<(), Error> {
+fn require_completed_requests(report: &Report) -> Result<(), Error> {
     match report.workspaces.iter().map(|w| w.ran).sum::<u64>() {
-        0 => Err(Error::Nothing),
+        0 => Err(Error::NoRequestCompleted),
         _ => Ok(()),
     }
 }
 
-/// Runs all clients to the end. Gives what each counted, and the samples taken of the routers.
+/// Runs all clients to the end. Returns their counts and the metrics sampled from the routers.
 fn run_clients(scenario: &Scenario) -> (Vec<client::ClientCounts>, Vec<Sample>) {
     let started = Instant::now();
     let stop = Arc::new(AtomicBool::new(false));
     let samples = Arc::new(Mutex::new(Vec::new()));
     let scraper = {
-        let (stop, samples, pages) = (stop.clone(), samples.clone(), scenario.metrics.clone());
-        thread::spawn(move || scrape::run_until(&pages, started, &stop, &samples))
+        let (stop, samples, addrs) = (stop.clone(), samples.clone(), scenario.metrics.clone());
+        thread::spawn(move || scrape::run(&addrs, started, &stop, &samples))
     };
     let clients: Vec<_> = scenario
         .workspaces
@@ -121,7 +123,7 @@
         .collect();
     let counts = clients.into_iter().filter_map(|c| c.join().ok()).collect();
     stop.store(true, Ordering::Relaxed);
-    // The samples are shared, so a scraper that died costs only its later ones.
+    // The samples are shared, so if the scraper panics, only its later samples are missing.
     let _ = scraper.join();
     let samples = std::mem::take(&mut *samples.lock().expect("no panic under lock"));
     (counts, samples)
--- a/src/load/plot.rs
+++ b/src/load/plot.rs
@@ -1,4 +1,4 @@
-//! Draws what each workspace got over time, as SVG.
+//! Plots the service of each workspace over time, as SVG.
 
 use std::path::Path;
 
@@ -7,17 +7,17 @@
 use crate::load::report::Report;
 use crate::load::report::WorkspaceReport;
 
-/// Size of the picture, in pixels.
-const SIZE: (u32, u32) = (960, 480);
+/// Size of the image.
+const SIZE_PX: (u32, u32) = (960, 480);
 
-/// Draws the service per second of each workspace, by weight.
+/// Draws the service per second of each workspace, divided by its weight.
 pub fn draw(path: &Path, report: &Report) -> Result<(), String> {
-    let root = SVGBackend::new(path, SIZE).into_drawing_area();
+    let root = SVGBackend::new(path, SIZE_PX).into_drawing_area();
     root.fill(&WHITE).map_err(|e| e.to_string())?;
-    let share = |w: &WorkspaceReport| {
+    let normalized = |w: &WorkspaceReport| {
         w.per_second.iter().map(|&n| n as f64 / w.weight).collect::<Vec<f64>>()
     };
-    let top = report.workspaces.iter().flat_map(share).fold(1.0, f64::max);
+    let top = report.workspaces.iter().flat_map(normalized).fold(1.0, f64::max);
     let seconds = report.seconds as f64;
     let mut chart = ChartBuilder::on(&root)
         .caption("service by weight, cost units a second", ("sans-serif", 18))
@@ -29,7 +29,7 @@
     chart.configure_mesh().x_desc("seconds").draw().map_err(|e| e.to_string())?;
     for (i, w) in report.workspaces.iter().enumerate() {
         let color = Palette99::pick(i).to_rgba();
-        let points = share(w).into_iter().enumerate().map(|(s, n)| (s as f64, n));
+        let points = normalized(w).into_iter().enumerate().map(|(s, n)| (s as f64, n));
         let points: Vec<_> = points.take(report.seconds as usize).collect();
         chart
             .draw_series(LineSeries::new(points, color.stroke_width(2)))
--- a/src/load/report.rs
+++ b/src/load/report.rs
@@ -1,5 +1,5 @@
-//! Sums up a run: what each workspace got, how fair that was, how busy the slots were, and what
-//! the routers told each other.
+//! Summarizes a run: the service of each workspace, its fairness, the utilisation of the slots, and
+//! the traffic between routers.
 
 use std::fmt::Write;
 
@@ -11,22 +11,22 @@
 use crate::load::scrape::PoolSample;
 use crate::load::scrape::Sample;
 
-/// Seconds at the start and the end that don't count for the gap and the utilisation.
-const MARGIN: usize = 2;
+/// Seconds at the start and at the end that are excluded from the gap and the utilisation.
+const MARGIN_S: usize = 2;
 
-/// The figures of a run.
+/// The results of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// How long it ran, in seconds.
+    /// Duration of the run, in seconds.
     pub seconds: u64,
-    /// How many routers served.
+    /// Number of routers.
     pub routers: usize,
-    /// Per workspace.
+    /// Results of each workspace.
     pub workspaces: Vec<WorkspaceReport>,
-    /// Per pool.
+    /// Utilisation of each pool.
     pub pools: Vec<PoolReport>,
-    /// Largest difference of service by weight between two workspaces that always had work, in
-    /// cost units, over all moments of the run.
+    /// Largest difference of service, divided by weight, that two backlogged workspaces accumulated
+    /// over any period of the run, in cost units.
     pub gap: f64,
     /// Bytes between routers, per router and second.
     pub peer_bytes_per_router_second: f64,
@@ -34,48 +34,48 @@
     pub peer_bytes_per_request: f64,
 }
 
-/// What one workspace got.
+/// The results of one workspace.
 #[derive(Clone, Debug, Serialize)]
 pub struct WorkspaceReport {
-    /// Its name.
+    /// The name of the workspace.
     pub workspace: String,
     /// Its weight.
     pub weight: f64,
-    /// Whether it always had work waiting: it sends without a rate.
+    /// Whether it always had requests waiting, because it sends without a rate.
     pub backlogged: bool,
-    /// Requests answered in full.
+    /// Requests whose response was received completely.
     pub ran: u64,
     /// Requests that did not run.
     pub not_run: u64,
-    /// Requests cut or of unknown outcome.
+    /// Requests whose outcome is unknown, or whose response was cut off.
     pub unknown: u64,
     /// Cost received.
     pub service: u64,
     /// Cost received in each second.
     pub per_second: Vec<u64>,
-    /// Milliseconds until an answer began, for half of the requests.
+    /// Median of the milliseconds until a response started.
     pub first_p50_ms: f64,
-    /// Milliseconds until an answer began, for 99 in 100.
+    /// 99th percentile of the milliseconds until a response started.
     pub first_p99_ms: f64,
 }
 
-/// How a pool was used.
+/// The utilisation of a pool.
 #[derive(Clone, Debug, Serialize)]
 pub struct PoolReport {
-    /// Its name.
+    /// The name of the pool.
     pub pool: String,
-    /// Slots.
+    /// Its slots.
     pub slots: f64,
-    /// Share of the slots in use, at moments when work waited.
+    /// Share of the slots in use, over samples in which requests waited.
     pub utilisation_while_waiting: Option<f64>,
-    /// Share of the slots in use, at all moments.
+    /// Share of the slots in use, over all samples.
     pub utilisation: f64,
 }
 
-/// Sums up what the clients counted and the routers showed.
+/// Summarizes the counts of the clients and the samples of the routers.
 pub fn summarize(scenario: &Scenario, counts: &[ClientCounts], samples: &[Sample]) -> Report {
     let workspaces: Vec<WorkspaceReport> =
-        (0..scenario.workspaces.len()).map(|w| workspace(scenario, w, counts)).collect();
+        (0..scenario.workspaces.len()).map(|w| workspace_report(scenario, w, counts)).collect();
     let seconds = scenario.duration.as_secs();
     let ran: u64 = workspaces.iter().map(|w| w.ran).sum();
     let bytes = match (samples.first(), samples.last()) {
@@ -86,8 +86,8 @@
     Report {
         seconds,
         routers,
-        gap: gap(&workspaces, seconds as usize),
-        pools: pools(samples, seconds as f64),
+        gap: fairness_gap(&workspaces, seconds as usize),
+        pools: pool_reports(samples, seconds as f64),
         peer_bytes_per_router_second: bytes / (routers as f64 * seconds.max(1) as f64),
         peer_bytes_per_request: bytes / ran.max(1) as f64,
         workspaces,
@@ -95,7 +95,7 @@
 }
 
 impl Report {
-    /// The figures as a person reads them.
+    /// Formats the results as text.
     pub fn table(&self) -> String {
         let mut out = String::new();
         // Writing to a string doesn't fail.
@@ -136,12 +136,12 @@
     }
 }
 
-fn workspace(scenario: &Scenario, index: usize, counts: &[ClientCounts]) -> WorkspaceReport {
+fn workspace_report(scenario: &Scenario, index: usize, counts: &[ClientCounts]) -> WorkspaceReport {
     let settings = &scenario.workspaces[index];
-    let mine = || counts.iter().filter(|c| c.workspace == index);
+    let own_counts = || counts.iter().filter(|c| c.workspace == index);
     let mut first = Histogram::<u64>::new(3).expect("the digits are valid");
     let mut per_second = vec![0; scenario.duration.as_secs() as usize + 1];
-    for count in mine() {
+    for count in own_counts() {
         // Both histograms hold microseconds, and the sum resizes itself.
         let _ = first.add(&count.first);
         for (sum, n) in per_second.iter_mut().zip(&count.service) {
@@ -152,9 +152,9 @@
         workspace: settings.name.clone(),
         weight: settings.weight,
         backlogged: settings.rate.is_none(),
-        ran: mine().map(|c| c.ran).sum(),
-        not_run: mine().map(|c| c.not_run).sum(),
-        unknown: mine().map(|c| c.unknown).sum(),
+        ran: own_counts().map(|c| c.ran).sum(),
+        not_run: own_counts().map(|c| c.not_run).sum(),
+        unknown: own_counts().map(|c| c.unknown).sum(),
         service: per_second.iter().sum(),
         per_second,
         first_p50_ms: first.value_at_quantile(0.5) as f64 / 1000.0,
@@ -162,26 +162,29 @@
     }
 }
 
-/// The largest gap that opened between any two backlogged workspaces during any stretch of time:
-/// for each pair, the spread of the difference of their sums.
-fn gap(workspaces: &[WorkspaceReport], seconds: usize) -> f64 {
-    let backlogged: Vec<Vec<f64>> =
-        workspaces.iter().filter(|w| w.backlogged).map(|w| sums(w, seconds)).collect();
+/// Returns the largest difference that any two backlogged workspaces accumulated over any period:
+/// for each pair, the range of the difference of their cumulative service.
+fn fairness_gap(workspaces: &[WorkspaceReport], seconds: usize) -> f64 {
+    let backlogged: Vec<Vec<f64>> = workspaces
+        .iter()
+        .filter(|w| w.backlogged)
+        .map(|w| cumulative_service(w, seconds))
+        .collect();
     let mut largest = 0.0_f64;
     for (i, a) in backlogged.iter().enumerate() {
         for b in &backlogged[i + 1..] {
             let differences = || a.iter().zip(b).map(|(a, b)| a - b);
-            let most = differences().fold(f64::MIN, f64::max);
-            let least = differences().fold(f64::MAX, f64::min);
-            largest = largest.max(most - least);
+            let max = differences().fold(f64::MIN, f64::max);
+            let min = differences().fold(f64::MAX, f64::min);
+            largest = largest.max(max - min);
         }
     }
     largest
 }
 
-/// Service by weight, summed up from the end of the first margin to each second before the last.
-fn sums(w: &WorkspaceReport, seconds: usize) -> Vec<f64> {
-    let counted = w.per_second.iter().take(seconds.saturating_sub(MARGIN)).skip(MARGIN);
+/// Returns the cumulative service divided by weight for each second between the margins.
+fn cumulative_service(w: &WorkspaceReport, seconds: usize) -> Vec<f64> {
+    let counted = w.per_second.iter().take(seconds.saturating_sub(MARGIN_S)).skip(MARGIN_S);
     let add = |sum: &mut f64, &n: &u64| {
         *sum += n as f64 / w.weight;
         Some(*sum)
@@ -189,20 +192,22 @@
     std::iter::once(0.0).chain(counted.scan(0.0, add)).collect()
 }
 
-fn pools(samples: &[Sample], seconds: f64) -> Vec<PoolReport> {
-    let margin = MARGIN as f64;
-    let counted: Vec<&Sample> =
-        samples.iter().filter(|s| margin <= s.at && s.at <= seconds - margin).collect();
+fn pool_reports(samples: &[Sample], seconds: f64) -> Vec<PoolReport> {
+    let margin = MARGIN_S as f64;
+    let counted: Vec<&Sample> = samples
+        .iter()
+        .filter(|s| margin <= s.elapsed_s && s.elapsed_s <= seconds - margin)
+        .collect();
     let Some(last) = counted.last() else { return Vec::new() };
     let report = |name: &String| {
         let of_pool: Vec<_> = counted.iter().filter_map(|s| s.pools.get(name)).collect();
         let share = |p: &&&PoolSample| p.running / p.slots.max(1.0);
-        let busy: Vec<f64> =
+        let while_waiting: Vec<f64> =
             of_pool.iter().filter(|p| p.waiting != 0.0).map(|p| share(&p)).collect();
         PoolReport {
             pool: name.clone(),
             slots: of_pool.last().map_or(0.0, |p| p.slots),
-            utilisation_while_waiting: mean(&busy),
+            utilisation_while_waiting: mean(&while_waiting),
             utilisation: mean(&of_pool.iter().map(|p| share(&p)).collect::<Vec<_>>())
                 .unwrap_or(0.0),
         }
--- a/src/load/scenario.rs
+++ b/src/load/scenario.rs
@@ -10,9 +10,9 @@
 //! [workspace alpha]
 //! service = assist
 //! key = demo-key-alpha      ; or none, where the routers trust the workspace header
-//! clients = 8               ; requests that are always under way
-//! rate = 20                 ; optional: requests a second instead, over all clients
-//! tokens = 20 60            ; least and most tokens asked for
+//! clients = 8               ; concurrent requests
+//! rate = 20                 ; optional: requests a second over all clients instead
+//! tokens = 20 60            ; least and most tokens requested
 //! class = urgent            ; optional
 //! routers = 0 1             ; optional: only these of the targets
 //! weight = 2                ; as configured, for the fairness gap
@@ -25,56 +25,57 @@
 use ini::Ini;
 use ini::Properties;
 
-/// Most clients of all workspaces together; each holds a thread.
+/// Most clients of all workspaces together; each occupies a thread.
 const CLIENTS_MAX: usize = 1000;
 
 /// Longest run.
 const SECONDS_MAX: u64 = 600;
 
-/// What is wrong with a scenario.
+/// Why a scenario is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The file can't be read or isn't INI.
     #[error("{0}: {1}")]
     File(String, String),
-    /// A value is missing or wrong.
+    /// A value is missing or invalid.
     #[error("{path}: [{section}] {key}: {reason}")]
     Key { path: String, section: String, key: &'static str, reason: String },
 }
 
-/// Traffic to send.
+/// The traffic to send.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     /// Callers' ports of the routers.
     pub targets: Vec<SocketAddr>,
     /// Metrics pages of the routers.
     pub metrics: Vec<SocketAddr>,
-    /// How long to send.
+    /// How long to send requests.
     pub duration: Duration,
-    /// Seed of everything random.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// Who sends.
+    /// The workspaces that send requests.
     pub workspaces: Vec<WorkspaceTraffic>,
 }
 
 /// The traffic of one workspace.
 #[derive(Clone, Debug)]
 pub struct WorkspaceTraffic {
-    /// Its name.
+    /// The name of the workspace.
     pub name: String,
-    /// What it asks for.
+    /// The service that it requests.
     pub service: String,
-    /// Its key, if callers have to show one.
+    /// Its API key, if the routers require one.
     pub key: Option<String>,
-    /// Requests under way at once.
+    /// Concurrent requests.
     pub clients: usize,
-    /// Requests a second, or as many as are answered.
+    /// Requests a second over all clients; without it each client sends as soon as its last request
+    /// has ended.
     pub rate: Option<f64>,
-    /// Least and most tokens asked for.
+    /// Least and most tokens requested.
     pub tokens: (u64, u64),
-    /// The class header.
+    /// Value of the class header.
     pub class: Option<String>,
-    /// Which targets it uses; all when empty.
+    /// Indices of the targets that it uses; all if empty.
     pub routers: Vec<usize>,
     /// Its weight.
     pub weight: f64,
@@ -88,11 +89,11 @@
     let load = ini.section(Some("load")).cloned().unwrap_or_default();
     let targets = rdr.list(&load, "load", "targets", ',')?;
     if targets.is_empty() {
-        return Err(rdr.fault("load", "targets", "names no router"));
+        return Err(rdr.error("load", "targets", "names no router"));
     }
     let seconds = rdr.value(&load, "load", "seconds")?.unwrap_or(10);
     if SECONDS_MAX < seconds {
-        return Err(rdr.fault("load", "seconds", "must be at most 600"));
+        return Err(rdr.error("load", "seconds", "must be at most 600"));
     }
     let mut workspaces = Vec::new();
     for (section, keys) in ini.iter() {
@@ -101,7 +102,7 @@
         }
     }
     if CLIENTS_MAX < workspaces.iter().map(|w| w.clients).sum() {
-        return Err(rdr.fault("load", "clients", "must be at most 1000 in all"));
+        return Err(rdr.error("load", "clients", "must be at most 1000 in all"));
     }
     Ok(Scenario {
         metrics: rdr.list(&load, "load", "metrics", ',')?,
@@ -122,14 +123,14 @@
         let tokens: Vec<u64> = self.list(keys, name, "tokens", ' ')?;
         Ok(WorkspaceTraffic {
             name: name.to_owned(),
-            service: service.ok_or_else(|| self.fault(name, "service", "is missing"))?,
+            service: service.ok_or_else(|| self.error(name, "service", "is missing"))?,
             key: self.value(keys, name, "key")?,
             clients: self.value(keys, name, "clients")?.unwrap_or(1),
             rate: self.value(keys, name, "rate")?,
             tokens: match tokens[..] {
                 [] => (16, 16),
                 [n] => (n, n),
-                [least, most, ..] => (least, most.max(least)),
+                [min, max, ..] => (min, max.max(min)),
             },
             class: self.value(keys, name, "class")?,
             routers: self.list(keys, name, "routers", ' ')?,
@@ -145,7 +146,7 @@
         separator: char,
     ) -> Result<Vec<T>, Error> {
         let words = keys.get(key).unwrap_or("").split(separator).map(str::trim);
-        let parse = |w: &str| w.parse().map_err(|_| self.fault(section, key, w));
+        let parse = |w: &str| w.parse().map_err(|_| self.error(section, key, w));
         words.filter(|w| !w.is_empty()).map(parse).collect()
     }
 
@@ -155,11 +156,11 @@
         section: &str,
         key: &'static str,
     ) -> Result<Option<T>, Error> {
-        let parse = |w: &str| w.parse().map_err(|_| self.fault(section, key, w));
+        let parse = |w: &str| w.parse().map_err(|_| self.error(section, key, w));
         keys.get(key).map(parse).transpose()
     }
 
-    fn fault(&self, section: &str, key: &'static str, reason: &str) -> Error {
+    fn error(&self, section: &str, key: &'static str, reason: &str) -> Error {
         let (path, section) = (self.path.clone(), section.to_owned());
         Error::Key { path, section, key, reason: reason.to_owned() }
     }
--- a/src/load/scrape.rs
+++ b/src/load/scrape.rs
@@ -1,4 +1,4 @@
-//! Reads the routers' metrics pages while a scenario runs.
+//! Scrapes the routers' metrics while a scenario runs.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,24 +11,24 @@
 
 use ureq::Agent;
 
-/// How often the pages are read.
-const EVERY: Duration = Duration::from_millis(250);
+/// Interval between scrapes.
+const SCRAPE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How long a page may take.
+/// Timeout of a scrape.
 const TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What all routers together showed at one moment.
+/// The sum of all routers' metrics at one moment.
 #[derive(Clone, Debug, Default)]
 pub struct Sample {
     /// Seconds since the start.
-    pub at: f64,
+    pub elapsed_s: f64,
     /// Bytes between routers so far.
     pub peer_bytes: f64,
-    /// Of each pool.
+    /// Metrics of each pool.
     pub pools: BTreeMap<String, PoolSample>,
 }
 
-/// What the dispatchers of one pool showed together.
+/// The sum of the metrics of one pool's dispatchers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PoolSample {
     /// Tickets waiting.
@@ -39,8 +39,8 @@
     pub slots: f64,
 }
 
-/// Reads the pages until told to stop.
-pub fn run_until(
+/// Scrapes the metrics pages until `stop` is set.
+pub fn run(
     pages: &[SocketAddr],
     started: Instant,
     stop: &AtomicBool,
@@ -49,20 +49,20 @@
     let config = Agent::config_builder().proxy(None).timeout_global(Some(TIMEOUT)).build();
     let agent = Agent::from(config);
     while !stop.load(Ordering::Relaxed) {
-        let mut sample = Sample { at: started.elapsed().as_secs_f64(), ..Sample::default() };
+        let mut sample = Sample { elapsed_s: started.elapsed().as_secs_f64(), ..Sample::default() };
         for page in pages {
             if let Ok(mut resp) = agent.get(format!("http://{page}/metrics")).call()
                 && let Ok(text) = resp.body_mut().read_to_string()
             {
-                add(&mut sample, &text);
+                add_page(&mut sample, &text);
             }
         }
         samples.lock().expect("no panic under lock").push(sample);
-        thread::sleep(EVERY);
+        thread::sleep(SCRAPE_INTERVAL);
     }
 }
 
-fn add(sample: &mut Sample, text: &str) {
+fn add_page(sample: &mut Sample, text: &str) {
     for line in text.lines().filter(|l| !l.starts_with('#')) {
         let Some((name, value)) = line.rsplit_once(' ') else { continue };
         let Ok(value) = value.parse::<f64>() else { continue };
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,6 +1,6 @@
-//! Structured logs. Lines are formatted where they arise and written by a thread some times a
-//! second; those that don't fit are dropped and counted, so that a slow reader of the log never
-//! slows a request down.
+//! Structured logs. Lines are formatted by the calling thread and written by a background thread
+//! several times a second. Lines that don't fit the buffer are dropped and counted, so that a slow
+//! reader of the log never delays a request.
 
 use std::io;
 use std::io::Write;
@@ -18,18 +18,19 @@
 use crate::config::settings;
 use crate::config::settings::LogFormat;
 
-/// Bytes that may wait to be written: some seconds of lines at a thousand requests a second.
-const WAITING_MAX: usize = 2 << 20;
+/// Size of the buffer of unwritten lines: a few seconds of lines at 1000 requests a second.
+const PENDING_MAX_BYTES: usize = 2 << 20;
 
 /// Time between writes.
 const WRITE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Opens the log on standard output. Lines are written until the guard is dropped.
-pub fn open(cfg: &settings::Log, program: &'static str, name: &str) -> (Logger, Guard) {
+/// Opens the log on standard output. Lines are written until the guard is dropped, which writes the
+/// rest.
+pub fn open(cfg: &settings::Log, program: &'static str, name: &str) -> (Logger, LogGuard) {
     let values = o!("program" => program, "box" => name.to_owned());
-    let lines = Arc::new(Lines::default());
-    let guard = Guard::start(lines.clone());
-    let out = Line { lines, buf: Vec::new() };
+    let lines = Arc::new(LineBuffer::default());
+    let guard = LogGuard::start(lines.clone());
+    let out = LineWriter { lines, buf: Vec::new() };
     let logger = match cfg.format {
         LogFormat::Json => {
             let json =
@@ -53,67 +54,67 @@
     Logger::root(drain, values)
 }
 
-/// Writes the log until it is dropped; then writes the rest.
+/// Runs the thread that writes the log. When dropped, stops it and writes the remaining lines.
 #[derive(Debug)]
-pub struct Guard {
-    lines: Arc<Lines>,
+pub struct LogGuard {
+    lines: Arc<LineBuffer>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Guard {
-    fn start(lines: Arc<Lines>) -> Guard {
-        let writing = lines.clone();
+impl LogGuard {
+    fn start(lines: Arc<LineBuffer>) -> LogGuard {
+        let buffer = lines.clone();
         let thread = std::thread::Builder::new().name("log".to_owned()).spawn(move || {
-            while !writing.ended.load(Ordering::Relaxed) {
+            while !buffer.stopped.load(Ordering::Relaxed) {
                 std::thread::park_timeout(WRITE_INTERVAL);
-                writing.write();
+                buffer.write();
             }
         });
-        // Without a thread the lines are written at the end, as far as they fit.
-        Guard { lines, thread: thread.ok() }
+        // If the thread fails to start, lines that fit the buffer are written on drop.
+        LogGuard { lines, thread: thread.ok() }
     }
 }
 
-impl Drop for Guard {
+impl Drop for LogGuard {
     fn drop(&mut self) {
-        self.lines.ended.store(true, Ordering::Relaxed);
+        self.lines.stopped.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
             thread.thread().unpark();
-            // A panic there has been printed.
+            // A panic of the thread has been printed already.
             let _ = thread.join();
         }
         self.lines.write();
     }
 }
 
-/// Lines that wait to be written.
+/// Lines that are not written yet.
 #[derive(Debug, Default)]
-struct Lines {
-    waiting: Mutex<Waiting>,
-    ended: AtomicBool,
+struct LineBuffer {
+    pending: Mutex<Pending>,
+    stopped: AtomicBool,
 }
 
 #[derive(Debug, Default)]
-struct Waiting {
+struct Pending {
     bytes: Vec<u8>,
     dropped: u64,
 }
 
-impl Lines {
+impl LineBuffer {
     fn push(&self, line: &[u8]) {
-        let mut waiting = self.waiting.lock().expect("no panic under lock");
-        if WAITING_MAX < waiting.bytes.len() + line.len() {
-            waiting.dropped += 1;
+        let mut pending = self.pending.lock().expect("no panic under lock");
+        if PENDING_MAX_BYTES < pending.bytes.len() + line.len() {
+            pending.dropped += 1;
         } else {
-            waiting.bytes.extend_from_slice(line);
+            pending.bytes.extend_from_slice(line);
         }
     }
 
     fn write(&self) {
-        let Waiting { bytes, dropped } =
-            std::mem::take(&mut *self.waiting.lock().expect("no panic under lock"));
+        let Pending { bytes, dropped } =
+            std::mem::take(&mut *self.pending.lock().expect("no panic under lock"));
         let mut out = io::stdout().lock();
-        // There is nowhere to tell that the log itself can't be written.
+        // A failure to write the log can't be reported anywhere.
         let _ = out.write_all(&bytes);
         if dropped != 0 {
             let _ = writeln!(out, "{{\"msg\":\"log lines dropped\",\"count\":{dropped}}}");
@@ -122,14 +123,14 @@
     }
 }
 
-/// Collects a line, and hands it over when it is whole.
+/// Collects the parts of a line and adds it to the buffer once it is complete.
 #[derive(Debug)]
-struct Line {
-    lines: Arc<Lines>,
+struct LineWriter {
+    lines: Arc<LineBuffer>,
     buf: Vec<u8>,
 }
 
-impl Write for Line {
+impl Write for LineWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.buf.extend_from_slice(bytes);
         if bytes.ends_with(b"\n") {
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Figures of a process, by `opentelemetry`, on a page in Prometheus' format.
+//! Metrics of a process, by `opentelemetry`, exposed in the Prometheus text format.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -26,42 +26,42 @@
 use crate::web;
 use crate::web::HttpHandler;
 
-/// Bounds of the histograms of waits, in seconds.
-const WAIT_BOUNDS: [f64; 12] =
+/// Bucket bounds of the histogram of waiting times.
+const WAIT_BOUNDS_S: [f64; 12] =
     [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.32, 1.0, 3.0, 10.0, 60.0];
 
-/// Why metrics can't be served.
+/// An error of the metrics.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The exporter can't be built.
+    /// Building the exporter failed.
     #[error("metrics: {0}")]
     Exporter(#[from] opentelemetry_sdk::error::OTelSdkError),
 }
 
-/// The figures of a process.
+/// The metrics of a process.
 #[derive(Clone)]
 pub struct Metrics {
     registry: Registry,
     provider: SdkMeterProvider,
     meter: Meter,
-    /// Service given, in the pool's unit, by workspace and pool.
+    /// Service provided, in the pool's unit, by workspace and pool.
     pub service: Counter<u64>,
-    /// Requests ended, by workspace and outcome.
+    /// Completed requests, by workspace and outcome.
     pub requests: Counter<u64>,
     /// Requests refused, by cause.
     pub refused: Counter<u64>,
     /// Placement decisions, by pool and reason.
     pub decisions: Counter<u64>,
-    /// Requests sent again, by pool.
+    /// Retried requests, by pool.
     pub retries: Counter<u64>,
-    /// Orders to engines, by whether they were done.
+    /// Orders to engines, by whether they succeeded.
     pub orders: Counter<u64>,
-    /// Seconds from arrival to being sent, by class.
+    /// Seconds from the arrival of a request until it is sent to an upstream, by class.
     pub waits: Histogram<f64>,
 }
 
 impl Metrics {
-    /// Metrics that nobody has asked for yet.
+    /// Registers the metrics and their exporter.
     pub fn new() -> Result<Metrics, Error> {
         let registry = Registry::new();
         let exporter =
@@ -76,19 +76,19 @@
             decisions: meter.u64_counter("frostdyke_decisions").build(),
             retries: meter.u64_counter("frostdyke_retries").build(),
             orders: meter.u64_counter("frostdyke_orders").build(),
-            waits: waits.with_boundaries(WAIT_BOUNDS.to_vec()).build(),
+            waits: waits.with_boundaries(WAIT_BOUNDS_S.to_vec()).build(),
             registry,
             provider,
             meter,
         })
     }
 
-    /// What further figures are made by.
+    /// The meter, for metrics that a program registers itself.
     pub fn meter(&self) -> &Meter {
         &self.meter
     }
 
-    /// Shows a figure that is read when the page is.
+    /// Registers a gauge whose values are read whenever the metrics are scraped.
     pub fn register_gauge(
         &self,
         name: &'static str,
@@ -104,7 +104,7 @@
             .build();
     }
 
-    /// Shows a count that somebody else keeps.
+    /// Registers a counter whose value is kept elsewhere and read when the metrics are scraped.
     pub fn register_counter(
         &self,
         name: &'static str,
@@ -116,46 +116,46 @@
             .build();
     }
 
-    /// Shows the calls to the platform.
+    /// Registers the counts of calls to the platform.
     pub fn register_store_calls(&self, calls: &Arc<Calls>) {
         let calls = calls.clone();
         self.register_gauge("frostdyke_store_calls", move || {
-            let shown =
+            let counts =
                 [("read", &calls.reads), ("write", &calls.writes), ("watch", &calls.watches)];
-            let figure = |(kind, count): (&'static str, &AtomicU64)| {
+            let value = |(kind, count): (&'static str, &AtomicU64)| {
                 (count.load(Ordering::Relaxed) as f64, vec![KeyValue::new("kind", kind)])
             };
-            shown.into_iter().map(figure).collect()
+            counts.into_iter().map(value).collect()
         });
     }
 
-    /// Shows the traffic between routers.
+    /// Registers the traffic between routers.
     pub fn register_peer_traffic(&self, traffic: &Arc<Traffic>) {
-        let show = |name, read: fn(&Traffic) -> u64| {
+        let register = |name, read: fn(&Traffic) -> u64| {
             let traffic = traffic.clone();
             self.register_counter(name, move || read(&traffic));
         };
-        show("frostdyke_peer_bytes_out", |t| t.bytes_out.load(Ordering::Relaxed));
-        show("frostdyke_peer_bytes_in", |t| t.bytes_in.load(Ordering::Relaxed));
-        show("frostdyke_peer_messages_out", |t| t.messages_out.load(Ordering::Relaxed));
-        show("frostdyke_peer_messages_in", |t| t.messages_in.load(Ordering::Relaxed));
-        show("frostdyke_peer_messages_lost", |t| t.messages_lost.load(Ordering::Relaxed));
+        register("frostdyke_peer_bytes_out", |t| t.bytes_out.load(Ordering::Relaxed));
+        register("frostdyke_peer_bytes_in", |t| t.bytes_in.load(Ordering::Relaxed));
+        register("frostdyke_peer_messages_out", |t| t.messages_out.load(Ordering::Relaxed));
+        register("frostdyke_peer_messages_in", |t| t.messages_in.load(Ordering::Relaxed));
+        register("frostdyke_peer_messages_lost", |t| t.messages_lost.load(Ordering::Relaxed));
     }
 
-    /// The page.
+    /// Renders all metrics in the Prometheus text format.
     pub fn render(&self) -> Vec<u8> {
         let mut buf = Vec::new();
-        // Writing to memory doesn't fail; an odd metric is left out.
+        // Writing to memory doesn't fail; a metric that can't be encoded is left out.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut buf);
         buf
     }
 
-    /// Serves the page until the process ends.
+    /// Serves the metrics until the process ends.
     pub async fn serve(self, listener: TcpListener) {
         web::serve(listener, 0, Arc::new(self), std::future::pending()).await;
     }
 
-    /// Flushes what is pending.
+    /// Flushes pending metrics and shuts the exporter down.
     pub fn shutdown(&self) {
         let _ = self.provider.shutdown();
     }
--- a/src/names.rs
+++ b/src/names.rs
@@ -1,6 +1,6 @@
-//! Typed names, so that a workspace can't be passed where a pool is meant.
+//! Typed names, so that the name of a workspace can't be passed for that of a pool.
 //!
-//! Every name is a shared string: cloning one costs a reference count, not an allocation.
+//! A name is a shared string: cloning it increments a reference count and doesn't allocate.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -18,17 +18,16 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// No name, for where it goes without saying.
+            /// The empty name, for where the name follows from the context.
             pub fn none() -> $name {
                 $name(Arc::from(""))
             }
 
-            /// Whether this is no name.
+            /// Whether the name is empty.
             pub fn is_none(&self) -> bool {
                 self.0.is_empty()
             }
 
-            /// The name as plain text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
--- a/src/operator/fleet_client.rs
+++ b/src/operator/fleet_client.rs
@@ -1,4 +1,4 @@
-//! Asks the routers of the whole fleet.
+//! Queries the routers of the whole fleet.
 
 use std::sync::Arc;
 
@@ -20,19 +20,19 @@
 use crate::status::Explanation;
 use crate::status::Status;
 
-/// What one box answered.
+/// The response of one box.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct BoxResponse<T> {
-    /// Which box.
+    /// The name of the box.
     pub name: BoxName,
-    /// What it said.
+    /// The result, if the call succeeded.
     #[serde(rename = "answer")]
     pub response: Option<T>,
-    /// Why it said nothing.
+    /// The error, if the call failed.
     pub error: Option<String>,
 }
 
-/// The routers, as the box list or the settings name them.
+/// A client of all routers in the platform's box list, or in the settings if that can't be read.
 pub struct FleetClient {
     boxes: Arc<dyn Boxes>,
     seeds: Vec<ListedBox>,
@@ -41,54 +41,54 @@
 }
 
 impl FleetClient {
-    /// Nobody is asked yet. Calls go on `runtime`, from threads that may block.
+    /// Calls run on `runtime` and must be made from threads that may block.
     pub fn new(boxes: Arc<dyn Boxes>, cfg: &settings::Operator, runtime: Handle) -> FleetClient {
         let (seeds, secret) = (cfg.seeds.clone(), cfg.secret.clone());
         FleetClient { boxes, seeds, secret, runtime }
     }
 
-    /// The state of every box.
+    /// Returns the state of every box.
     pub fn status(&self) -> Vec<BoxResponse<Status>> {
-        self.ask(server::STATUS, None)
+        self.query_all(server::STATUS, None)
     }
 
-    /// What every box knows of a request.
+    /// Returns what every box has recorded about a request.
     pub fn explain(&self, request: &str) -> Vec<BoxResponse<Explanation>> {
-        self.ask(server::EXPLAIN, Some(request.to_owned()))
+        self.query_all(server::EXPLAIN, Some(request.to_owned()))
     }
 
-    fn ask<T>(&self, method: &'static str, argument: Option<String>) -> Vec<BoxResponse<T>>
+    fn query_all<T>(&self, method: &'static str, argument: Option<String>) -> Vec<BoxResponse<T>>
     where
         T: serde::de::DeserializeOwned + Send + 'static,
     {
         let boxes = self.boxes.boxes().unwrap_or_else(|_| self.seeds.clone());
-        let mut answers = self.runtime.block_on(async {
-            let mut asked = JoinSet::new();
+        let mut responses = self.runtime.block_on(async {
+            let mut calls = JoinSet::new();
             for listed in boxes {
                 let (secret, argument) = (self.secret.clone(), argument.clone());
-                asked.spawn(async move {
-                    let result = ask_one::<T>(&listed, &secret, method, argument).await;
+                calls.spawn(async move {
+                    let result = query_box::<T>(&listed, &secret, method, argument).await;
                     let error = result.as_ref().err().map(ToString::to_string);
                     BoxResponse { name: listed.name, response: result.ok(), error }
                 });
             }
-            asked.join_all().await
+            calls.join_all().await
         });
-        answers.sort_by(|a, b| a.name.cmp(&b.name));
-        answers
+        responses.sort_by(|a, b| a.name.cmp(&b.name));
+        responses
     }
 }
 
-async fn ask_one<T: serde::de::DeserializeOwned>(
+async fn query_box<T: serde::de::DeserializeOwned>(
     listed: &ListedBox,
     secret: &Secret,
     method: &str,
     argument: Option<String>,
 ) -> Result<T, link::Error> {
     let client = link::connect(listed.peer, secret, &Arc::new(Traffic::default())).await?;
-    let answer = match argument {
+    let response = match argument {
         Some(argument) => client.request(method, rpc_params![argument]).await,
         None => client.request(method, rpc_params![]).await,
     };
-    Ok(answer?)
+    Ok(response?)
 }
--- a/src/operator/intent.rs
+++ b/src/operator/intent.rs
@@ -1,4 +1,4 @@
-//! What operators can want, and what it makes of a configuration. Pure.
+//! Intents: changes that operators request, and how they apply to a configuration. Does no I/O.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -12,45 +12,45 @@
 use crate::config::Workspace;
 use crate::config::catalog;
 
-/// Something that an operator wants.
+/// A change of the configuration that an operator requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "intent", rename_all = "kebab-case")]
 pub enum Intent {
-    /// A workspace as described, new or changed.
+    /// Add or replace a workspace.
     PutWorkspace { workspace: Workspace },
-    /// No such workspace any more.
+    /// Remove a workspace.
     RemoveWorkspace { name: String },
-    /// A service as described, new or changed.
+    /// Add or replace a service.
     PutService { service: Service },
-    /// No such service any more.
+    /// Remove a service.
     RemoveService { name: String },
-    /// A pool as described, new or changed.
+    /// Add or replace a pool.
     PutPool { pool: Pool },
-    /// No such pool any more.
+    /// Remove a pool.
     RemovePool { name: String },
-    /// An upstream as described, new or changed.
+    /// Add or replace an upstream.
     PutUpstream { upstream: Upstream },
-    /// No such upstream any more. Drain it first.
+    /// Remove an upstream. It should be drained first.
     RemoveUpstream { name: String },
-    /// No new work for an upstream.
+    /// Send an upstream no new requests.
     Drain { upstream: String },
-    /// Work for an upstream again.
+    /// Send an upstream requests again.
     Undrain { upstream: String },
-    /// This loaded on every engine of a pool, one after the other.
+    /// Load a model on every engine of a pool, one after the other.
     Load { pool: String, engine: EngineState },
-    /// The whole configuration as described.
+    /// Replace the whole configuration.
     Replace { configuration: Catalog },
 }
 
-/// The configuration that an intent makes of `base`; or every fault of it.
+/// Applies an intent to `base`. Returns the resulting configuration, or all its faults.
 pub fn apply(base: &Catalog, intent: &Intent) -> Result<Catalog, Vec<Fault>> {
     let mut next = base.clone();
-    change(&mut next, intent).map_err(|fault| vec![fault])?;
+    apply_unchecked(&mut next, intent).map_err(|fault| vec![fault])?;
     let faults = catalog::check(&next);
     if faults.is_empty() { Ok(next) } else { Err(faults) }
 }
 
-fn change(next: &mut Catalog, intent: &Intent) -> Result<(), Fault> {
+fn apply_unchecked(next: &mut Catalog, intent: &Intent) -> Result<(), Fault> {
     match intent {
         Intent::PutWorkspace { workspace } => {
             put(&mut next.workspaces, workspace.clone(), |w| &w.name);
@@ -68,9 +68,9 @@
         Intent::RemoveUpstream { name } => {
             remove(&mut next.upstreams, name, |u| &u.name)?;
         }
-        Intent::Drain { upstream } => find(next, upstream)?.draining = true,
-        Intent::Undrain { upstream } => find(next, upstream)?.draining = false,
-        Intent::Load { pool, engine } => load(next, pool, engine)?,
+        Intent::Drain { upstream } => find_upstream(next, upstream)?.draining = true,
+        Intent::Undrain { upstream } => find_upstream(next, upstream)?.draining = false,
+        Intent::Load { pool, engine } => set_engine_state(next, pool, engine)?,
         Intent::Replace { configuration } => {
             let applied = std::mem::take(&mut next.applied);
             *next = Catalog { applied, ..configuration.clone() };
@@ -79,9 +79,9 @@
     Ok(())
 }
 
-fn load(next: &mut Catalog, pool: &str, engine: &EngineState) -> Result<(), Fault> {
+fn set_engine_state(next: &mut Catalog, pool: &str, engine: &EngineState) -> Result<(), Fault> {
     if !next.pools.iter().any(|p| &*p.name == pool) {
-        return Err(unknown("pool", pool));
+        return Err(not_found("pool", pool));
     }
     for upstream in next.upstreams.iter_mut().filter(|u| &*u.pool == pool) {
         upstream.engine = Some(engine.clone());
@@ -90,23 +90,23 @@
 }
 
 fn put<T>(all: &mut Vec<T>, item: T, name: impl Fn(&T) -> &str) {
-    match all.iter_mut().find(|known| name(known) == name(&item)) {
-        Some(known) => *known = item,
+    match all.iter_mut().find(|existing| name(existing) == name(&item)) {
+        Some(existing) => *existing = item,
         None => all.push(item),
     }
 }
 
-fn remove<T>(all: &mut Vec<T>, wanted: &str, name: impl Fn(&T) -> &str) -> Result<(), Fault> {
-    let at = all.iter().position(|item| name(item) == wanted);
-    all.remove(at.ok_or_else(|| unknown("name", wanted))?);
+fn remove<T>(all: &mut Vec<T>, target: &str, name: impl Fn(&T) -> &str) -> Result<(), Fault> {
+    let index = all.iter().position(|item| name(item) == target);
+    all.remove(index.ok_or_else(|| not_found("name", target))?);
     Ok(())
 }
 
-fn find<'a>(next: &'a mut Catalog, name: &str) -> Result<&'a mut Upstream, Fault> {
+fn find_upstream<'a>(next: &'a mut Catalog, name: &str) -> Result<&'a mut Upstream, Fault> {
     let found = next.upstreams.iter_mut().find(|u| &*u.name == name);
-    found.ok_or_else(|| unknown("upstream", name))
+    found.ok_or_else(|| not_found("upstream", name))
 }
 
-fn unknown(field: &str, name: &str) -> Fault {
+fn not_found(field: &str, name: &str) -> Fault {
     Fault { field: field.to_owned(), reason: format!("there is no '{name}'") }
 }
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -1,5 +1,6 @@
-//! The intent API for operators: what they want, the plan that comes of it, and its confirmation.
-//! Nothing is done before a plan is confirmed. Any box can check any plan; nothing is kept here.
+//! The intent API for operators: they submit an intent, get a plan of the resulting changes, and
+//! confirm it. Nothing changes until a plan is confirmed. The server is stateless: any box can
+//! check and apply any plan.
 
 pub mod fleet_client;
 pub mod intent;
@@ -43,47 +44,47 @@
 use crate::web;
 use crate::web::HttpHandler;
 
-/// Threads of the asynchronous runtime.
-const WORKERS: usize = 2;
+/// Worker threads of the asynchronous runtime.
+const WORKER_THREADS: usize = 2;
 
-/// Longest body, in bytes: a whole configuration fits.
-const BODY_MAX: usize = 2 << 20;
+/// Longest request body: a whole configuration fits.
+const BODY_MAX_BYTES: usize = 2 << 20;
 
-/// Why the operators' port can't be served.
+/// An error that ends the operators' server.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The runtime or its signals can't be had.
+    /// Starting the runtime or installing signal handlers failed.
     #[error("starting the runtime: {0}")]
     Runtime(io::Error),
-    /// The port can't be served.
+    /// Binding the operators' port failed.
     #[error("[listen] operators: {0}")]
     Serve(io::Error),
 }
 
-/// Why a request of an operator wasn't done.
+/// Why a request of an operator failed.
 #[derive(Clone, Debug, Serialize, thiserror::Error)]
 #[serde(tag = "problem", rename_all = "kebab-case")]
 pub enum Problem {
-    /// The token names no operator.
-    #[error("the token names no operator")]
+    /// The token is missing or belongs to no operator.
+    #[error("the token is missing or belongs to no operator")]
     Unauthorized,
-    /// There is nothing at this path.
-    #[error("there is nothing at this path")]
+    /// The API has no such method and path.
+    #[error("no such method and path")]
     NoPath,
-    /// The body isn't what belongs here.
-    #[error("the body: {reason}")]
+    /// The request body can't be parsed.
+    #[error("invalid request body: {reason}")]
     BadBody { reason: String },
-    /// What the intent asks for can't be: every fault, named by field.
+    /// The intent would make the configuration invalid: all faults, by field.
     #[error("{}", faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))]
     Invalid { faults: Vec<Fault> },
-    /// The configuration has changed since the plan was made; here is a new one.
-    #[error("the configuration has changed since the plan was made")]
+    /// The configuration has changed since the plan was created. Contains a new plan.
+    #[error("the configuration has changed since the plan was created")]
     Stale { plan: Box<Plan> },
-    /// The plan isn't what its intent gives.
-    #[error("the plan does not belong to its intent")]
+    /// The plan differs from the one created from its intent.
+    #[error("the plan does not match its intent")]
     Forged,
-    /// The platform can't be reached.
-    #[error("the platform: {reason}")]
+    /// A call to the platform failed.
+    #[error("platform: {reason}")]
     Platform { reason: String },
 }
 
@@ -106,26 +107,26 @@
     }
 }
 
-/// A configuration with its revision, as operators are shown it.
+/// A configuration with its revision.
 #[derive(Clone, Debug, Serialize, serde::Deserialize)]
 pub struct VersionedCatalog {
     /// The object's version.
     pub revision: u64,
-    /// What is in force, or soon will be.
+    /// The stored configuration, in force as soon as the boxes have received it.
     pub configuration: Catalog,
 }
 
-/// A plan that was applied.
+/// The result of applying a plan.
 #[derive(Clone, Copy, Debug, Serialize, serde::Deserialize)]
 pub struct Confirmation {
-    /// The revision that it gave.
+    /// The resulting revision of the configuration.
     pub revision: u64,
 }
 
-/// Serves operators until the process is told to stop; then ends what is under way.
+/// Serves operators until a shutdown signal arrives; then completes the requests in progress.
 pub fn run(cfg: settings::Operator) -> Result<(), Error> {
     let runtime = Builder::new_multi_thread()
-        .worker_threads(WORKERS)
+        .worker_threads(WORKER_THREADS)
         .enable_all()
         .build()
         .map_err(Error::Runtime)?;
@@ -140,7 +141,7 @@
     let fleet = FleetClient::new(client.clone(), &cfg, Handle::current());
     info!(log, "listening"; "operators" => %cfg.operators);
     let api = Arc::new(Api { objects: client, fleet, tokens: cfg.tokens, log });
-    web::serve(listener, BODY_MAX, api, signals.next()).await;
+    web::serve(listener, BODY_MAX_BYTES, api, signals.next()).await;
     Ok(())
 }
 
@@ -153,11 +154,11 @@
 
 impl HttpHandler for Api {
     fn check_head(&self, head: &Parts) -> Option<Response<Bytes>> {
-        self.authenticate(&head.headers).err().map(|problem| refusal(&problem))
+        self.authenticate(&head.headers).err().map(|problem| problem_response(&problem))
     }
 
     fn handle(&self, req: Request<Bytes>) -> Response<Bytes> {
-        self.dispatch(&req).unwrap_or_else(|problem| refusal(&problem))
+        self.dispatch(&req).unwrap_or_else(|problem| problem_response(&problem))
     }
 }
 
@@ -166,40 +167,41 @@
         let operator = self.authenticate(req.headers())?;
         match (req.method().as_str(), req.uri().path()) {
             ("GET", "/v1/configuration") => {
-                Ok(answer(200, &plan::read_configuration(&*self.objects)?))
+                Ok(json_response(200, &plan::read_configuration(&*self.objects)?))
             }
-            ("GET", "/v1/engines") => Ok(answer(200, &self.engines()?)),
-            ("GET", "/v1/status") => Ok(answer(200, &self.fleet.status())),
+            ("GET", "/v1/engines") => Ok(json_response(200, &self.engines()?)),
+            ("GET", "/v1/status") => Ok(json_response(200, &self.fleet.status())),
             ("POST", "/v1/plans") => {
-                let intent: Intent = read(req.body())?;
-                Ok(answer(200, &plan::create(&*self.objects, intent)?))
+                let intent: Intent = parse(req.body())?;
+                Ok(json_response(200, &plan::create(&*self.objects, intent)?))
             }
             ("POST", "/v1/confirmations") => {
-                let plan: Plan = read(req.body())?;
-                let confirmed = plan::confirm(&*self.objects, &plan, operator)?;
+                let plan: Plan = parse(req.body())?;
+                let confirmation = plan::confirm(&*self.objects, &plan, operator)?;
                 info!(self.log, "plan applied";
-                    "plan" => &plan.hash, "by" => operator, "revision" => confirmed.revision);
-                Ok(answer(200, &confirmed))
+                    "plan" => &plan.hash, "by" => operator, "revision" => confirmation.revision);
+                Ok(json_response(200, &confirmation))
             }
             ("GET", path) => match path.strip_prefix("/v1/explanations/") {
-                Some(request) => Ok(answer(200, &self.fleet.explain(request))),
+                Some(request) => Ok(json_response(200, &self.fleet.explain(request))),
                 None => Err(Problem::NoPath),
             },
             _ => Err(Problem::NoPath),
         }
     }
 
-    /// What the controllers of all zones have reported.
+    /// Returns the reports of the controllers of all zones.
     fn engines(&self) -> Result<Vec<Report>, Problem> {
-        let shown = plan::read_configuration(&*self.objects)?;
+        let current = plan::read_configuration(&*self.objects)?;
         let mut reports = Vec::new();
-        for zone in shown.configuration.zones() {
+        for zone in current.configuration.zones() {
             reports.extend(report::read(&*self.objects, zone)?);
         }
         Ok(reports)
     }
 
-    /// The operator whom the token names. Every digest is compared, and in constant time.
+    /// Returns the operator that the token belongs to. All digests are compared, each in constant
+    /// time.
     fn authenticate(&self, headers: &HeaderMap) -> Result<&str, Problem> {
         let header = headers.get(AUTHORIZATION).and_then(|v| v.to_str().ok());
         let token = header.and_then(|v| v.strip_prefix("Bearer ")).unwrap_or("");
@@ -214,19 +216,19 @@
     }
 }
 
-fn read<T: DeserializeOwned>(body: &[u8]) -> Result<T, Problem> {
+fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, Problem> {
     serde_json::from_slice(body).map_err(|e| Problem::BadBody { reason: e.to_string() })
 }
 
-fn refusal(problem: &Problem) -> Response<Bytes> {
-    answer(problem.status(), problem)
+fn problem_response(problem: &Problem) -> Response<Bytes> {
+    json_response(problem.status(), problem)
 }
 
-fn answer(status: u16, value: &impl Serialize) -> Response<Bytes> {
-    let text = serde_json::to_vec(value).expect("answers serialize");
+fn json_response(status: u16, value: &impl Serialize) -> Response<Bytes> {
+    let body = serde_json::to_vec(value).expect("responses serialize");
     Response::builder()
         .status(status)
         .header(CONTENT_TYPE, "application/json")
-        .body(Bytes::from(text))
-        .expect("a valid answer")
+        .body(Bytes::from(body))
+        .expect("a valid response")
 }
--- a/src/operator/plan.rs
+++ b/src/operator/plan.rs
@@ -1,4 +1,4 @@
-//! Plans: what an intent would change, bound to the revision it was made for.
+//! Plans: the changes that an intent would make to a given revision of the configuration.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -17,35 +17,35 @@
 use crate::platform::Error;
 use crate::platform::Objects;
 
-/// Applied plans that the configuration remembers.
+/// Applied plans that are recorded in the configuration.
 const APPLIED_MAX: usize = 64;
 
-/// Tries to settle a write whose answer was lost.
-const SETTLE_MAX: usize = 3;
+/// Attempts to apply a plan when writes conflict or their response is lost.
+const CONFIRM_ATTEMPTS_MAX: usize = 3;
 
-/// What an intent would do.
+/// The effect of an intent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// What was wanted.
+    /// The intent.
     pub intent: Intent,
-    /// The revision that it was made for.
+    /// The revision that it was created for.
     pub base: u64,
-    /// What it changes.
+    /// The fields that it changes.
     pub changes: Vec<FieldChange>,
-    /// What an operator should know before confirming.
+    /// Warnings to the operator before confirming.
     pub warnings: Vec<String>,
-    /// Names the plan: SHA-256 over the base, the intent and the configuration it gives.
+    /// Identifies the plan: SHA-256 of the base, the intent and the resulting configuration.
     pub hash: String,
 }
 
-/// One field that changes.
+/// The change of one field.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FieldChange {
-    /// Its place, such as `upstreams.llm-1.draining`.
+    /// The path of the field, such as `upstreams.llm-1.draining`.
     pub field: String,
-    /// Its value now; nothing for a new one.
+    /// Its value before; `None` if the field is added.
     pub before: Option<Value>,
-    /// Its value then; nothing for one that goes.
+    /// Its value after; `None` if the field is removed.
     pub after: Option<Value>,
 }
 
@@ -59,50 +59,51 @@
     Ok(VersionedCatalog { revision: object.version, configuration })
 }
 
-/// Makes a plan for the configuration as it is now.
+/// Creates a plan for the current configuration.
 pub fn create(objects: &dyn Objects, intent: Intent) -> Result<Plan, Problem> {
-    let shown = read_configuration(objects)?;
-    plan(&shown, intent).map(|(plan, _)| plan)
+    let current = read_configuration(objects)?;
+    plan_and_result(&current, intent).map(|(plan, _)| plan)
 }
 
-/// Applies a plan, unless the configuration has changed since. Confirming a plan twice applies it
-/// once, and so does a write whose answer was lost: the configuration names the plans applied.
-pub fn confirm(objects: &dyn Objects, wanted: &Plan, by: &str) -> Result<Confirmation, Problem> {
-    for _ in 0..SETTLE_MAX {
-        let shown = read_configuration(objects)?;
-        if shown.configuration.applied.iter().any(|a| a.plan == wanted.hash) {
-            return Ok(Confirmation { revision: shown.revision });
+/// Applies a plan unless the configuration has changed since it was created. The configuration
+/// records the applied plans, so a plan that is confirmed twice, or whose write is retried after a
+/// lost response, is applied once.
+pub fn confirm(objects: &dyn Objects, confirmed: &Plan, by: &str) -> Result<Confirmation, Problem> {
+    for _ in 0..CONFIRM_ATTEMPTS_MAX {
+        let current = read_configuration(objects)?;
+        if current.configuration.applied.iter().any(|a| a.plan == confirmed.hash) {
+            return Ok(Confirmation { revision: current.revision });
         }
-        let (plan, mut next) = plan(&shown, wanted.intent.clone())?;
-        if shown.revision != wanted.base {
+        let (plan, mut next) = plan_and_result(&current, confirmed.intent.clone())?;
+        if current.revision != confirmed.base {
             return Err(Problem::Stale { plan: Box::new(plan) });
         }
-        if plan.hash != wanted.hash {
+        if plan.hash != confirmed.hash {
             return Err(Problem::Forged);
         }
         next.applied.push(Applied { plan: plan.hash, by: by.to_owned() });
         let surplus = next.applied.len().saturating_sub(APPLIED_MAX);
         next.applied.drain(..surplus);
         let value = serde_json::to_vec(&next).expect("a configuration serializes");
-        match objects.put(catalog::OBJECT, &value, shown.revision) {
+        match objects.put(catalog::OBJECT, &value, current.revision) {
             Ok(revision) => return Ok(Confirmation { revision }),
-            // Read back: either this plan is in there now, or another one was faster.
+            // The next attempt reads the configuration: it contains this plan, or another change.
             Err(Error::Conflict { .. } | Error::Unknown(_)) => {}
             Err(e) => return Err(e.into()),
         }
     }
     Err(Problem::Platform {
-        reason: "the answer to the update was lost again and again".to_owned(),
+        reason: "the update repeatedly conflicted or its response was lost".to_owned(),
     })
 }
 
-fn plan(shown: &VersionedCatalog, intent: Intent) -> Result<(Plan, Catalog), Problem> {
-    let base = &shown.configuration;
+fn plan_and_result(current: &VersionedCatalog, intent: Intent) -> Result<(Plan, Catalog), Problem> {
+    let base = &current.configuration;
     let next = intent::apply(base, &intent).map_err(|faults| Problem::Invalid { faults })?;
-    let text = serde_json::to_vec(&(shown.revision, &intent, &next)).expect("it serializes");
+    let text = serde_json::to_vec(&(current.revision, &intent, &next)).expect("a plan serializes");
     let plan = Plan {
-        base: shown.revision,
-        changes: differences(base, &next),
+        base: current.revision,
+        changes: field_changes(base, &next),
         warnings: warnings(base, &next),
         hash: hex::encode(Sha256::digest(text)),
         intent,
@@ -110,22 +111,22 @@
     Ok((plan, next))
 }
 
-fn differences(base: &Catalog, next: &Catalog) -> Vec<FieldChange> {
+fn field_changes(base: &Catalog, next: &Catalog) -> Vec<FieldChange> {
     let value = |c: &Catalog| {
         let c = Catalog { applied: Vec::new(), ..c.clone() };
         serde_json::to_value(c).expect("a configuration serializes")
     };
-    let mut found = Vec::new();
-    compare("", Some(&value(base)), Some(&value(next)), &mut found);
-    found
+    let mut changes = Vec::new();
+    compare("", Some(&value(base)), Some(&value(next)), &mut changes);
+    changes
 }
 
-/// Lists of named things are compared by name, everything else by place.
+/// Adds the differences of two values. Elements of lists with names are matched by name.
 fn compare(
     field: &str,
     before: Option<&Value>,
     after: Option<&Value>,
-    found: &mut Vec<FieldChange>,
+    changes: &mut Vec<FieldChange>,
 ) {
     if before == after {
         return;
@@ -134,7 +135,7 @@
     let (old, new) = (parts(before), parts(after));
     if old.is_empty() || new.is_empty() {
         let (before, after) = (before.cloned(), after.cloned());
-        found.push(FieldChange { field: field.to_owned(), before, after });
+        changes.push(FieldChange { field: field.to_owned(), before, after });
         return;
     }
     let mut names: Vec<&String> = old.iter().chain(&new).map(|(name, _)| name).collect();
@@ -144,12 +145,12 @@
         let get = |parts: &[(String, Value)]| {
             parts.iter().find(|(n, _)| n == name).map(|(_, v)| v.clone())
         };
-        let place = if field.is_empty() { name.clone() } else { format!("{field}.{name}") };
-        compare(&place, get(&old).as_ref(), get(&new).as_ref(), found);
+        let path = if field.is_empty() { name.clone() } else { format!("{field}.{name}") };
+        compare(&path, get(&old).as_ref(), get(&new).as_ref(), changes);
     }
 }
 
-/// The named parts of a value; nothing for one that has none.
+/// Returns the named parts of a value; `None` if it isn't an object or a list of named elements.
 fn children(value: &Value) -> Option<Vec<(String, Value)>> {
     match value {
         Value::Object(map) => Some(map.iter().map(|(k, v)| (k.clone(), v.clone())).collect()),
@@ -171,14 +172,15 @@
         }
     }
     for upstream in &base.upstreams {
-        let stays = next.upstreams.iter().any(|u| u.name == upstream.name);
-        if !stays && !upstream.draining {
-            warnings.push(format!("upstream {} goes without being drained first", upstream.name));
+        let is_kept = next.upstreams.iter().any(|u| u.name == upstream.name);
+        if !is_kept && !upstream.draining {
+            warnings
+                .push(format!("upstream {} is removed without being drained first", upstream.name));
         }
     }
     for workspace in &base.workspaces {
         if !next.workspaces.iter().any(|w| w.name == workspace.name) {
-            warnings.push(format!("requests of workspace {} are refused", workspace.name));
+            warnings.push(format!("requests of workspace {} will be refused", workspace.name));
         }
     }
     warnings
--- a/src/status.rs
+++ b/src/status.rs
@@ -1,4 +1,4 @@
-//! What a box tells operators of itself: its state, and why it placed a request as it did.
+//! Responses of a box to operators: its state, and the explanation of a placement decision.
 
 use jsonrpsee::IntoResponse;
 use jsonrpsee::ResponsePayload;
@@ -18,20 +18,20 @@
 /// The state of one box.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// Which box.
+    /// The name of the box.
     pub name: BoxName,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// The configuration in force; 0 for none.
+    /// Revision of the configuration in force; 0 without one.
     pub revision: u64,
-    /// Whether it is about to stop.
+    /// Whether the box is shutting down.
     pub leaving: bool,
-    /// The boxes of its zone that it believes alive.
+    /// The boxes of its zone that it considers alive.
     #[serde(rename = "live")]
     pub live_boxes: Vec<BoxName>,
-    /// Requests waiting at this router.
+    /// Requests of this router that wait for an upstream.
     pub waiting: usize,
-    /// Requests of this router running at upstreams.
+    /// Requests of this router that run on upstreams.
     pub running: usize,
     /// The dispatchers on this box.
     pub pools: Vec<PoolStatus>,
@@ -40,57 +40,55 @@
 /// The state of one dispatcher.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PoolStatus {
-    /// Which pool.
     pub pool: PoolName,
     /// Tickets waiting.
     pub waiting: usize,
     /// Requests running.
     pub running: u32,
-    /// Slots of all upstreams that may get work.
+    /// Slots of all available upstreams.
     pub slots: u32,
-    /// Workspaces that wait, the one furthest behind first.
+    /// Workspaces with waiting requests, by ascending virtual time.
     pub workspaces: Vec<WorkspaceStatus>,
-    /// All upstreams of the zone.
+    /// All upstreams of the pool in this zone.
     pub upstreams: Vec<UpstreamStatus>,
 }
 
-/// A workspace that waits.
+/// A workspace with waiting requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkspaceStatus {
-    /// Which workspace.
     pub workspace: WorkspaceName,
-    /// Its tickets here.
+    /// Its waiting tickets at this dispatcher.
     pub waiting: u32,
     /// Its virtual time, in thousandths of the pool's unit.
     pub virtual_time: i64,
-    /// Why its first ticket isn't served now.
+    /// Why its first ticket still waits.
     #[serde(rename = "why")]
     pub wait_reason: Waits,
 }
 
-/// An upstream, and why it gets nothing if it doesn't.
+/// An upstream and whether it gets requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct UpstreamStatus {
-    /// Which upstream.
     pub upstream: UpstreamName,
-    /// Why it gets no work now.
+    /// Why it gets no requests now; `None` if it is available.
     #[serde(rename = "aside")]
     pub unavailable_reason: Option<String>,
 }
 
-/// What one box knows of a request.
+/// What one box has recorded about a request.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Explanation {
-    /// The router's part; nothing when the box didn't hold the request or has forgotten it.
+    /// The router's record; `None` if the box did not receive the request or no longer has the
+    /// record.
     pub request: Option<RequestRecord>,
-    /// Placement decisions that this box took for it.
+    /// Placement decisions of this box's dispatchers for the request.
     pub decisions: Vec<Decision>,
 }
 
-/// What a router remembers of a request.
+/// A router's record of a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RequestRecord {
-    /// The request's id, as the caller was told.
+    /// The request's id, as returned to the caller.
     #[serde(rename = "request")]
     pub request_id: String,
     /// Its workspace.
@@ -99,7 +97,7 @@
     pub service: ServiceName,
     /// One entry per attempt to place it.
     pub attempts: Vec<Attempt>,
-    /// How it ended.
+    /// Its outcome.
     pub outcome: String,
     /// Milliseconds from its arrival to its end.
     pub total_ms: u64,
@@ -108,11 +106,11 @@
 /// One attempt to place a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Attempt {
-    /// The ticket of this attempt.
+    /// The ticket of the attempt.
     pub ticket: TicketId,
-    /// Where it was sent, if it was.
+    /// The upstream that it was sent to, if any.
     pub upstream: Option<UpstreamName>,
-    /// Milliseconds it waited.
+    /// Milliseconds that it waited for an upstream.
     pub waited_ms: u64,
     /// How it ended.
     #[serde(rename = "ending")]
--- a/src/stop.rs
+++ b/src/stop.rs
@@ -1,4 +1,4 @@
-//! The signals that ask a process to stop: SIGTERM and SIGINT.
+//! The signals that request a shutdown: SIGTERM and SIGINT.
 
 use std::io;
 
@@ -6,7 +6,8 @@
 use tokio::signal::unix::SignalKind;
 use tokio::signal::unix::signal;
 
-/// Waits for signals. From its making on, they no longer end the process by themselves.
+/// Receives shutdown signals. Once one of these is made, they no longer terminate the process by
+/// themselves.
 #[derive(Debug)]
 pub struct Signals {
     term: Signal,
@@ -14,7 +15,7 @@
 }
 
 impl Signals {
-    /// Begins to listen; needs a runtime.
+    /// Installs the signal handlers; must be called within a runtime.
     pub fn new() -> io::Result<Signals> {
         let term = signal(SignalKind::terminate())?;
         Ok(Signals { term, int: signal(SignalKind::interrupt())? })
--- a/src/util.rs
+++ b/src/util.rs
@@ -1,4 +1,4 @@
-//! Small helpers that several modules share.
+//! Helpers shared by several modules.
 
 use std::error::Error;
 use std::time::Duration;
@@ -8,14 +8,14 @@
 use ureq::Agent;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Bits that a counter may use below an `id_base`.
+/// Low bits of an id that are left to the counter above an `id_base`.
 const COUNTER_BITS: u32 = 24;
 
-/// Bits of an id in all: few, since ids go over the wire in decimal.
+/// Bits of an id. Few, since ids are written in decimal on the wire.
 const ID_BITS: u32 = 52;
 
-/// An HTTP client that gives up after `timeout`, goes where it is told only, and leaves it to the
-/// caller what a status means.
+/// Returns an HTTP client that times out after `timeout`, follows no redirects, uses no proxy, and
+/// returns every response whatever its status.
 pub fn http_agent(timeout: Duration) -> Agent {
     let config = Agent::config_builder()
         .http_status_as_error(false)
@@ -26,25 +26,26 @@
     config.into()
 }
 
-/// The number of this start of the process: milliseconds since the epoch, so a later start has a
-/// greater one.
+/// Returns a number that identifies this run of the process: milliseconds since the Unix epoch, so
+/// that a later run has a greater one.
 pub fn new_incarnation() -> u64 {
     unix_millis()
 }
 
-/// The time of day, in milliseconds since 1970. It may jump.
+/// Returns the wall-clock time in milliseconds since the Unix epoch. It may jump.
 pub fn unix_millis() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
     since.as_millis() as u64
 }
 
-/// A number with its low bits clear, from which one start of a box counts its ids of one `kind`.
+/// Returns the number from which one run of a box counts its ids of a `kind`. Its low
+/// `COUNTER_BITS` are clear.
 pub fn id_base(name: &str, incarnation: u64, kind: &str) -> u64 {
     let hash = xxh3_64(format!("{name}/{incarnation}/{kind}").as_bytes());
     hash >> (u64::BITS - (ID_BITS - COUNTER_BITS)) << COUNTER_BITS
 }
 
-/// Of `candidates`, the one that rendezvous hashing ranks first for `key`.
+/// Returns the candidate that rendezvous hashing ranks first for `key`.
 pub fn rendezvous<'a, T: AsRef<str> + Ord + ?Sized + 'a>(
     key: &str,
     candidates: impl Iterator<Item = &'a T>,
@@ -52,7 +53,7 @@
     candidates.max_by_key(|c| (xxh3_64(format!("{key}/{}", c.as_ref()).as_bytes()), *c))
 }
 
-/// An error with what caused it, and what caused that.
+/// Formats an error with its chain of causes.
 pub fn error_chain(e: &dyn Error) -> String {
     let mut text = e.to_string();
     let mut cause = e.source();
@@ -64,7 +65,7 @@
     text
 }
 
-/// Spreads a number over all its bits: the finish of `splitmix64` (Steele et al., 2014).
+/// Mixes the bits of a number, by the finalizer of `splitmix64` (Steele et al., 2014).
 pub fn mix_bits(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/src/web.rs
+++ b/src/web.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 servers, by `hyper`: the accept loop of every port that speaks HTTP, and whole short
-//! answers for the metrics page and the intent API.
+//! HTTP/1.1 servers, by `hyper`: the accept loop of every HTTP port, and a simple server of short
+//! responses for metrics, readiness and the intent API.
 
 use std::convert::Infallible;
 use std::error::Error;
@@ -28,29 +28,30 @@
 use tokio::net::TcpStream;
 use tokio::sync::Semaphore;
 
-/// Pause after a failure to accept a connection.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+/// Delay after a failure to accept a connection.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Connections that a page serves at once. Idle ones hold no thread.
+/// Connections that [`serve`] handles at once. Idle ones occupy no thread.
 const HANDLER_CONNECTIONS_MAX: usize = 256;
 
-/// How long a client of a page may take to send a request's head, and again its body. An idle
-/// connection is closed after it, so that idle ones can't use up all that there may be.
+/// Timeout for reading the head of a request, and again for its body. It also closes idle
+/// connections, so that they can't exhaust the connection limit.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Answers the requests of a page.
+/// Handles the requests of a server run by [`serve`].
 pub trait HttpHandler: Send + Sync + 'static {
-    /// Looks at a request's head before its body is read; an answer here is the only one.
+    /// Checks the head of a request before its body is read. A response returned here is sent and
+    /// [`HttpHandler::handle`] isn't called.
     fn check_head(&self, _head: &Parts) -> Option<Response<Bytes>> {
         None
     }
 
-    /// Answers a request; it may block.
+    /// Handles a request; it may block.
     fn handle(&self, req: Request<Bytes>) -> Response<Bytes>;
 }
 
-/// Accepts connections, `max` at once, until `stopped`; then lets what is under way end and
-/// returns. `connect` makes a connection's future.
+/// Accepts connections, at most `max` at once, until `stopped` resolves; then completes the
+/// requests in progress and returns. `connect` returns the future that serves a connection.
 pub async fn accept<C>(
     listener: TcpListener,
     max: usize,
@@ -71,15 +72,15 @@
             accepted = listener.accept() => accepted,
             () = &mut stopped => break,
         };
-        // Out of descriptors, say: others may be closed meanwhile.
+        // For example out of file descriptors: other connections may close in the meantime.
         let Ok((stream, _)) = stream else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let _ = stream.set_nodelay(true);
         let connection = graceful.watch(connect(stream));
         tokio::spawn(async move {
-            // A client that leaves, or sends what isn't HTTP, is its own business.
+            // Errors are caused by the client: it disconnected or sent invalid HTTP.
             let _ = connection.await;
             drop(permit);
         });
@@ -87,8 +88,8 @@
     graceful.shutdown().await;
 }
 
-/// Serves whole answers until `stopped`. Bodies over `body_max` bytes get 413. Requests are
-/// answered on threads that may block.
+/// Serves requests by `handler` until `stopped` resolves. Bodies over `body_max` bytes get status
+/// 413. The handler runs on threads that may block.
 pub async fn serve(
     listener: TcpListener,
     body_max: usize,
@@ -109,18 +110,18 @@
     .await;
 }
 
-/// Why a body can't be had.
+/// Why reading a body failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
-    /// It is longer than it may be.
+    /// It exceeds the limit.
     #[error("the body is too long")]
     TooLong,
-    /// It didn't come whole, or not in time.
+    /// It is incomplete, or wasn't received in time.
     #[error("the body did not come whole")]
     Truncated,
 }
 
-/// Reads a body of at most `max` bytes. One that says it is longer is refused unread.
+/// Reads a body of at most `max` bytes. A body that declares more is rejected without reading it.
 pub async fn read_body<B>(body: B, max: usize, timeout: Duration) -> Result<Bytes, BodyError>
 where
     B: Body<Data = Bytes>,
@@ -151,9 +152,9 @@
         Err(BodyError::Truncated) => return empty(StatusCode::REQUEST_TIMEOUT),
     };
     let req = Request::from_parts(head, body);
-    let answered = tokio::task::spawn_blocking(move || handler.handle(req)).await;
-    // A panic has been printed; this client hears of it, and the others are served on.
-    answered.map_or_else(|_| empty(StatusCode::INTERNAL_SERVER_ERROR), |r| r.map(Full::new))
+    let result = tokio::task::spawn_blocking(move || handler.handle(req)).await;
+    // A panic has been printed already. This client gets status 500; others are unaffected.
+    result.map_or_else(|_| empty(StatusCode::INTERNAL_SERVER_ERROR), |r| r.map(Full::new))
 }
 
 fn empty(status: StatusCode) -> Response<Full<Bytes>> {
