--- a/src/load/client.rs
+++ b/src/load/client.rs
@@ -42,9 +42,9 @@
     /// Cost received in each second of the run.
     pub service: Vec<u64>,
     /// Microseconds until the response started.
-    pub first: Histogram<u64>,
+    pub time_to_start: Histogram<u64>,
     /// Microseconds until the response was complete.
-    pub complete: Histogram<u64>,
+    pub time_to_complete: Histogram<u64>,
 }
 
 /// One simulated caller.
@@ -85,8 +85,8 @@
                 not_run: 0,
                 unknown: 0,
                 service: vec![0; scenario.duration.as_secs() as usize + 1],
-                first: histogram(),
-                complete: histogram(),
+                time_to_start: histogram(),
+                time_to_complete: histogram(),
             },
         }
     }
@@ -147,7 +147,7 @@
             thread::sleep(delay.unwrap_or(RETRY_DELAY).min(RETRY_DELAY_MAX));
             return;
         }
-        self.counts.first.saturating_record(sent_at.elapsed().as_micros() as u64);
+        self.counts.time_to_start.saturating_record(sent_at.elapsed().as_micros() as u64);
         let content_type = resp.headers().get("content-type").map(|v| v.as_bytes());
         let unit = match content_type {
             Some(b"text/event-stream") => Unit::Tokens,
@@ -168,7 +168,7 @@
             }
         }
         self.counts.ran += 1;
-        self.counts.complete.saturating_record(sent_at.elapsed().as_micros() as u64);
+        self.counts.time_to_complete.saturating_record(sent_at.elapsed().as_micros() as u64);
     }
 
     fn record_chunk(&mut self, meter: &mut dyn cost_meter::CostMeter, chunk: &[u8]) {
--- a/src/load/report.rs
+++ b/src/load/report.rs
@@ -139,11 +139,11 @@
 fn workspace_report(scenario: &Scenario, index: usize, counts: &[ClientCounts]) -> WorkspaceReport {
     let settings = &scenario.workspaces[index];
     let own_counts = || counts.iter().filter(|c| c.workspace == index);
-    let mut first = Histogram::<u64>::new(3).expect("the digits are valid");
+    let mut time_to_start = Histogram::<u64>::new(3).expect("the digits are valid");
     let mut per_second = vec![0; scenario.duration.as_secs() as usize + 1];
     for count in own_counts() {
         // Both histograms hold microseconds, and the sum resizes itself.
-        let _ = first.add(&count.first);
+        let _ = time_to_start.add(&count.time_to_start);
         for (sum, n) in per_second.iter_mut().zip(&count.service) {
             *sum += n;
         }
@@ -157,8 +157,8 @@
         unknown: own_counts().map(|c| c.unknown).sum(),
         service: per_second.iter().sum(),
         per_second,
-        first_p50_ms: first.value_at_quantile(0.5) as f64 / 1000.0,
-        first_p99_ms: first.value_at_quantile(0.99) as f64 / 1000.0,
+        first_p50_ms: time_to_start.value_at_quantile(0.5) as f64 / 1000.0,
+        first_p99_ms: time_to_start.value_at_quantile(0.99) as f64 / 1000.0,
     }
 }
 
