--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,9 +1,9 @@
-//! The controller: brings the engines of its availability zone to what the configuration wants. One
-//! per box; the one that holds the zone's lease acts.
+//! The controller: brings the engines of its availability zone to the configured state. Each box
+//! runs one; only the one that holds the zone's lease acts.
 
-pub mod engines;
-pub mod keeper;
+pub mod engine_api;
 pub mod lease;
+pub mod lease_manager;
 pub mod report;
 pub mod rollout;
 
@@ -26,16 +26,16 @@
 use crate::config::CatalogRevision;
 use crate::config::Upstream;
 use crate::config::settings;
-use crate::controller::engines::Engines;
-use crate::controller::engines::Envelope;
-use crate::controller::keeper::Keeper;
+use crate::controller::rollout::ManagedEngines;
+use crate::controller::rollout::LoadRateLimiter;
+use crate::controller::rollout::EngineStatus;
 use crate::controller::lease::Fence;
 use crate::controller::report::EngineReport;
 use crate::controller::report::Report;
-use crate::controller::rollout::Observed;
+use crate::controller::report::ReportWriter;
 use crate::controller::rollout::Step;
-use crate::controller::rollout::Touched;
-use crate::controller::rollout::Weights;
+use crate::controller::lease_manager::LeaseManager;
+use crate::controller::engine_api::HttpEngineApi;
 use crate::log;
 use crate::metrics;
 use crate::metrics::Metrics;
@@ -46,89 +46,94 @@
 use crate::platform::watch::PlatformUpdate;
 use crate::stop::Signals;
 use crate::util;
+use crate::controller::engine_api::EngineApi;
+use crate::controller::engine_api::FencedOrder;
 
-/// Time between two looks at the engines that are being changed.
-const LOOK: Duration = Duration::from_millis(500);
+/// Interval between polls of the engines that are being changed.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time between two looks at all engines while the configuration stays the same.
-const LOOK_AT_ALL: Duration = Duration::from_secs(10);
+/// Interval between polls of all engines while the configuration is unchanged.
+const FULL_POLL_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Engines asked at the same time.
-const AT_ONCE: usize = 16;
+/// Engines polled concurrently.
+const CONCURRENT_POLLS_MAX: usize = 16;
 
-/// How long a call to the store may take: short beside the lease.
+/// Timeout of a call to the store: short compared to the lease.
 const STORE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why a controller can't run.
+/// An error that ends the controller.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A socket, a signal or the runtime can't be had.
+    /// Opening a socket, installing signal handlers or starting the runtime failed.
     #[error("{what}: {source}")]
     Io { what: &'static str, source: io::Error },
-    /// The metrics can't be had.
+    /// Setting up the metrics failed.
     #[error(transparent)]
     Metrics(#[from] metrics::Error),
 }
 
-/// Runs a controller until it is told to stop; then it gives its lease up.
+/// Runs a controller until a shutdown signal arrives; then it releases its lease.
 pub fn run(cfg: settings::Controller) -> Result<(), Error> {
     let io = |what| move |source| Error::Io { what, source };
     let runtime = Builder::new_multi_thread().worker_threads(1).enable_all().build();
     let runtime = runtime.map_err(io("starting the runtime"))?;
     let result = runtime.block_on(async {
         let mut signals = Signals::new().map_err(io("signals"))?;
-        let page = TcpListener::bind(cfg.metrics).await.map_err(io("[listen] metrics"))?;
+        let metrics_listener =
+            TcpListener::bind(cfg.metrics).await.map_err(io("[listen] metrics"))?;
         let (log, _guard) = log::open(&cfg.log, "frostdyke-controller", &cfg.identity.name);
         let metrics = Metrics::new()?;
-        let keeper = start(&cfg, &metrics, &log);
-        tokio::spawn(metrics.serve(page));
+        let lease_manager = start(&cfg, &metrics, &log);
+        tokio::spawn(metrics.serve(metrics_listener));
         signals.next().await;
         info!(log, "stopping");
-        // The store may hang; the lease then runs out by itself.
-        let _ = tokio::task::spawn_blocking(move || keeper.release()).await;
+        // If the store hangs, the lease expires by itself.
+        let _ = tokio::task::spawn_blocking(move || lease_manager.release()).await;
         Ok(())
     });
     runtime.shutdown_background();
     result
 }
 
-fn start(cfg: &settings::Controller, metrics: &Metrics, log: &Logger) -> Arc<Keeper> {
+fn start(cfg: &settings::Controller, metrics: &Metrics, log: &Logger) -> Arc<LeaseManager> {
     let client = Arc::new(Client::new(cfg.platform).with_timeout(STORE_TIMEOUT));
-    metrics.store_calls(client.calls());
+    metrics.register_store_calls(client.calls());
     let zone = cfg.identity.zone.clone();
     let object = format!("frostdyke/leases/controller/{zone}");
-    let me = format!("{}/{}", cfg.identity.name, util::new_incarnation());
-    let keeper = Keeper::start(client.clone(), &object, &me, log.clone());
-    let (shown, revision) =
-        (keeper.clone(), Arc::new(Mutex::new(Arc::new(CatalogRevision::default()))));
-    metrics.gauge("frostdyke_lease_held", move || {
-        vec![(f64::from(u8::from(shown.held().is_some())), Vec::new())]
+    let holder = format!("{}/{}", cfg.identity.name, util::new_incarnation());
+    let lease_manager = LeaseManager::start(client.clone(), &object, &holder, log.clone());
+    let (gauge_manager, revision) =
+        (lease_manager.clone(), Arc::new(Mutex::new(Arc::new(CatalogRevision::default()))));
+    metrics.register_gauge("frostdyke_lease_held", move || {
+        vec![(f64::from(u8::from(gauge_manager.fence().is_some())), Vec::new())]
+    });
+    let (latest, watch_log) = (revision.clone(), log.clone());
+    platform::watch::watch_configuration(client.clone(), move |update| {
+        handle_update(&latest, update, &watch_log)
     });
-    let (latest, told) = (revision.clone(), log.clone());
-    platform::watch::watch_configuration(client.clone(), move |news| take_in(&latest, news, &told));
     let mut controller = Controller {
-        me: cfg.identity.clone(),
+        identity: cfg.identity.clone(),
         objects: client,
-        engines: Box::new(engines::Client::default()),
-        keeper: keeper.clone(),
-        reports: report::Writer::default(),
-        tenure: None,
+        engine_api: Box::new(HttpEngineApi::default()),
+        lease_manager: lease_manager.clone(),
+        reports: ReportWriter::default(),
+        term: None,
         metrics: metrics.clone(),
         log: log.clone(),
     };
     thread::spawn(move || {
-        let epoch = Instant::now();
+        let started_at = Instant::now();
         loop {
             let revision = revision.lock().expect("no panic under lock").clone();
-            controller.round(&revision, epoch.elapsed());
-            thread::sleep(LOOK);
+            controller.reconcile(&revision, started_at.elapsed());
+            thread::sleep(POLL_INTERVAL);
         }
     });
-    keeper
+    lease_manager
 }
 
-fn take_in(latest: &Mutex<Arc<CatalogRevision>>, news: PlatformUpdate, log: &Logger) {
-    match news {
+fn handle_update(latest: &Mutex<Arc<CatalogRevision>>, update: PlatformUpdate, log: &Logger) {
+    match update {
         PlatformUpdate::Configuration { version, revision } => match *revision {
             Ok(revision) => {
                 let mut latest = latest.lock().expect("no panic under lock");
@@ -142,148 +147,151 @@
                 warn!(log, "configuration refused"; "revision" => version, "fault" => fault);
             }
         },
-        PlatformUpdate::Reachability(Some(e)) => warn!(log, "platform lost"; "error" => %e),
-        PlatformUpdate::Reachability(None) => info!(log, "platform back"),
+        PlatformUpdate::Reachability(Some(e)) => warn!(log, "platform unreachable"; "error" => %e),
+        PlatformUpdate::Reachability(None) => info!(log, "platform reachable again"),
         PlatformUpdate::Boxes(_) => {}
     }
 }
 
 struct Controller {
-    me: settings::Identity,
+    identity: settings::Identity,
     objects: Arc<dyn ObjectStore>,
-    engines: Box<dyn Engines>,
-    keeper: Arc<Keeper>,
-    reports: report::Writer,
-    tenure: Option<Tenure>,
+    engine_api: Box<dyn EngineApi>,
+    lease_manager: Arc<LeaseManager>,
+    reports: ReportWriter,
+    term: Option<LeaseTerm>,
     metrics: Metrics,
     log: Logger,
 }
 
-/// What is known for as long as the lease is held under one fence.
-struct Tenure {
+/// State of the controller while it holds the lease under one fence.
+struct LeaseTerm {
     fence: Fence,
-    weights: Weights,
-    touched: Touched,
-    /// What the engines said last.
-    observed: BTreeMap<UpstreamName, Observed>,
-    /// Those that are being changed now.
-    moving: BTreeSet<UpstreamName>,
-    /// When all were looked at, and for which configuration.
-    looked: Option<(Duration, u64)>,
+    load_limiter: LoadRateLimiter,
+    managed: ManagedEngines,
+    /// The last status of each engine that responded.
+    observed: BTreeMap<UpstreamName, EngineStatus>,
+    /// Engines that are being changed.
+    in_progress: BTreeSet<UpstreamName>,
+    /// When all engines were last polled, and for which configuration.
+    last_full_poll: Option<(Duration, u64)>,
 }
 
-impl Tenure {
-    /// Whether it is time to look at all engines.
-    fn is_due(&self, revision: u64, now: Duration) -> bool {
-        self.looked.is_none_or(|(at, seen)| seen != revision || at + LOOK_AT_ALL <= now)
+impl LeaseTerm {
+    /// Whether all engines are to be polled now.
+    fn is_full_poll_due(&self, revision: u64, now: Duration) -> bool {
+        self.last_full_poll
+            .is_none_or(|(at, polled)| polled != revision || at + FULL_POLL_INTERVAL <= now)
     }
 }
 
 impl Controller {
-    /// Looks at the engines, orders what is next, and reports. Does nothing without the lease.
-    fn round(&mut self, cfg: &CatalogRevision, now: Duration) {
-        let Some(mut tenure) = self.keeper.held().and_then(|fence| self.tenure(fence, now)) else {
-            self.tenure = None;
+    /// Polls the engines, sends the next orders, and reports. Does nothing without the lease.
+    fn reconcile(&mut self, cfg: &CatalogRevision, now: Duration) {
+        let Some(mut term) = self.lease_manager.fence().and_then(|fence| self.term_for(fence, now))
+        else {
+            self.term = None;
             return;
         };
-        let (fence, zone) = (tenure.fence, self.me.zone.clone());
-        if !self.look(cfg, &mut tenure, now) {
-            self.tenure = Some(tenure);
+        let (fence, zone) = (term.fence, self.identity.zone.clone());
+        if !self.refresh_statuses(cfg, &mut term, now) {
+            self.term = Some(term);
             return;
         }
-        let Tenure { weights, touched, observed, .. } = &mut tenure;
-        let steps = rollout::steps(cfg, &zone, touched, observed, weights, now);
-        tenure.moving =
-            steps.iter().filter(|s| s.is_moving()).map(|s| s.upstream.clone()).collect();
+        let LeaseTerm { load_limiter, managed, observed, .. } = &mut term;
+        let steps = rollout::next_steps(cfg, &zone, managed, observed, load_limiter, now);
+        term.in_progress =
+            steps.iter().filter(|s| s.is_in_progress()).map(|s| s.upstream.clone()).collect();
         let mut engines = Vec::with_capacity(steps.len());
         for step in &steps {
-            tenure.touched.insert(step.upstream.clone());
-            let error = self.order(cfg, fence, step);
-            let seen = tenure.observed.get(&step.upstream);
+            term.managed.insert(step.upstream.clone());
+            let error = self.send_order(cfg, fence, step);
+            let status = term.observed.get(&step.upstream);
             engines.push(EngineReport {
                 upstream: step.upstream.clone(),
                 stage: step.stage,
-                state: seen.map(|o| o.state.clone()),
-                running: seen.map_or(0, |o| o.running),
+                state: status.map(|s| s.state.clone()),
+                running: status.map_or(0, |s| s.running),
                 error,
             });
         }
-        self.tenure = Some(tenure);
-        if engines.is_empty() || self.keeper.held() != Some(fence) {
+        self.term = Some(term);
+        if engines.is_empty() || self.lease_manager.fence() != Some(fence) {
             return;
         }
-        let (holder, revision) = (self.me.name.clone(), cfg.number);
+        let (holder, revision) = (self.identity.name.clone(), cfg.number);
         self.reports.write(&*self.objects, Report { zone, holder, fence, revision, engines });
     }
 
-    /// What is known under this fence. A new holder learns from the last report which engines its
-    /// predecessors have touched; nothing while that can't be read.
-    fn tenure(&mut self, fence: Fence, now: Duration) -> Option<Tenure> {
-        if let Some(tenure) = self.tenure.take().filter(|t| t.fence == fence) {
-            return Some(tenure);
+    /// Returns the state for this fence. A new holder learns from the last report which engines
+    /// earlier holders have managed; `None` while that report can't be read.
+    fn term_for(&mut self, fence: Fence, now: Duration) -> Option<LeaseTerm> {
+        if let Some(term) = self.term.take().filter(|t| t.fence == fence) {
+            return Some(term);
         }
-        let last = report::read(&*self.objects, &self.me.zone).ok()?;
+        let last = report::read(&*self.objects, &self.identity.zone).ok()?;
         let engines = last.into_iter().flat_map(|report| report.engines);
-        let touched = engines.map(|engine| engine.upstream).collect();
-        Some(Tenure {
+        let managed = engines.map(|engine| engine.upstream).collect();
+        Some(LeaseTerm {
             fence,
-            weights: Weights::new(now),
-            touched,
+            load_limiter: LoadRateLimiter::new(now),
+            managed,
             observed: BTreeMap::new(),
-            moving: BTreeSet::new(),
-            looked: None,
+            in_progress: BTreeSet::new(),
+            last_full_poll: None,
         })
     }
 
-    /// Asks the engines that are being changed, and now and then all; false when there is none to
-    /// ask. Asking 300 engines twice a second took a quarter of a core.
-    fn look(&self, cfg: &CatalogRevision, tenure: &mut Tenure, now: Duration) -> bool {
-        let all = tenure.is_due(cfg.number, now);
-        let engines = rollout::engines(cfg, &self.me.zone, &tenure.touched);
-        let asked: Vec<&Upstream> =
-            engines.filter(|u| all || tenure.moving.contains(&u.name)).collect();
-        if all {
-            tenure.looked = Some((now, cfg.number));
+    /// Polls the engines that are being changed, and all of them at longer intervals, since polling
+    /// 300 engines twice a second takes a quarter of a core. Returns whether any was polled.
+    fn refresh_statuses(&self, cfg: &CatalogRevision, term: &mut LeaseTerm, now: Duration) -> bool {
+        let poll_all = term.is_full_poll_due(cfg.number, now);
+        let engines = rollout::engines_to_manage(cfg, &self.identity.zone, &term.managed);
+        let polled: Vec<&Upstream> =
+            engines.filter(|u| poll_all || term.in_progress.contains(&u.name)).collect();
+        if poll_all {
+            term.last_full_poll = Some((now, cfg.number));
         }
-        for upstream in &asked {
-            tenure.observed.remove(&upstream.name);
+        for upstream in &polled {
+            term.observed.remove(&upstream.name);
         }
-        tenure.observed.extend(self.observe(&asked));
-        !asked.is_empty()
+        term.observed.extend(self.fetch_statuses(&polled));
+        !polled.is_empty()
     }
 
-    /// What engines say of themselves, those that answer.
-    fn observe(&self, asked: &[&Upstream]) -> BTreeMap<UpstreamName, Observed> {
+    /// Fetches the statuses of engines; those that don't respond are left out.
+    fn fetch_statuses(&self, upstreams: &[&Upstream]) -> BTreeMap<UpstreamName, EngineStatus> {
         let mut observed = BTreeMap::new();
-        for some in asked.chunks(AT_ONCE) {
-            let answers: Vec<_> = thread::scope(|scope| {
-                let mut asked = Vec::with_capacity(some.len());
-                for &upstream in some {
-                    let ask = || (upstream.name.clone(), self.engines.observe(upstream));
-                    asked.push(scope.spawn(ask));
+        for chunk in upstreams.chunks(CONCURRENT_POLLS_MAX) {
+            let results: Vec<_> = thread::scope(|scope| {
+                let mut threads = Vec::with_capacity(chunk.len());
+                for &upstream in chunk {
+                    let fetch = || (upstream.name.clone(), self.engine_api.fetch_status(upstream));
+                    threads.push(scope.spawn(fetch));
                 }
-                asked.into_iter().map(|a| a.join().expect("asking doesn't panic")).collect()
+                threads.into_iter().map(|t| t.join().expect("polling doesn't panic")).collect()
             });
-            let good = answers.into_iter().filter_map(|(name, answer)| Some((name, answer.ok()?)));
+            let good = results.into_iter().filter_map(|(name, result)| Some((name, result.ok()?)));
             observed.extend(good);
         }
         observed
     }
 
-    /// Gives one order, if there is one and the lease is still held. Gives why it wasn't done.
-    fn order(&self, cfg: &CatalogRevision, fence: Fence, step: &Step) -> Option<String> {
+    /// Sends the order of a step, if there is one and the lease is still held. Returns the error if
+    /// it failed.
+    fn send_order(&self, cfg: &CatalogRevision, fence: Fence, step: &Step) -> Option<String> {
         let order = step.order.clone()?;
         let upstream = cfg.upstream(&step.upstream)?;
-        if self.keeper.held() != Some(fence) {
+        if self.lease_manager.fence() != Some(fence) {
             return None;
         }
-        let envelope = Envelope { fence, revision: cfg.number, order };
-        let result = self.engines.order(upstream, &envelope);
+        let fenced = FencedOrder { fence, revision: cfg.number, order };
+        let result = self.engine_api.send_order(upstream, &fenced);
         let error = result.err().map(|e| e.to_string());
-        // The users ask for a line for each placement decision: this places models on engines.
-        info!(self.log, "ordered";
+        // Each placement decision must be logged; this one places models on engines.
+        info!(self.log, "sent order to engine";
             "upstream" => %step.upstream,
-            "order" => ?envelope.order,
+            "order" => ?fenced.order,
             "fence" => fence.0,
             "revision" => cfg.number,
             "error" => error.as_deref(),
--- a/src/router/hub.rs
+++ b/src/router/hub.rs
@@ -16,10 +16,10 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use crate::claims::ClaimOp;
-use crate::claims::ClaimRequest;
 use crate::claims::ClaimTransport;
 use crate::claims::Claims;
+use crate::claims::ClaimRequest;
+use crate::claims::ClaimOp;
 use crate::config::CatalogRevision;
 use crate::dispatch::pool::Decision;
 use crate::dispatch::pool::PoolDispatcher;
@@ -32,14 +32,14 @@
 use crate::node::Node;
 use crate::node::Output;
 use crate::node::Refusal;
-use crate::peer::connection::ConnectionHandler;
-use crate::peer::connection::PeerConnections;
+use crate::peer::server::CallResponse;
+use crate::peer::server::CallHandler;
 use crate::peer::message::Ending;
 use crate::peer::message::Message;
 use crate::peer::message::Ticket;
 use crate::peer::message::TicketId;
-use crate::peer::server::CallHandler;
-use crate::peer::server::CallResponse;
+use crate::peer::connection::PeerConnections;
+use crate::peer::connection::ConnectionHandler;
 use crate::platform::ObjectStore;
 use crate::router::request_history::RequestHistory;
 use crate::status::Explanation;
@@ -394,7 +394,7 @@
         zone: id.zone.clone(),
         revision: node.configuration().number,
         leaving: node.members().is_leaving(),
-        live: node.members().live(now).cloned().collect(),
+        live_boxes: node.members().live(now).cloned().collect(),
         waiting: node.waiting_count(),
         running: node.running_count(),
         pools: node.pools().map(pool_status).collect(),
@@ -406,14 +406,14 @@
         workspace: w.clone(),
         waiting: pool.queue().waiting(w),
         virtual_time: pool.ledger().virtual_time(w),
-        why: pool.wait_reason(w),
+        wait_reason: pool.wait_reason(w),
     };
     let mut workspaces: Vec<WorkspaceStatus> = pool.queue().workspaces().map(status).collect();
     workspaces.sort_by_key(|w| w.virtual_time);
     workspaces.truncate(STATUS_WORKSPACES_MAX);
     let upstreams = pool.upstreams().states().map(|(name, aside)| UpstreamStatus {
         upstream: name.clone(),
-        aside: aside.map(|a| format!("{a:?}").to_lowercase()),
+        unavailable_reason: aside.map(|a| format!("{a:?}").to_lowercase()),
     });
     PoolStatus {
         pool: pool.name().clone(),
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -30,8 +30,8 @@
 use crate::metrics::Metrics;
 use crate::node::Identity;
 use crate::node::Node;
-use crate::peer::connection::PeerConnections;
 use crate::peer::member::GossipSettings;
+use crate::peer::connection::PeerConnections;
 use crate::peer::server;
 use crate::peer::traffic::Traffic;
 use crate::platform;
@@ -103,7 +103,7 @@
     let stopped = wait_for_stop(hub.clone(), signals, stop);
     listener::serve(caller_listener, context, cfg.identity.name.clone(), stopped).await;
     info!(log, "stopped");
-    metrics.stop();
+    metrics.shutdown();
     Ok(())
 }
 
@@ -131,7 +131,7 @@
 
 fn watch_platform(cfg: &settings::Router, hub: &Arc<Hub>) {
     let client = Arc::new(Client::new(cfg.platform));
-    hub.metrics().store_calls(client.calls());
+    hub.metrics().register_store_calls(client.calls());
     let apply = |hub: Arc<Hub>| move |update| apply_platform_update(&hub, update);
     platform::watch::watch_configuration(client.clone(), apply(hub.clone()));
     hub.start_claims(Arc::new(client.with_timeout(CLAIM_TIMEOUT)));
@@ -182,13 +182,13 @@
 
 /// Registers the gauges and counters that are read when the metrics page is requested.
 fn register_gauges(metrics: &Metrics, traffic: &Arc<Traffic>, context: &Arc<RouterContext>) {
-    metrics.traffic(traffic);
+    metrics.register_peer_traffic(traffic);
     let threads = context.clone();
-    metrics.gauge("frostdyke_sending_threads", move || {
+    metrics.register_gauge("frostdyke_sending_threads", move || {
         vec![(threads.sending_threads.live_count() as f64, Vec::new())]
     });
     let hub = context.hub.clone();
-    metrics.gauge("frostdyke_router", move || {
+    metrics.register_gauge("frostdyke_router", move || {
         hub.read(|node, _| {
             let label = |state: &'static str| vec![KeyValue::new("state", state)];
             vec![
@@ -198,22 +198,23 @@
         })
     });
     let hub = context.hub.clone();
-    metrics.count("frostdyke_claim_writes", move || hub.claims().map_or(0, |c| c.writes()));
+    metrics
+        .register_counter("frostdyke_claim_writes", move || hub.claims().map_or(0, |c| c.writes()));
     let hub = context.hub.clone();
-    metrics.gauge("frostdyke_claims_down", move || {
+    metrics.register_gauge("frostdyke_claims_down", move || {
         let down = hub.claims().is_some_and(|c| c.is_store_down());
         vec![(f64::from(u8::from(down)), Vec::new())]
     });
     let hub = context.hub.clone();
-    metrics.gauge("frostdyke_live_boxes", move || {
+    metrics.register_gauge("frostdyke_live_boxes", move || {
         vec![(hub.read(|node, now| node.members().live(now).count()) as f64, Vec::new())]
     });
     let hub = context.hub.clone();
-    metrics.gauge("frostdyke_revision", move || {
+    metrics.register_gauge("frostdyke_revision", move || {
         vec![(hub.read(|node, _| node.configuration().number) as f64, Vec::new())]
     });
     let hub = context.hub.clone();
-    metrics.gauge("frostdyke_pool", move || hub.read(|node, _| pool_gauges(node)));
+    metrics.register_gauge("frostdyke_pool", move || hub.read(|node, _| pool_gauges(node)));
 }
 
 /// Gauges of each dispatcher on this box: waiting, running, slots, utilisation and fairness gap.
--- a/src/router/refusal.rs
+++ b/src/router/refusal.rs
@@ -18,7 +18,7 @@
 use crate::claims::KeyError;
 use crate::node::Refusal;
 use crate::router::service_request::InvalidRequest;
-use crate::web::BodyFault;
+use crate::web::BodyError;
 
 /// Id of the request, by which its explanation is requested.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("frostdyke-request-id");
@@ -72,7 +72,7 @@
     MethodNotAllowed,
     /// The body is longer than the limit, or was incomplete at the time limit.
     #[error(transparent)]
-    Body(#[from] BodyFault),
+    Body(#[from] BodyError),
     /// The request may not wait at this router.
     #[error(transparent)]
     Refused(#[from] Refusal),
@@ -125,8 +125,8 @@
             RequestError::ClaimUnavailable { .. } => "no-claim",
             RequestError::NoPath => "no-path",
             RequestError::MethodNotAllowed => "method",
-            RequestError::Body(BodyFault::TooLong) => "body-too-long",
-            RequestError::Body(BodyFault::Cut) => "body-cut",
+            RequestError::Body(BodyError::TooLong) => "body-too-long",
+            RequestError::Body(BodyError::Truncated) => "body-cut",
             RequestError::Refused(Refusal::WaitingLimit { .. }) => "waiting-limit",
             RequestError::Refused(Refusal::DeadlineTooShort { .. }) => "deadline-hopeless",
             RequestError::Refused(Refusal::NoPool) => "no-pool",
@@ -155,8 +155,8 @@
             }
             RequestError::DuplicateRan | RequestError::DuplicateElsewhere => StatusCode::CONFLICT,
             RequestError::MethodNotAllowed => StatusCode::METHOD_NOT_ALLOWED,
-            RequestError::Body(BodyFault::TooLong) => StatusCode::PAYLOAD_TOO_LARGE,
-            RequestError::Body(BodyFault::Cut) => StatusCode::REQUEST_TIMEOUT,
+            RequestError::Body(BodyError::TooLong) => StatusCode::PAYLOAD_TOO_LARGE,
+            RequestError::Body(BodyError::Truncated) => StatusCode::REQUEST_TIMEOUT,
             RequestError::Refused(Refusal::WaitingLimit { .. }) => StatusCode::TOO_MANY_REQUESTS,
             RequestError::Refused(Refusal::DeadlineTooShort { .. }) => {
                 StatusCode::SERVICE_UNAVAILABLE
--- a/src/router/request_handler.rs
+++ b/src/router/request_handler.rs
@@ -17,9 +17,9 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use crate::claims::ClaimOutcome;
 use crate::claims::Claims;
 use crate::claims::IdempotencyKey;
+use crate::claims::ClaimOutcome;
 use crate::config::settings::Limits;
 use crate::names::BoxName;
 use crate::names::ServiceName;
@@ -32,20 +32,20 @@
 use crate::retry_after;
 use crate::router::hub::Hub;
 use crate::router::refusal::Body;
+use crate::router::refusal::RequestError;
 use crate::router::refusal::OUTCOME;
 use crate::router::refusal::Outcome;
 use crate::router::refusal::REQUEST_ID;
-use crate::router::refusal::RequestError;
 use crate::router::response_body;
-use crate::router::response_body::PlacedRequest;
 use crate::router::response_body::UpstreamBody;
+use crate::router::response_body::PlacedRequest;
 use crate::router::service_request::PREFIX;
 use crate::router::service_request::ServiceRequest;
 use crate::router::stream_resume::StreamResume;
-use crate::router::upstream_sender::ResponseEvent;
-use crate::router::upstream_sender::ResponseReceiver;
-use crate::router::upstream_sender::SendingThreads;
 use crate::router::upstream_sender::UpstreamRequest;
+use crate::router::upstream_sender::SendingThreads;
+use crate::router::upstream_sender::ResponseReceiver;
+use crate::router::upstream_sender::ResponseEvent;
 use crate::status::Attempt;
 use crate::status::RequestRecord;
 
@@ -185,7 +185,7 @@
             ticket: id,
             upstream: None,
             waited_ms: 0,
-            ending: "waiting".to_owned(),
+            outcome: "waiting".to_owned(),
         });
         let mut stopping = self.context.stopping.clone();
         let assignment = tokio::select! {
@@ -201,10 +201,10 @@
         let attempt = self.trace.attempts.last_mut().expect("pushed above");
         attempt.waited_ms = waited.as_millis() as u64;
         let assignment =
-            assignment.inspect_err(|error| attempt.ending = error.code().to_owned())?;
+            assignment.inspect_err(|error| attempt.outcome = error.code().to_owned())?;
         guard.granted = true;
         attempt.upstream = Some(assignment.upstream.clone());
-        attempt.ending = "sent".to_owned();
+        attempt.outcome = "sent".to_owned();
         let class = KeyValue::new("class", class_label(self.request.class));
         hub.metrics().waits.record(waited.as_secs_f64(), &[class]);
         Ok(PlacedRequest::new(hub, id, assignment, &self.request))
@@ -297,7 +297,7 @@
             return self.handle_failure(true, "the response belongs to another request".to_owned());
         }
         if status == StatusCode::SERVICE_UNAVAILABLE
-            && let Some(backoff) = retry_after::read(&headers, SystemTime::now())
+            && let Some(backoff) = retry_after::from_headers(&headers, SystemTime::now())
         {
             placed.set_backoff(backoff);
         }
@@ -429,7 +429,7 @@
     /// Sets how the last attempt ended, or its current state.
     pub fn set_attempt_outcome(&mut self, ending: &str) {
         if let Some(attempt) = self.attempts.last_mut() {
-            attempt.ending = ending.to_owned();
+            attempt.outcome = ending.to_owned();
         }
     }
 
@@ -441,7 +441,7 @@
         ];
         self.hub.metrics().requests.add(1, &labels);
         self.hub.history().add_request(RequestRecord {
-            request: self.request_id.clone(),
+            request_id: self.request_id.clone(),
             workspace: self.workspace.clone(),
             service: self.service.clone(),
             attempts: std::mem::take(&mut self.attempts),
--- a/src/router/request_history.rs
+++ b/src/router/request_history.rs
@@ -42,7 +42,7 @@
     /// The rings are read by removing each record and adding it again, which may drop a few of the
     /// oldest if others are added meanwhile.
     pub fn explain(&self, request: &str) -> Explanation {
-        let requests = find_all(&self.requests, |r| r.request == request);
+        let requests = find_all(&self.requests, |r| r.request_id == request);
         let mut tickets: Vec<TicketId> =
             requests.iter().flat_map(|r| r.attempts.iter().map(|a| a.ticket)).collect();
         tickets.extend(first_ticket(request));
