--- a/src/controller/lease_manager.rs
+++ b/src/controller/lease_manager.rs
@@ -12,9 +12,9 @@
 
 use crate::controller::lease::Fence;
 use crate::controller::lease::Lease;
-use crate::controller::lease::WriteOutcome;
-use crate::controller::lease::LeaseRecord;
 use crate::controller::lease::LeaseAction;
+use crate::controller::lease::LeaseRecord;
+use crate::controller::lease::WriteOutcome;
 use crate::platform::Error;
 use crate::platform::ObjectStore;
 
--- a/src/controller/rollout.rs
+++ b/src/controller/rollout.rs
@@ -13,8 +13,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::config::EngineState;
 use crate::config::CatalogRevision;
+use crate::config::EngineState;
 use crate::config::Upstream;
 use crate::names::PoolName;
 use crate::names::UpstreamName;
--- a/src/operator/plan.rs
+++ b/src/operator/plan.rs
@@ -9,9 +9,9 @@
 use crate::config::Applied;
 use crate::config::Catalog;
 use crate::config::catalog;
-use crate::operator::VersionedCatalog;
-use crate::operator::Problem;
 use crate::operator::Confirmation;
+use crate::operator::Problem;
+use crate::operator::VersionedCatalog;
 use crate::operator::intent;
 use crate::operator::intent::Intent;
 use crate::platform::Error;
@@ -68,7 +68,11 @@
 /// Applies a plan unless the configuration has changed since it was created. The configuration
 /// records the applied plans, so a plan that is confirmed twice, or whose write is retried after a
 /// lost response, is applied once.
-pub fn confirm(objects: &dyn ObjectStore, confirmed: &Plan, by: &str) -> Result<Confirmation, Problem> {
+pub fn confirm(
+    objects: &dyn ObjectStore,
+    confirmed: &Plan,
+    by: &str,
+) -> Result<Confirmation, Problem> {
     for _ in 0..CONFIRM_ATTEMPTS_MAX {
         let current = read_configuration(objects)?;
         if current.configuration.applied.iter().any(|a| a.plan == confirmed.hash) {
