--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -175,9 +175,9 @@
     tokio::spawn(engine_placement::report_share_usage(hub.clone()));
     tokio::spawn(rollouts::run(hub.clone(), deps.rollout_reporter));
     tokio::spawn(suspects::catch_up(hub.clone()));
-    tokio::spawn(suspects::persist(hub.clone(), deps.suspect_store.clone()));
+    tokio::spawn(suspects::save(hub.clone(), deps.suspect_store.clone()));
     if !cfg.is_first_start {
-        tokio::spawn(suspects::load_persisted(hub.clone(), deps.suspect_store));
+        tokio::spawn(suspects::load_saved(hub.clone(), deps.suspect_store));
     }
     store_due.send_replace(hub.peers().is_store_due());
     tokio::spawn(run_housekeeping(hub.clone(), store_due));
@@ -228,8 +228,8 @@
         }
         let before = (limiter.is_overloaded(), hub.is_full());
         hub.set_streams_max(limiter.record_tick(tick_at.elapsed(), hub.streams()));
-        if rejected < hub.turned_away() {
-            rejected = hub.turned_away();
+        if rejected < hub.rejected() {
+            rejected = hub.rejected();
             not_ready_until = tick_at + NOT_READY_AFTER_REJECTION;
         }
         hub.set_full(limiter.is_full() || tick_at < not_ready_until);
