--- a/src/router/listener.rs
+++ b/src/router/listener.rs
@@ -19,13 +19,13 @@
 use tokio::net::TcpStream;
 
 use crate::names::BoxName;
-use crate::router::service_request;
+use crate::router::refusal;
 use crate::router::refusal::Body;
 use crate::router::refusal::Cause;
 use crate::router::request_handler;
-use crate::router::refusal;
 use crate::router::request_handler::Service;
 use crate::router::request_handler::Tale;
+use crate::router::service_request;
 use crate::web;
 
 /// Where services are.
--- a/src/router/stream_resume.rs
+++ b/src/router/stream_resume.rs
@@ -11,8 +11,8 @@
 use http::Method;
 use http::StatusCode;
 
-use crate::config::catalog::REQUEST_PLACEHOLDER;
 use crate::config::catalog::FROM_PLACEHOLDER;
+use crate::config::catalog::REQUEST_PLACEHOLDER;
 use crate::names::PoolName;
 use crate::names::WorkspaceName;
 use crate::router::refusal::REQUEST_ID;
