--- a/src/router/listener.rs
+++ b/src/router/listener.rs
@@ -19,13 +19,13 @@
 use tokio::net::TcpStream;
 
 use crate::names::BoxName;
-use crate::router::service_request;
+use crate::router::refusal;
 use crate::router::refusal::Body;
 use crate::router::refusal::RequestError;
 use crate::router::request_handler;
-use crate::router::refusal;
-use crate::router::request_handler::RouterContext;
 use crate::router::request_handler::RequestTrace;
+use crate::router::request_handler::RouterContext;
+use crate::router::service_request;
 use crate::web;
 
 /// Path prefix of all services.
