--- a/src/router/listener.rs
+++ b/src/router/listener.rs
@@ -19,13 +19,13 @@
 use tokio::net::TcpStream;
 
 use crate::names::BoxName;
-use crate::router::refusal;
+use crate::router::service_request;
 use crate::router::refusal::Body;
 use crate::router::refusal::Cause;
 use crate::router::request_handler;
+use crate::router::refusal;
 use crate::router::request_handler::Service;
 use crate::router::request_handler::Tale;
-use crate::router::service_request;
 use crate::web;
 
 /// Where services are.
@@ -63,7 +63,7 @@
     builder
         .timer(TokioTimer::new())
         .header_read_timeout(limits.head_timeout)
-        .max_buf_size(limits.max_header.max(HEAD_BUF_MIN))
+        .max_buf_size(limits.max_header_bytes.max(HEAD_BUF_MIN))
         .half_close(false);
     let (service, me) = (service.clone(), me.clone());
     let handle = service_fn(move |req| {
@@ -130,6 +130,6 @@
     let cfg = service.hub.configuration();
     let ask = service_request::parse(name, &head.headers, &cfg, &service.limits)?;
     let limits = &service.limits;
-    let body = web::read_body(body, limits.max_body, limits.head_timeout).await?;
+    let body = web::read_body(body, limits.max_body_bytes, limits.head_timeout).await?;
     Ok((ask, body))
 }
