--- a/benches/capacity/pool.rs
+++ b/benches/capacity/pool.rs
@@ -1,4 +1,4 @@
-//! A dispatcher with a backlog, for the benches.
+//! A dispatcher with a backlog, for benches.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,7 +22,7 @@
 
 const SLOTS: u32 = 8;
 
-/// A configuration of this size.
+/// A configuration with so many workspaces and engines.
 pub fn configuration(workspaces: usize, engines: usize) -> Catalog {
     let workspace = |w: usize| Workspace {
         key_digests: vec!["0".repeat(64)],
@@ -32,33 +32,34 @@
     catalog::catalog((0..workspaces).map(workspace).collect(), (0..engines).map(upstream).collect())
 }
 
-/// A dispatcher all of whose slots are taken and that has a ticket of every workspace waiting.
+/// A dispatcher with all slots occupied and a waiting ticket of every workspace.
 pub struct Backlog {
     pool: PoolDispatcher,
     workspaces: usize,
     next: u64,
     now: Duration,
     running: Vec<Grant>,
-    out: Vec<Action>,
+    actions: Vec<Action>,
 }
 
 impl Backlog {
     pub fn new(workspaces: usize, engines: usize) -> Backlog {
         let cfg = CatalogRevision::new(1, configuration(workspaces, engines)).expect("it is valid");
-        let cell = ReplicaId { name: "box".into(), incarnation: 1 };
+        let replica = ReplicaId { name: "box".into(), incarnation: 1 };
         let tuning = Tuning::default();
-        let pool = PoolDispatcher::new(&"llm".into(), &"zone".into(), cell, Arc::new(cfg), tuning);
+        let pool =
+            PoolDispatcher::new(&"llm".into(), &"zone".into(), replica, Arc::new(cfg), tuning);
         let pool = pool.expect("it is in the configuration");
         let now = Duration::from_secs(100);
         let mut backlog =
-            Backlog { pool, workspaces, next: 0, now, running: Vec::new(), out: Vec::new() };
+            Backlog { pool, workspaces, next: 0, now, running: Vec::new(), actions: Vec::new() };
         for _ in 0..engines * SLOTS as usize + workspaces {
             backlog.submit();
         }
         backlog
     }
 
-    /// Registers one more ticket.
+    /// Submits one more ticket.
     pub fn submit(&mut self) {
         self.next += 1;
         self.now += Duration::from_micros(10);
@@ -75,12 +76,12 @@
             avoid: None,
             forwarded: false,
         };
-        self.pool.submit(ticket, self.now, &mut self.out);
+        self.pool.submit(ticket, self.now, &mut self.actions);
         self.collect();
     }
 
-    /// One request ends, which grants another, and a new one comes.
-    pub fn turn(&mut self) {
+    /// Completes one request, which grants another, and submits a new one.
+    pub fn replace_one(&mut self) {
         let at = self.next as usize % self.running.len();
         let grant = self.running.swap_remove(at);
         let cost = 50 + self.next % 100;
@@ -90,12 +91,12 @@
             cost,
             ending: Ending::Answered,
         };
-        self.pool.handle_completion(&done, self.now, &mut self.out);
+        self.pool.handle_completion(&done, self.now, &mut self.actions);
         self.submit();
     }
 
     fn collect(&mut self) {
-        for action in self.out.drain(..) {
+        for action in self.actions.drain(..) {
             if let Action::Send { message: Message::Grant(grant), .. } = action {
                 self.running.push(grant);
             }
--- a/benches/claims.rs
+++ b/benches/claims.rs
@@ -1,5 +1,5 @@
-//! What claiming a key costs: latency and store writes against requests a second, for one box that
-//! writes for its zone. `cargo bench --bench claims` prints `name value bound ok|FAIL`.
+//! Cost of claiming an idempotency key: latency and store writes by requests a second, for one box
+//! that writes for its zone. `cargo bench --bench claims` prints `name value bound ok|FAIL`.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,12 +23,12 @@
 const SECONDS: u64 = 4;
 
 /// Store writes a second that a zone may cause.
-const WRITES: f64 = 20.0;
+const WRITES_PER_S_MAX: f64 = 20.0;
 
-/// Writes all claims itself.
-struct Alone;
+/// A box that writes all claims itself.
+struct LocalWriter;
 
-impl ClaimTransport for Alone {
+impl ClaimTransport for LocalWriter {
     fn writer_of(&self, _: u64) -> Option<BoxName> {
         None
     }
@@ -44,10 +44,10 @@
         let (p50, p99) = (histogram.value_at_quantile(0.5), histogram.value_at_quantile(0.99));
         println!("claims.{rate}.p50-ms {:.1}", p50 as f64 / 1000.0);
         println!("claims.{rate}.p99-ms {:.1}", p99 as f64 / 1000.0);
-        let ok = writes <= WRITES;
+        let ok = writes <= WRITES_PER_S_MAX;
         failed |= !ok;
         let verdict = if ok { "ok" } else { "FAIL" };
-        println!("claims.{rate}.writes-per-second {writes:.1} {WRITES:.1} {verdict}");
+        println!("claims.{rate}.writes-per-second {writes:.1} {WRITES_PER_S_MAX:.1} {verdict}");
     }
     runtime.block_on(with_history());
     if failed {
@@ -55,18 +55,19 @@
     }
 }
 
-/// Keys of the ten minutes before, which are still remembered.
-const HISTORY: u64 = 40_000;
+/// Keys of the past ten minutes, which are still remembered.
+const PAST_KEYS: u64 = 40_000;
 
-/// The same at a hundred a second, and what is written, once ten minutes of keys are remembered.
+/// Refusals and store writes at a hundred requests a second, with ten minutes of keys remembered.
 async fn with_history() {
     let platform = Platform::start(([127, 0, 0, 1], 0).into()).expect("the platform starts");
-    let claims = Claims::new(Arc::new(Client::new(platform.addr)), Box::new(Alone));
+    let claims = Claims::new(Arc::new(Client::new(platform.addr)), Box::new(LocalWriter));
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_secs();
     let mut running = tokio::task::JoinSet::new();
-    for n in 0..HISTORY {
-        let made = Timestamp::from_unix(NoContext, now - n * 590 / HISTORY, 0);
-        let key = IdempotencyKey::new("alpha", &Uuid::new_v7(made).to_string(), SystemTime::now());
+    for n in 0..PAST_KEYS {
+        let created_at = Timestamp::from_unix(NoContext, now - n * 590 / PAST_KEYS, 0);
+        let key =
+            IdempotencyKey::new("alpha", &Uuid::new_v7(created_at).to_string(), SystemTime::now());
         let (key, claims) = (key.expect("it is young"), claims.clone());
         running.spawn(async move { claims.acquire(key, n + 1).await.is_ok() });
         if running.len() == 4000 {
@@ -81,13 +82,13 @@
         let claims = claims.clone();
         running.spawn(async move {
             let key = IdempotencyKey::new("alpha", &Uuid::now_v7().to_string(), SystemTime::now());
-            claims.acquire(key.expect("it is new"), HISTORY + n + 1).await.is_ok()
+            claims.acquire(key.expect("it is new"), PAST_KEYS + n + 1).await.is_ok()
         });
     }
-    let taken = running.join_all().await.iter().filter(|taken| **taken).count();
+    let acquired = running.join_all().await.iter().filter(|acquired| **acquired).count();
     let after = platform.calls();
     let per_second = |n: u64| n as f64 / SECONDS as f64;
-    println!("claims.history.refused {}", 100 * SECONDS - taken as u64);
+    println!("claims.history.refused {}", 100 * SECONDS - acquired as u64);
     println!("claims.history.writes-per-second {:.1}", per_second(after.writes - before.writes));
     println!(
         "claims.history.kb-per-second {:.0}",
@@ -97,7 +98,7 @@
 
 async fn run(rate: u64) -> (Histogram<u64>, f64) {
     let platform = Platform::start(([127, 0, 0, 1], 0).into()).expect("the platform starts");
-    let claims = Claims::new(Arc::new(Client::new(platform.addr)), Box::new(Alone));
+    let claims = Claims::new(Arc::new(Client::new(platform.addr)), Box::new(LocalWriter));
     let mut interval = tokio::time::interval(Duration::from_secs(1) / rate as u32);
     let mut running = tokio::task::JoinSet::new();
     for n in 0..rate * SECONDS {
@@ -106,10 +107,10 @@
         running.spawn(async move {
             let text = Uuid::now_v7().to_string();
             let key = IdempotencyKey::new("alpha", &text, SystemTime::now()).expect("it is new");
-            let begun = Instant::now();
+            let started = Instant::now();
             let attempt = claims.acquire(key, n + 1).await.expect("nobody else has it");
             claims.resolve(key, attempt, true);
-            begun.elapsed()
+            started.elapsed()
         });
     }
     let mut histogram = load::histogram();
--- a/benches/fairness.rs
+++ b/benches/fairness.rs
@@ -1,7 +1,7 @@
-//! The fairness gap under three policies, over scenes with and without failures, in one run.
+//! Fairness gap under three policies, in scenarios with and without failures.
 //!
 //! `cargo bench --bench fairness` prints `name value bound ok|FAIL` and fails past a bound.
-//! `cargo bench --bench fairness -- sweep` prints the table of margins and exchange intervals.
+//! `cargo bench --bench fairness -- sweep` prints a table of margins and exchange intervals.
 
 #[path = "../tests/util/catalog.rs"]
 mod catalog;
@@ -11,25 +11,25 @@
 
 use std::time::Duration;
 
-use fleet::Judge;
-use fleet::LARGEST;
+use fleet::BoundCheck;
 use fleet::Policy;
-use fleet::SCENES;
-use fleet::Scene;
+use fleet::REQUEST_COST_MAX;
+use fleet::SCENARIOS;
+use fleet::Scenario;
 use frostdyke::peer::message::Class;
 use rig::Rig;
 use rig::Setup;
 use rig::Traffic;
 
-/// The gap of the fleet is at most this share of what routers that are fair each by itself leave,
-/// where the load is uneven.
-const SHARE_OF_BASELINE: f64 = 0.1;
+/// Under uneven load the fleet's gap is at most this share of the gap left by routers that are each
+/// fair by themselves.
+const BASELINE_SHARE_MAX: f64 = 0.1;
 
-/// The least part of its fair share that a workspace gets in any two seconds.
-const LEAST_SHARE: f64 = 0.1;
+/// The smallest part of its fair share that a workspace may get in any two seconds.
+const SHARE_MIN: f64 = 0.1;
 
-/// Urgent requests wait at most this share of the longest request's time beside a flood.
-const URGENT_WAIT: f64 = 0.25;
+/// Beside a flood, urgent requests wait at most this share of the duration of the longest request.
+const URGENT_WAIT_MAX: f64 = 0.25;
 
 fn main() {
     let base = Setup::default();
@@ -37,32 +37,32 @@
         return sweep(&base);
     }
     let bound = bound(&base);
-    let mut judge = Judge { failed: false };
-    for (scene, name) in SCENES {
-        let fifo = fleet::run(Policy::FifoPerRouter, scene, &base);
-        let fair = fleet::run(Policy::FairPerRouter, scene, &base);
-        let fleet = fleet::run(Policy::Fleet, scene, &base);
+    let mut check = BoundCheck { failed: false };
+    for (scenario, name) in SCENARIOS {
+        let fifo = fleet::run(Policy::FifoPerRouter, scenario, &base);
+        let fair = fleet::run(Policy::FairPerRouter, scenario, &base);
+        let fleet = fleet::run(Policy::Fleet, scenario, &base);
         println!("{name}.gap.fifo-per-router {:.0}", fifo.gap);
         println!("{name}.gap.fair-per-router {:.0}", fair.gap);
-        judge.at_most(&format!("{name}.gap.fleet"), fleet.gap, bound);
-        if scene != Scene::Even && scene != Scene::Cut {
+        check.at_most(&format!("{name}.gap.fleet"), fleet.gap, bound);
+        if scenario != Scenario::Even && scenario != Scenario::Cut {
             let share = fleet.gap / fair.gap;
-            judge.at_most(&format!("{name}.gap.fleet/fair"), share, SHARE_OF_BASELINE);
+            check.at_most(&format!("{name}.gap.fleet/fair"), share, BASELINE_SHARE_MAX);
         }
-        judge.at_least(&format!("{name}.least-share.fleet"), fleet.least_share, LEAST_SHARE);
+        check.at_least(&format!("{name}.least-share.fleet"), fleet.least_share, SHARE_MIN);
     }
-    urgent(&base, &mut judge);
-    judge.exit();
+    urgent(&base, &mut check);
+    check.exit();
 }
 
-/// Waits of a small workspace's urgent requests, alone and beside a flood, and of its normal ones
-/// beside the flood.
-fn urgent(base: &Setup, judge: &mut Judge) {
+/// Measures the waits of a small workspace: of its urgent requests, alone and beside a flood, and
+/// of its normal ones beside the flood.
+fn urgent(base: &Setup, check: &mut BoundCheck) {
     let small = |class| Traffic {
         rate: 20.0,
         tokens: (10, 30),
         class,
-        // The boxes have found each other by then.
+        // The boxes know each other by then.
         active: (4 * fleet::SECOND, Duration::MAX),
         ..Traffic::default()
     };
@@ -80,16 +80,16 @@
     println!("urgent.wait-ms.p99.alone {alone:.1}");
     println!("urgent.wait-ms.p99.normal-class-beside-flood {normal:.1}");
     println!("urgent.wait-ms.p99.beside-flood {urgent:.1}");
-    // Slots end at random; without a reserve, the wait for one is what a flood costs.
-    let turn = base.token.as_secs_f64() * 1e3 * LARGEST as f64;
-    judge.at_most("urgent.wait-p99/longest-request", urgent / turn, URGENT_WAIT);
+    // Slots become free at random; without a reserve, the wait for one is what a flood costs.
+    let longest_request_ms = base.token.as_secs_f64() * 1e3 * REQUEST_COST_MAX as f64;
+    check.at_most("urgent.wait-p99/longest-request", urgent / longest_request_ms, URGENT_WAIT_MAX);
 }
 
 /// Twice the largest request, and what the fleet serves in one exchange interval.
 fn bound(setup: &Setup) -> f64 {
     let slots = f64::from(setup.slots) * (setup.zones * setup.engines) as f64;
     let rate = slots / setup.token.as_secs_f64();
-    2.0 * LARGEST as f64 + rate * setup.tuning.exchange_interval.as_secs_f64()
+    2.0 * REQUEST_COST_MAX as f64 + rate * setup.tuning.exchange_interval.as_secs_f64()
 }
 
 fn sweep(base: &Setup) {
@@ -99,8 +99,8 @@
             let mut setup = base.clone();
             setup.tuning.pull_margin = Some(margin);
             setup.tuning.exchange_interval = Duration::from_millis(interval);
-            let f = fleet::run(Policy::Fleet, Scene::Uneven, &setup);
-            let (gap, util, bytes) = (f.gap, f.utilisation, f.bytes_per_request);
+            let metrics = fleet::run(Policy::Fleet, Scenario::Uneven, &setup);
+            let (gap, util, bytes) = (metrics.gap, metrics.utilisation, metrics.bytes_per_request);
             println!("{margin} {interval} {gap:.0} {util:.4} {bytes:.0}");
         }
     }
--- a/benches/fingerprint.rs
+++ b/benches/fingerprint.rs
@@ -1,5 +1,6 @@
-//! What it costs to know a request again: the hint that each request is looked up by while any is suspect, and the
-//! fingerprint of those whose hint is known. `cargo bench --bench fingerprint`.
+//! Cost of recognizing a request: the quick hash by which each request is looked up while any is
+//! suspect, and the fingerprint of those whose quick hash is known.
+//! `cargo bench --bench fingerprint`.
 
 use frostdyke::fleet::fingerprint::RequestContent;
 use frostdyke::fleet::quarantine::Quarantine;
--- a/benches/fleet/judge.rs
+++ b/benches/fleet/bound_check.rs
@@ -1,18 +1,18 @@
-//! Bounds of the benches.
+//! Checks of bench results against bounds.
 #![allow(dead_code)]
 
-/// Prints a figure beside its bound; counts it as failed when it is past it.
-pub struct Judge {
+/// Prints each value with its bound, and records whether any is past it.
+pub struct BoundCheck {
     pub failed: bool,
 }
 
-impl Judge {
+impl BoundCheck {
     pub fn at_most(&mut self, name: &str, value: f64, bound: f64) {
-        self.line(name, value, bound, value <= bound);
+        self.report(name, value, bound, value <= bound);
     }
 
     pub fn at_least(&mut self, name: &str, value: f64, bound: f64) {
-        self.line(name, value, bound, bound <= value);
+        self.report(name, value, bound, bound <= value);
     }
 
     pub fn exit(&self) {
@@ -21,7 +21,7 @@
         }
     }
 
-    fn line(&mut self, name: &str, value: f64, bound: f64, ok: bool) {
+    fn report(&mut self, name: &str, value: f64, bound: f64, ok: bool) {
         self.failed |= !ok;
         println!("{name} {value:.3} {bound:.3} {}", if ok { "ok" } else { "FAIL" });
     }
--- a/benches/fleet/mod.rs
+++ b/benches/fleet/mod.rs
@@ -1,12 +1,12 @@
-//! Policies and scenes that the fleet's benches share.
+//! Policies and scenarios that the fleet's benches share.
 #![allow(dead_code)]
 
-pub mod judge;
+pub mod bound_check;
 
 use std::ops::Range;
 use std::time::Duration;
 
-pub use judge::Judge;
+pub use bound_check::BoundCheck;
 
 use crate::rig::Outcome;
 use crate::rig::Rig;
@@ -16,7 +16,7 @@
 pub const SECOND: Duration = Duration::from_secs(1);
 
 /// Cost of the largest request, in tokens.
-pub const LARGEST: u64 = 200;
+pub const REQUEST_COST_MAX: u64 = 200;
 
 /// How requests are placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +25,7 @@
     FifoPerRouter,
     /// Each router is fair among its own callers, on its share of the slots.
     FairPerRouter,
-    /// The product.
+    /// The routers of this project, fair over the whole fleet.
     Fleet,
 }
 
@@ -35,9 +35,9 @@
     (Policy::Fleet, "fleet"),
 ];
 
-/// A load on nine boxes and what happens to them.
+/// A load on nine boxes, with a fault or none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scene {
+pub enum Scenario {
     /// Three backlogged workspaces on all boxes.
     Even,
     /// Three backlogged workspaces: on one box, on three of one zone, on all.
@@ -46,29 +46,29 @@
     Flood,
     /// Uneven, and a zone is cut off from the others for ten seconds.
     Cut,
-    /// Uneven, and the dispatcher of a zone is killed and comes back.
+    /// Uneven, and the dispatcher of a zone is killed and restarted.
     Killed,
 }
 
-pub const SCENES: [(Scene, &str); 5] = [
-    (Scene::Even, "even"),
-    (Scene::Uneven, "uneven"),
-    (Scene::Flood, "flood"),
-    (Scene::Cut, "cut"),
-    (Scene::Killed, "killed"),
+pub const SCENARIOS: [(Scenario, &str); 5] = [
+    (Scenario::Even, "even"),
+    (Scenario::Uneven, "uneven"),
+    (Scenario::Flood, "flood"),
+    (Scenario::Cut, "cut"),
+    (Scenario::Killed, "killed"),
 ];
 
-/// Samples (a tenth of a second each) that count: after the start.
-pub const COUNTED: Range<usize> = 80..400;
+/// Samples (a tenth of a second each) that are evaluated: after the start.
+pub const EVALUATED: Range<usize> = 80..400;
 
-/// Samples that count in the scene with a cut: once what was paid back is over.
+/// Samples evaluated in the scenario with a cut: once the workspaces that got less have caught up.
 pub const AFTER_CUT: Range<usize> = 280..400;
 
-/// What a run came to.
-pub struct Figures {
-    /// Largest gap while the scene's fault isn't there (after it is over, for the cut).
+/// Results of a run.
+pub struct Metrics {
+    /// Largest gap without the scenario's fault (for the cut, after it is over).
     pub gap: f64,
-    /// Least share of its fair share that a workspace got in any two seconds after the start.
+    /// Smallest part of its fair share that a workspace got in any two seconds after the start.
     pub least_share: f64,
     pub utilisation: f64,
     pub bytes_per_request: f64,
@@ -77,20 +77,20 @@
     pub setup: Setup,
 }
 
-pub fn traffic(scene: Scene) -> Vec<Traffic> {
+pub fn traffic(scenario: Scenario) -> Vec<Traffic> {
     let on =
         |boxes: &[usize], backlog| Traffic { boxes: boxes.to_vec(), backlog, ..Traffic::default() };
-    match scene {
-        Scene::Even => vec![on(&[], 20), on(&[], 20), on(&[], 20)],
-        Scene::Flood => vec![on(&[], 100), on(&[0], 40), on(&[4], 40)],
-        Scene::Uneven | Scene::Cut => vec![on(&[0], 120), on(&[3, 4, 5], 40), on(&[], 20)],
-        Scene::Killed => vec![on(&[0, 1], 60), on(&[3, 4, 5], 40), on(&[], 20)],
+    match scenario {
+        Scenario::Even => vec![on(&[], 20), on(&[], 20), on(&[], 20)],
+        Scenario::Flood => vec![on(&[], 100), on(&[0], 40), on(&[4], 40)],
+        Scenario::Uneven | Scenario::Cut => vec![on(&[0], 120), on(&[3, 4, 5], 40), on(&[], 20)],
+        Scenario::Killed => vec![on(&[0, 1], 60), on(&[3, 4, 5], 40), on(&[], 20)],
     }
 }
 
-/// Runs a scene under a policy.
-pub fn run(policy: Policy, scene: Scene, base: &Setup) -> Figures {
-    let mut setup = Setup { workspaces: traffic(scene), ..base.clone() };
+/// Runs a scenario under a policy.
+pub fn run(policy: Policy, scenario: Scenario, base: &Setup) -> Metrics {
+    let mut setup = Setup { workspaces: traffic(scenario), ..base.clone() };
     if policy != Policy::Fleet {
         // Each box is a zone of its own, with its share of the engines.
         setup.zones = base.zones * base.boxes;
@@ -101,13 +101,13 @@
     }
     let mut rig = Rig::new(setup.clone());
     rig.run_for(12 * SECOND);
-    match scene {
-        Scene::Cut if policy == Policy::Fleet => {
+    match scenario {
+        Scenario::Cut if policy == Policy::Fleet => {
             rig.net.cut_zones.insert(1);
             rig.run_for(10 * SECOND);
             rig.net.cut_zones.clear();
         }
-        Scene::Killed => {
+        Scenario::Killed => {
             let i = if policy == Policy::Fleet { rig.dispatcher(0) } else { 1 };
             rig.kill(i);
             rig.run_for(5 * SECOND);
@@ -119,11 +119,12 @@
     rig.run_for(18 * SECOND);
     let outcome = std::mem::take(&mut rig.outcome);
     let routers = (setup.zones * setup.boxes) as f64;
-    let (who, counted) = ([0, 1, 2], if scene == Scene::Cut { AFTER_CUT } else { COUNTED });
-    Figures {
-        gap: outcome.gap(&setup, &who, counted.clone()),
-        least_share: outcome.least_share(&who, counted),
-        utilisation: outcome.utilisation(COUNTED),
+    let (who, evaluated) =
+        ([0, 1, 2], if scenario == Scenario::Cut { AFTER_CUT } else { EVALUATED });
+    Metrics {
+        gap: outcome.gap(&setup, &who, evaluated.clone()),
+        least_share: outcome.least_share(&who, evaluated),
+        utilisation: outcome.utilisation(EVALUATED),
         bytes_per_request: outcome.bytes as f64 / outcome.requests as f64,
         bytes_per_router_second: outcome.bytes as f64 / routers / 40.0,
         outcome,
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,4 +1,4 @@
-//! What a router lets wait: nothing that it can't serve in time.
+//! Admission at a router: a request that can't be served before its deadline is refused early.
 
 mod util;
 
@@ -21,7 +21,7 @@
 
 const DEADLINE: Duration = Duration::from_secs(10);
 
-/// A box alone in its zone, before an engine with one slot.
+/// A single box in its zone, with an engine of one slot.
 fn node() -> Node {
     let id = Identity { name: "box-1".into(), zone: "here".into(), incarnation: 1 };
     let mut node = Node::new(id, Tuning::default(), GossipSettings::default());
@@ -46,8 +46,7 @@
     }
 }
 
-/// Serves one request a second for `span`. Gives what was started and what was refused, with the
-/// time of it.
+/// Serves one request a second for `span`. Returns what was started, and what was refused and when.
 fn serve(node: &mut Node, span: Duration) -> (Vec<TicketId>, Vec<(TicketId, Duration)>) {
     let (mut started, mut refused, mut running) = (Vec::new(), Vec::new(), None);
     let mut now = Duration::ZERO;
@@ -74,8 +73,9 @@
     (started, refused)
 }
 
+/// A caller that waits until its deadline before the refusal has no time left to try elsewhere.
 #[test]
-fn who_cant_be_served_in_time_hears_of_it_early() {
+fn requests_that_cannot_be_served_in_time_are_refused_early() {
     let mut node = node();
     let ids: Vec<TicketId> = (0..40).map(|_| node.new_ticket_id()).collect();
     for &id in &ids {
@@ -83,10 +83,10 @@
     }
     let (started, refused) = serve(&mut node, DEADLINE);
     assert!(10 <= refused.len(), "{refused:?}");
-    // Most hear of it in the first half of their time.
+    // Most are refused in the first half of their time.
     let early = refused.iter().filter(|(_, at)| *at < DEADLINE / 2).count();
     assert!(refused.len() / 2 <= early, "{refused:?}");
-    // It hits those at the end of the queue, and nobody who was served.
+    // Those at the end of the queue are refused, and none that was served.
     let last_started = started.iter().max().expect("some were");
     assert!(refused.iter().all(|(id, _)| last_started < id), "{started:?} {refused:?}");
     let all: BTreeSet<TicketId> =
@@ -95,9 +95,9 @@
     assert_eq!(node.waiting_count(), ids.len() - all.len());
 }
 
-/// Urgent work isn't given up on for what waits behind it.
+/// An urgent request must not be refused for requests that wait behind it.
 #[test]
-fn urgent_work_counts_only_what_is_ahead_of_it() {
+fn urgent_requests_are_judged_by_the_queue_ahead_of_them_only() {
     let mut node = node();
     for _ in 0..40 {
         let id = node.new_ticket_id();
@@ -110,9 +110,9 @@
     assert!(refused.iter().all(|(id, _)| *id != urgent));
 }
 
-/// Where nothing is served at all, nobody knows how long it takes.
+/// Until a request has been served there is no estimate of how long the others will wait.
 #[test]
-fn nobody_is_given_up_on_while_the_pace_is_unknown() {
+fn no_request_is_refused_while_the_service_rate_is_unknown() {
     let mut node = node();
     let mut cfg = node.configuration().catalog.clone();
     cfg.upstreams[0].draining = true;
--- a/tests/fleet_placement.rs
+++ b/tests/fleet_placement.rs
@@ -1,7 +1,9 @@
-//! How well requests are placed, and what boxes tell each other for it, by who hears of what. Load: 300
-//! boxes of which a few have most of the callers, 320 engines of uneven speed with twelve slots each,
-//! and prompts of which most is shared; 2,200 requests a second, which take two thirds of the engines'
-//! time for reading. No network: what is told arrives at once, or a tenth of a second later.
+//! Quality of placement, and the messages between boxes that it takes, by which boxes receive them.
+//!
+//! Load: 300 boxes of which a few have most of the callers, 320 engines of uneven speed with twelve
+//! slots each, and prompts that are mostly shared; 2,200 requests a second, which take two thirds
+//! of the engines' time for prefill. No network: messages arrive at once, or a tenth of a second
+//! later.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -38,56 +40,56 @@
 const LIMITS: EngineLimits =
     EngineLimits { slots: 12, memory_tokens: 470_000, copied_per_s: 400_000, cold: None };
 
-/// Requests a second, and for how long.
-const RATE: f64 = 2_200.0;
-const SPAN: f64 = 6.0;
+/// Requests a second, and seconds simulated.
+const REQUESTS_PER_S: f64 = 2_200.0;
+const DURATION_S: f64 = 6.0;
 
-/// The aim for the first token.
-const AIM: f64 = 0.9;
+/// Target seconds for the first token.
+const LATENCY_TARGET_S: f64 = 0.9;
 
-/// Parts that prompts share.
-const SHARED: u64 = 1_700;
+/// Number of distinct shared parts.
+const SHARED_PARTS: u64 = 1_700;
 
-/// Time from a first token to the end of a stream.
-const STREAM: f64 = 0.6;
+/// Seconds from the first token to the end of a stream.
+const STREAM_S: f64 = 0.6;
 
-/// An engine as it is, whatever is believed of it.
-struct Real {
+/// The actual state of an engine, whatever the registry estimates.
+struct EngineState {
     cache: PrefixCache,
-    /// When it has read what it was sent.
+    /// When it has prefilled all that it was sent.
     free_at: f64,
-    /// How much slower than others.
+    /// Prefill time relative to the average engine.
     factor: f64,
 }
 
-/// How a policy did.
+/// Result of a policy.
 #[derive(Debug, Default)]
 struct Outcome {
-    in_aim: usize,
-    asked: usize,
-    read_again: u64,
-    /// Datagrams that each box sent.
+    in_time: usize,
+    requests: usize,
+    prefilled_again: u64,
+    /// Datagrams sent, by box.
     sent: Vec<usize>,
     bytes: usize,
 }
 
 impl Outcome {
-    fn served(&self) -> f64 {
-        self.in_aim as f64 / self.asked as f64
+    fn in_time_share(&self) -> f64 {
+        self.in_time as f64 / self.requests as f64
     }
 }
 
 enum Event {
-    First { engine: usize, request: u64, took: f64, asker: usize },
-    End { engine: usize, request: u64, asker: usize },
+    First { engine: usize, request: u64, took: f64, sender_box: usize },
+    End { engine: usize, request: u64, sender_box: usize },
 }
 
 fn name(n: usize) -> UpstreamName {
     UpstreamName::from(&*format!("engine-{n}"))
 }
 
-fn fleet() -> UpstreamRegistry {
-    let mut fleet = UpstreamRegistry::new(ZoneName::from("zone-0"), Tuning::default());
+fn registry() -> UpstreamRegistry {
+    let mut registry = UpstreamRegistry::new(ZoneName::from("zone-0"), Tuning::default());
     for n in 0..ENGINES {
         let listed = UpstreamListing {
             name: name(n),
@@ -100,9 +102,9 @@
             leaving: false,
             cold_for: None,
         };
-        fleet.upsert(listed, Some(LIMITS));
+        registry.upsert(listed, Some(LIMITS));
     }
-    fleet
+    registry
 }
 
 fn owners() -> (Vec<Candidate>, OwnerTable) {
@@ -116,17 +118,17 @@
     (boxes, owners)
 }
 
-/// Plays the load; `has_owners`: whether each request is placed by the owner of its engines, or by
-/// somebody who hears of everything at once.
-fn play(has_owners: bool) -> Outcome {
+/// Simulates the load. With `has_owners` each request is placed by the owner of its engines,
+/// otherwise by a box that receives every message at once.
+fn simulate(has_owners: bool) -> Outcome {
     let mut rng = SmallRng::seed_from_u64(11);
-    let mut fleet = fleet();
+    let mut registry = registry();
     let mut shares = Shares::new(Duration::from_secs(4));
     let (boxes, owners) = owners();
     let number: BTreeMap<_, _> = boxes.iter().enumerate().map(|(n, b)| (b.ip, n)).collect();
     let index: BTreeMap<_, _> = (0..ENGINES).map(|n| (name(n), n)).collect();
-    let mut real: Vec<Real> = (0..ENGINES)
-        .map(|_| Real {
+    let mut states: Vec<EngineState> = (0..ENGINES)
+        .map(|_| EngineState {
             cache: PrefixCache::new(LIMITS.memory_tokens),
             free_at: 0.0,
             factor: rng.random_range(0.8..1.3),
@@ -136,43 +138,43 @@
     let mut outcome = Outcome { sent: vec![0; BOXES], ..Outcome::default() };
     let micros = |t: f64| (t * 1e6) as u64;
     let (mut t, mut request) = (1.0, 0u64);
-    while t < 1.0 + SPAN {
-        t += -rng.random_range(f64::MIN_POSITIVE..1.0f64).ln() / RATE;
+    while t < 1.0 + DURATION_S {
+        t += -rng.random_range(f64::MIN_POSITIVE..1.0f64).ln() / REQUESTS_PER_S;
         while let Some(((at, _), event)) = due.pop_first_if(micros(t)) {
             let now = Duration::from_micros(at);
-            let (asker, engine, message) = match event {
-                Event::First { engine, request, took, asker } => {
+            let (sender_box, engine, message) = match event {
+                Event::First { engine, request, took, sender_box } => {
                     let took = Duration::from_secs_f64(took);
-                    fleet.record_first_token(&name(engine), request, Some(took), now);
+                    registry.record_first_token(&name(engine), request, Some(took), now);
                     let took_ms = took.as_millis() as u32;
                     (
-                        asker,
+                        sender_box,
                         engine,
                         Message::FirstToken { upstream: name(engine), request, took_ms },
                     )
                 }
-                Event::End { engine, request, asker } => {
-                    fleet.remove_request(&name(engine), request);
-                    (asker, engine, Message::Ended { upstream: name(engine), request })
+                Event::End { engine, request, sender_box } => {
+                    registry.remove_request(&name(engine), request);
+                    (sender_box, engine, Message::Ended { upstream: name(engine), request })
                 }
             };
             if has_owners {
                 let hash = frostdyke::placement::upstream::name_hash(&name(engine));
-                let keepers = owners.owners_of_hash(hash).expect("an owner").boxes().count();
-                outcome.tell(asker, keepers, &message);
+                let receivers = owners.owners_of_hash(hash).expect("an owner").boxes().count();
+                outcome.count_message(sender_box, receivers, &message);
             } else {
-                outcome.tell(asker, BOXES - 1, &message);
+                outcome.count_message(sender_box, BOXES - 1, &message);
             }
         }
         // One box in ten has half of the callers.
-        let asker = if rng.random_bool(0.5) {
+        let sender_box = if rng.random_bool(0.5) {
             rng.random_range(0..BOXES / 10)
         } else {
             rng.random_range(0..BOXES)
         };
         request += 1;
-        outcome.asked += 1;
-        let shared = rng.random_range(0..SHARED);
+        outcome.requests += 1;
+        let shared = rng.random_range(0..SHARED_PARTS);
         let own = rng.random_range(200..5_000);
         let parts = vec![
             PromptPart { id: shared, tokens: 9_000 },
@@ -183,10 +185,11 @@
         let mut group = None;
         let mut source = None;
         let mut placed = None;
-        // Its own group of engines, and another one where that is busy.
+        // The home group of engines, and another one if that is busy.
         for is_last_group in [false, true] {
-            let home =
-                fleet.home("llm", &prompt, VersionFilter::Any, group).expect("there are engines");
+            let home = registry
+                .home("llm", &prompt, VersionFilter::Any, group)
+                .expect("there are engines");
             group = has_owners.then(|| owners.group(home));
             let query = PlacementQuery {
                 request,
@@ -195,7 +198,7 @@
                 workspace: None,
                 excluded: &[],
                 version_filter: VersionFilter::Any,
-                target_latency: Duration::from_secs_f64(AIM),
+                target_latency: Duration::from_secs_f64(LATENCY_TARGET_S),
                 waited: Duration::ZERO,
                 group,
                 zone: None,
@@ -205,12 +208,12 @@
                 is_last_group: is_last_group || !has_owners,
                 role: Role::Owner,
             };
-            let result = admit::admit(&mut fleet, &mut shares, query, now);
-            let ask = ask(&query, &boxes[asker]);
+            let result = admit::admit(&mut registry, &mut shares, query, now);
+            let placement_request = placement_request(&query, &boxes[sender_box]);
             if let Some(owned) = group.and_then(|group| owners.owners_of(group)) {
                 let owner = number[&owned.owner];
-                outcome.tell(asker, 1, &ask);
-                outcome.tell(
+                outcome.count_message(sender_box, 1, &placement_request);
+                outcome.count_message(
                     owner,
                     1,
                     &Message::PlacementResponse(PlacementResponse {
@@ -218,10 +221,10 @@
                         result: result.clone(),
                     }),
                 );
-                // The standby hears of it, too.
-                outcome.tell(owner, 1, &ask);
+                // The standby receives a copy of the request.
+                outcome.count_message(owner, 1, &placement_request);
             } else {
-                outcome.tell(asker, BOXES - 1, &ask);
+                outcome.count_message(sender_box, BOXES - 1, &placement_request);
             }
             let may_try_other_groups =
                 result.as_ref().is_err_and(|denied| denied.may_try_other_groups);
@@ -234,23 +237,23 @@
         let Some(placed) = placed else { continue };
         let Ok(choice) = placed else { continue };
         let engine = index[&choice.upstream];
-        let first = run(&mut real, &index, engine, &prompt, &choice, t, &mut outcome);
-        outcome.in_aim += usize::from(first - t <= AIM);
+        let first = run(&mut states, &index, engine, &prompt, &choice, t, &mut outcome);
+        outcome.in_time += usize::from(first - t <= LATENCY_TARGET_S);
         due.insert(
             (micros(first), 2 * request),
-            Event::First { engine, request, took: first - t, asker },
+            Event::First { engine, request, took: first - t, sender_box },
         );
         due.insert(
-            (micros(first + STREAM), 2 * request + 1),
-            Event::End { engine, request, asker },
+            (micros(first + STREAM_S), 2 * request + 1),
+            Event::End { engine, request, sender_box },
         );
     }
     outcome
 }
 
-/// What an engine does with a request: when it gives the first token.
+/// Runs a request on an engine; returns the time of the first token.
 fn run(
-    real: &mut [Real],
+    states: &mut [EngineState],
     index: &BTreeMap<UpstreamName, usize>,
     engine: usize,
     prompt: &Prompt,
@@ -263,28 +266,29 @@
             std::net::SocketAddr::from(([10, 9, (**n / 256) as u8, (**n % 256) as u8], 80)) == addr
         })
     });
-    let copied = from.map_or(0, |n| real[*n].cache.cached_tokens(&prompt.parts));
-    let engine = &mut real[engine];
-    let kept = engine.cache.cached_tokens(&prompt.parts).max(copied);
-    let unread = prompt.tokens - kept;
+    let copied = from.map_or(0, |n| states[*n].cache.cached_tokens(&prompt.parts));
+    let engine = &mut states[engine];
+    let cached = engine.cache.cached_tokens(&prompt.parts).max(copied);
+    let prefill_tokens = prompt.tokens - cached;
     let own = prompt.parts[1].tokens;
-    outcome.read_again += u64::from(unread.saturating_sub(own));
+    outcome.prefilled_again += u64::from(prefill_tokens.saturating_sub(own));
     let begin = engine.free_at.max(t + f64::from(copied) / 400_000.0);
-    let unread = f64::from(unread);
-    let pairs = unread * (f64::from(kept) + unread / 2.0) / 1e6;
-    engine.free_at = begin + engine.factor * (unread / 51_100.0 + pairs * 0.000_323 + 0.006);
+    let prefill_tokens = f64::from(prefill_tokens);
+    let pairs = prefill_tokens * (f64::from(cached) + prefill_tokens / 2.0) / 1e6;
+    engine.free_at =
+        begin + engine.factor * (prefill_tokens / 51_100.0 + pairs * 0.000_323 + 0.006);
     engine.cache.insert(&prompt.parts);
     engine.free_at + 0.05
 }
 
-fn ask(query: &PlacementQuery<'_>, asker: &Candidate) -> Message {
+fn placement_request(query: &PlacementQuery<'_>, sender_box: &Candidate) -> Message {
     Message::PlacementRequest(PlacementRequest {
         request: query.request,
         group: query.group.unwrap_or_default(),
         service: ServiceName::from(query.service),
         prompt: query.prompt.into(),
         workspace: None,
-        zone: asker.zone.clone(),
+        zone: sender_box.zone.clone(),
         excluded: Vec::new(),
         version_filter: VersionFilter::Any,
         latency_target_ms: 900,
@@ -296,7 +300,7 @@
 }
 
 impl Outcome {
-    fn tell(&mut self, from: usize, to: usize, message: &Message) {
+    fn count_message(&mut self, from: usize, to: usize, message: &Message) {
         self.sent[from] += to;
         self.bytes += to * postcard::to_stdvec(message).expect("it can be encoded").len();
     }
@@ -317,28 +321,34 @@
     }
 }
 
-/// The owner of a group of engines places nearly as well as who hears of everything, for a hundredth of
-/// the datagrams: what a box sends grows with its own requests and with its part of the engines only.
+/// The owner of a group of engines places nearly as well as a box that receives every message, for
+/// a hundredth of the datagrams: what a box sends grows only with its own requests and its share of
+/// the engines.
 #[test]
-fn owners_place_as_well_as_who_hears_of_everything() {
-    let (all, owned) = (play(false), play(true));
+fn owners_place_as_well_as_a_box_with_full_knowledge() {
+    let (all, owned) = (simulate(false), simulate(true));
     println!(
-        "all: {:.4} in aim, {} read again, {} datagrams, {} MB",
-        all.served(),
-        all.read_again,
+        "all: {:.4} in time, {} prefilled again, {} datagrams, {} MB",
+        all.in_time_share(),
+        all.prefilled_again,
         all.sent.iter().sum::<usize>(),
         all.bytes / 1_000_000
     );
     println!(
-        "owners: {:.4} in aim, {} read again, {} datagrams, {} MB",
-        owned.served(),
-        owned.read_again,
+        "owners: {:.4} in time, {} prefilled again, {} datagrams, {} MB",
+        owned.in_time_share(),
+        owned.prefilled_again,
         owned.sent.iter().sum::<usize>(),
         owned.bytes / 1_000_000
     );
-    assert!(all.served() - 0.01 <= owned.served(), "{} {}", all.served(), owned.served());
-    let sum = |o: &Outcome| o.sent.iter().sum::<usize>();
-    assert!(sum(&owned) * 100 < sum(&all), "{} {}", sum(&owned), sum(&all));
-    let most = owned.sent.iter().max().copied().unwrap_or_default() as f64 / SPAN;
+    assert!(
+        all.in_time_share() - 0.01 <= owned.in_time_share(),
+        "{} {}",
+        all.in_time_share(),
+        owned.in_time_share()
+    );
+    let datagrams = |o: &Outcome| o.sent.iter().sum::<usize>();
+    assert!(datagrams(&owned) * 100 < datagrams(&all), "{} {}", datagrams(&owned), datagrams(&all));
+    let most = owned.sent.iter().max().copied().unwrap_or_default() as f64 / DURATION_S;
     assert!(most < 1_000.0, "{most} datagrams a second at the busiest box");
 }
--- a/tests/fleet_size.rs
+++ b/tests/fleet_size.rs
@@ -1,9 +1,9 @@
-//! What a request costs to place as the list of engines grows. Load: a fleet before 1,000, 10,000 and 20,000 engines, in groups
-//! of about ten.
+//! Cost of placing a request as the list of engines grows. Load: fleets with 1,000, 10,000 and
+//! 20,000 engines, in groups of about ten.
 //!
-//! Before, each request walked through the names of all engines for the one to which its prompt belongs, and the owner through
-//! all of them once more for those of its group: 20,000 looks a request before 10,000 engines, at a thousand boxes more time
-//! than all else together.
+//! Earlier, each request scanned the names of all engines for the home of its prompt, and the owner
+//! scanned all again for those of its group: 20,000 comparisons a request with 10,000 engines,
+//! which at a thousand boxes took more time than everything else together.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -44,10 +44,10 @@
     }
 }
 
-fn fleet(engines: usize) -> UpstreamRegistry {
-    let mut fleet = UpstreamRegistry::new(ZoneName::from("zone-0"), Tuning::default());
-    (0..engines).for_each(|n| fleet.upsert(listed(n), Some(LIMITS)));
-    fleet
+fn registry(engines: usize) -> UpstreamRegistry {
+    let mut registry = UpstreamRegistry::new(ZoneName::from("zone-0"), Tuning::default());
+    (0..engines).for_each(|n| registry.upsert(listed(n), Some(LIMITS)));
+    registry
 }
 
 fn prompt(n: u64) -> Prompt {
@@ -67,83 +67,88 @@
     (0..count).map(candidate).collect()
 }
 
-/// Upstreams looked at for a request: by its box, and by the owner of the group that it goes to.
-fn looks(engines: usize) -> f64 {
+/// Upstreams examined per request: by its box, and by the owner of the group that it goes to.
+fn examined_per_request(engines: usize) -> f64 {
     const REQUESTS: u64 = 200;
-    let fleet = fleet(engines);
+    let registry = registry(engines);
     let owners = OwnerTable::new(&boxes(engines / 10), engines);
-    let before = fleet.examined();
+    let before = registry.examined();
     for n in 0..REQUESTS {
         let prompt = prompt(n);
-        let home = fleet.home("llm", &prompt, VersionFilter::Any, None).expect("there are engines");
+        let home =
+            registry.home("llm", &prompt, VersionFilter::Any, None).expect("there are engines");
         let group = Some(owners.group(home));
         let any = SelectionCriteria::any("llm", Some(&prompt), &[], Duration::from_secs(1));
-        let choice = fleet.choose(SelectionCriteria { group, ..any }, Duration::ZERO);
+        let choice = registry.choose(SelectionCriteria { group, ..any }, Duration::ZERO);
         assert!(choice.is_ok());
     }
-    (fleet.examined() - before) as f64 / REQUESTS as f64
+    (registry.examined() - before) as f64 / REQUESTS as f64
 }
 
+/// A scan of all engines per request would dominate the load of a large fleet.
 #[test]
-fn a_request_looks_at_as_many_engines_whatever_their_number() {
-    let [small, middle, large] = [1_000, 10_000, 20_000].map(looks);
+fn the_engines_examined_per_request_do_not_grow_with_the_fleet() {
+    let [small, middle, large] = [1_000, 10_000, 20_000].map(examined_per_request);
     println!("{small} {middle} {large}");
-    assert!(large <= 100.0, "{large} looks a request before 20,000 engines");
+    assert!(large <= 100.0, "{large} examined per request with 20,000 engines");
     assert!(middle <= small * 1.3 && large <= small * 1.3, "{small}, {middle}, {large}");
 }
 
+/// An owner examines all engines of a group, so groups must not grow with the fleet.
 #[test]
-fn a_group_has_about_ten_engines_also_before_twenty_thousand() {
+fn groups_stay_at_about_ten_engines_with_twenty_thousand() {
     for engines in [1_000, 10_000, 20_000] {
-        let fleet = fleet(engines);
+        let registry = registry(engines);
         let owners = OwnerTable::new(&boxes(engines / 10), engines);
         let group = |listed: &UpstreamListing| {
             owners.group(frostdyke::placement::upstream::name_hash(&listed.name))
         };
-        let most = fleet.listed().map(|l| fleet.engines_in_group(group(l)).count()).max();
+        let most = registry.listed().map(|l| registry.engines_in_group(group(l)).count()).max();
         assert!(most.is_some_and(|most| most <= 40), "{most:?} of {engines} in a group");
     }
 }
 
-/// Load: what a prompt's shared parts are kept by is asked for again and again, so it must be the same engine, and each must
-/// have its part of them.
+/// The engine that has cached a prompt's shared parts must stay the same from request to request,
+/// also as a few engines are removed, and each engine must get its share of the prompts.
 #[test]
-fn prompts_are_spread_evenly_and_stay_where_they_are() {
+fn prompts_spread_evenly_and_keep_their_home() {
     const PROMPTS: u64 = 20_000;
-    let mut fleet = fleet(500);
-    let home = |fleet: &UpstreamRegistry, n| {
-        fleet.home("llm", &prompt(n), VersionFilter::Any, None).expect("there are")
+    let mut registry = registry(500);
+    let home = |registry: &UpstreamRegistry, n| {
+        registry.home("llm", &prompt(n), VersionFilter::Any, None).expect("there are")
     };
-    let before: Vec<u64> = (0..PROMPTS).map(|n| home(&fleet, n)).collect();
+    let before: Vec<u64> = (0..PROMPTS).map(|n| home(&registry, n)).collect();
     let mut counts = std::collections::BTreeMap::<u64, usize>::new();
     before.iter().for_each(|hash| *counts.entry(*hash).or_default() += 1);
     let most = counts.values().copied().max().expect("there are");
-    // Forty each, with a spread of some six by chance alone.
+    // Forty each, with a standard deviation of about six by chance alone.
     assert!(most <= 80 && 450 <= counts.len(), "{most} of {PROMPTS} at one of {}", counts.len());
-    (0..5).for_each(|n| fleet.remove(&listed(n).name));
-    let moved = (0..PROMPTS).filter(|n| home(&fleet, *n) != before[*n as usize]).count();
+    (0..5).for_each(|n| registry.remove(&listed(n).name));
+    let moved = (0..PROMPTS).filter(|n| home(&registry, *n) != before[*n as usize]).count();
     assert!(moved <= PROMPTS as usize / 50, "{moved} moved as one engine in a hundred went");
 }
 
+/// An engine in no group would get no requests; one in two groups would have two owners.
 #[test]
-fn the_engines_of_a_group_are_those_whose_hashes_say_so() {
-    let fleet = fleet(300);
+fn groups_partition_the_engines_by_hash() {
+    let registry = registry(300);
     for bits in [0, 1, 5] {
         let all: usize = (0..1u64 << bits)
             .map(|n| {
                 let group =
                     EngineGroup::from_hash(n.checked_shl(u64::BITS - bits).unwrap_or(0), bits);
-                fleet.engines_in_group(group).count()
+                registry.engines_in_group(group).count()
             })
             .sum();
         assert_eq!(all, 300);
     }
 }
 
+/// Boxes compare these digests to find out whether their lists differ.
 #[test]
-fn what_is_told_of_a_list_follows_its_changes() {
-    let mut one = fleet(100);
-    let mut other = fleet(101);
+fn digest_and_counts_follow_changes_of_the_list() {
+    let mut one = registry(100);
+    let mut other = registry(101);
     assert_ne!(one.digest(), other.digest());
     other.remove(&listed(100).name);
     assert_eq!(one.digest(), other.digest());
--- a/tests/links.rs
+++ b/tests/links.rs
@@ -1,4 +1,4 @@
-//! Links between routers and the port they meet.
+//! Connections between routers and the port that accepts them.
 
 mod util;
 
@@ -22,14 +22,14 @@
 use proptest::prelude::*;
 use tokio::net::TcpListener;
 
-/// Remembers what it was told.
-struct Ear {
+/// Records received and lost messages.
+struct RecordingHandler {
     addr: SocketAddr,
     received: Mutex<Vec<Message>>,
     lost: Mutex<Vec<Message>>,
 }
 
-impl ConnectionHandler for Ear {
+impl ConnectionHandler for RecordingHandler {
     fn receive(&self, _: &BoxName, messages: Vec<Message>) {
         self.received.lock().expect("no panic").extend(messages);
     }
@@ -45,7 +45,7 @@
     }
 }
 
-/// Sends everything back.
+/// Responds with the messages received.
 struct Echo;
 
 impl CallHandler for Echo {
@@ -58,7 +58,7 @@
     }
 
     fn status(&self) -> Status {
-        unreachable!("nobody asks")
+        unreachable!("not called by these tests")
     }
 }
 
@@ -70,8 +70,8 @@
     addr
 }
 
-fn ear(addr: SocketAddr) -> Arc<Ear> {
-    Arc::new(Ear { addr, received: Mutex::default(), lost: Mutex::default() })
+fn recording_handler(addr: SocketAddr) -> Arc<RecordingHandler> {
+    Arc::new(RecordingHandler { addr, received: Mutex::default(), lost: Mutex::default() })
 }
 
 fn message() -> Message {
@@ -88,36 +88,38 @@
     panic!("waited in vain");
 }
 
-/// Found with real processes: the thread that commits claims sent the first message to a box, and
-/// panicked since it is no thread of the runtime.
+/// The thread that commits claims sent the first message to a box and panicked, since it doesn't
+/// belong to the runtime (found with real processes).
 #[tokio::test(flavor = "multi_thread")]
 async fn any_thread_may_send_first() {
-    let ear = ear(start_server("s").await);
+    let recording_handler = recording_handler(start_server("s").await);
     let traffic = Arc::new(Traffic::default());
-    let links = PeerConnections::new(&"box-1".into(), &Secret::from("s"), &traffic);
-    let inbox: Arc<dyn ConnectionHandler> = ear.clone();
-    let sent = thread::spawn(move || links.send(&"box-2".into(), message(), &inbox)).join();
+    let connections = PeerConnections::new(&"box-1".into(), &Secret::from("s"), &traffic);
+    let handler: Arc<dyn ConnectionHandler> = recording_handler.clone();
+    let sent = thread::spawn(move || connections.send(&"box-2".into(), message(), &handler)).join();
     assert!(sent.is_ok(), "the thread panicked");
-    until(|| *ear.received.lock().expect("no panic") == [message()]).await;
+    until(|| *recording_handler.received.lock().expect("no panic") == [message()]).await;
 }
 
+/// The peer port must not accept messages of strangers.
 #[tokio::test(flavor = "multi_thread")]
-async fn who_has_another_secret_gets_nowhere() {
-    let ear = ear(start_server("right").await);
+async fn messages_with_a_wrong_secret_are_rejected() {
+    let recording_handler = recording_handler(start_server("right").await);
     let traffic = Arc::new(Traffic::default());
-    let links = PeerConnections::new(&"box-1".into(), &Secret::from("wrong"), &traffic);
-    let inbox: Arc<dyn ConnectionHandler> = ear.clone();
-    links.send(&"box-2".into(), message(), &inbox);
-    until(|| *ear.lost.lock().expect("no panic") == [message()]).await;
-    assert!(ear.received.lock().expect("no panic").is_empty());
+    let connections = PeerConnections::new(&"box-1".into(), &Secret::from("wrong"), &traffic);
+    let handler: Arc<dyn ConnectionHandler> = recording_handler.clone();
+    connections.send(&"box-2".into(), message(), &handler);
+    until(|| *recording_handler.lost.lock().expect("no panic") == [message()]).await;
+    assert!(recording_handler.received.lock().expect("no panic").is_empty());
 }
 
 proptest! {
     #![proptest_config(util::seeded(500))]
 
-    /// Whatever text comes as a message, reading it gives an error or a message that reads back.
+    /// Any text that arrives as a message either fails to parse or yields a message that survives a
+    /// round trip.
     #[test]
-    fn odd_messages_are_errors(text in r#"[\[\]\{\}",:0-9a-zA-Z]{0,80}"#) {
+    fn malformed_messages_are_errors(text in r#"[\[\]\{\}",:0-9a-zA-Z]{0,80}"#) {
         if let Ok(message) = serde_json::from_str::<Message>(&text) {
             let again = serde_json::to_string(&message).expect("it serializes");
             prop_assert_eq!(serde_json::from_str::<Message>(&again).expect("it reads back"), message);
--- a/tests/proxy_backoff.rs
+++ b/tests/proxy_backoff.rs
@@ -1,4 +1,5 @@
-//! Load: an upstream turns requests away and asks a box to back off, while more requests wait than it can take at its end.
+//! Backoff and slow start: an upstream rejects requests and asks a box to back off, while more
+//! requests wait than the upstream can take once the backoff ends.
 
 use std::time::Duration;
 
@@ -15,7 +16,7 @@
 
 const BACKOFF: Duration = Duration::from_secs(3);
 
-const MOMENT: Duration = Duration::from_millis(1);
+const MILLISECOND: Duration = Duration::from_millis(1);
 
 fn name(name: &str) -> UpstreamName {
     UpstreamName::from(name)
@@ -35,129 +36,137 @@
     }
 }
 
-fn fleet() -> UpstreamRegistry {
-    let mut fleet = UpstreamRegistry::new(ZoneName::from("z"), Tuning::default());
-    ["a", "b"].into_iter().for_each(|name| fleet.upsert(upstream(name), None));
-    fleet
+fn registry() -> UpstreamRegistry {
+    let mut registry = UpstreamRegistry::new(ZoneName::from("z"), Tuning::default());
+    ["a", "b"].into_iter().for_each(|name| registry.upsert(upstream(name), None));
+    registry
 }
 
-/// Enters as many requests as may be sent.
-fn enter_all(fleet: &mut UpstreamRegistry, now: Duration) -> Vec<SlowStartSlot> {
-    let enter = || fleet.acquire_slow_start_slot(&name("a"), now);
-    std::iter::from_fn(enter).take(100).collect()
+/// Acquires as many slow-start slots as there are.
+fn acquire_all(registry: &mut UpstreamRegistry, now: Duration) -> Vec<SlowStartSlot> {
+    let acquire = || registry.acquire_slow_start_slot(&name("a"), now);
+    std::iter::from_fn(acquire).take(100).collect()
 }
 
+/// An overloaded upstream must not receive requests before its backoff has ended.
 #[test]
-fn nothing_is_sent_in_a_backoff() {
-    let mut fleet = fleet();
-    assert!(fleet.back_off(&name("a"), BACKOFF, Duration::ZERO));
-    for now in [Duration::ZERO, BACKOFF / 2, BACKOFF - MOMENT] {
-        assert_eq!(fleet.backing_off("s", now), [name("a")]);
-        let slow_start_slot = fleet.acquire_slow_start_slot(&name("a"), now);
-        assert!(!fleet.may_send(&name("a"), slow_start_slot, now));
-        assert!(fleet.may_send(&name("b"), None, now));
+fn no_request_is_sent_during_a_backoff() {
+    let mut registry = registry();
+    assert!(registry.back_off(&name("a"), BACKOFF, Duration::ZERO));
+    for now in [Duration::ZERO, BACKOFF / 2, BACKOFF - MILLISECOND] {
+        assert_eq!(registry.backing_off("s", now), [name("a")]);
+        let slow_start_slot = registry.acquire_slow_start_slot(&name("a"), now);
+        assert!(!registry.may_send(&name("a"), slow_start_slot, now));
+        assert!(registry.may_send(&name("b"), None, now));
     }
-    assert!(fleet.backing_off("s", BACKOFF).is_empty());
+    assert!(registry.backing_off("s", BACKOFF).is_empty());
 }
 
-/// An answer to a request that was under way asks for less.
+/// The response to a request that was already in progress may ask for a shorter backoff.
 #[test]
-fn a_shorter_backoff_ends_no_longer_one() {
-    let mut fleet = fleet();
-    fleet.back_off(&name("a"), BACKOFF, Duration::ZERO);
-    assert!(!fleet.back_off(&name("a"), MOMENT, MOMENT));
-    assert!(fleet.is_backing_off(&name("a"), BACKOFF - MOMENT));
-    assert!(!fleet.back_off(&name("a"), BACKOFF, MOMENT));
-    assert!(fleet.is_backing_off(&name("a"), BACKOFF));
-    assert!(!fleet.is_backing_off(&name("a"), BACKOFF + MOMENT));
+fn a_shorter_backoff_does_not_replace_a_longer_one() {
+    let mut registry = registry();
+    registry.back_off(&name("a"), BACKOFF, Duration::ZERO);
+    assert!(!registry.back_off(&name("a"), MILLISECOND, MILLISECOND));
+    assert!(registry.is_backing_off(&name("a"), BACKOFF - MILLISECOND));
+    assert!(!registry.back_off(&name("a"), BACKOFF, MILLISECOND));
+    assert!(registry.is_backing_off(&name("a"), BACKOFF));
+    assert!(!registry.is_backing_off(&name("a"), BACKOFF + MILLISECOND));
 }
 
+/// All waiting requests at once would overload the upstream again as its backoff ends.
 #[test]
-fn requests_come_back_one_then_two_then_four() {
-    let mut fleet = fleet();
-    fleet.back_off(&name("a"), BACKOFF, Duration::ZERO);
+fn slow_start_admits_one_then_two_then_four_requests() {
+    let mut registry = registry();
+    registry.back_off(&name("a"), BACKOFF, Duration::ZERO);
     for limit in [1, 2, 4] {
-        let trials = enter_all(&mut fleet, BACKOFF);
-        assert_eq!(trials.len(), limit);
-        assert!(trials.iter().all(|slow_start_slot| fleet.may_send(
+        let slots = acquire_all(&mut registry, BACKOFF);
+        assert_eq!(slots.len(), limit);
+        assert!(slots.iter().all(|slow_start_slot| registry.may_send(
             &name("a"),
             Some(*slow_start_slot),
             BACKOFF
         )));
-        assert!(!fleet.may_send(&name("a"), None, BACKOFF), "one that is not counted");
-        assert!(fleet.is_backing_off(&name("a"), BACKOFF));
-        let (first, others) = trials.split_first().expect("one may try");
-        let is_over = fleet.slow_start_accepted(&name("a"), Some(*first));
+        assert!(
+            !registry.may_send(&name("a"), None, BACKOFF),
+            "a request without a slow-start slot"
+        );
+        assert!(registry.is_backing_off(&name("a"), BACKOFF));
+        let (first, others) = slots.split_first().expect("one slot is available");
+        let is_over = registry.slow_start_accepted(&name("a"), Some(*first));
         assert_eq!(is_over, limit == 4);
-        fleet.release_slow_start_slot(&name("a"), Some(*first));
+        registry.release_slow_start_slot(&name("a"), Some(*first));
         others.iter().for_each(|slow_start_slot| {
-            fleet.release_slow_start_slot(&name("a"), Some(*slow_start_slot))
+            registry.release_slow_start_slot(&name("a"), Some(*slow_start_slot))
         });
     }
-    assert!(fleet.may_send(&name("a"), None, BACKOFF));
-    assert_eq!(fleet.backoff_count(), 0);
+    assert!(registry.may_send(&name("a"), None, BACKOFF));
+    assert_eq!(registry.backoff_count(), 0);
 }
 
-/// Streams of before the backoff go on for long after it, and end at any time.
+/// Streams that began before the backoff may run on for long and end at any time.
 #[test]
-fn requests_of_before_a_backoff_dont_count_in_its_slow_start() {
-    let mut fleet = fleet();
-    fleet.back_off(&name("a"), BACKOFF, Duration::ZERO);
-    let before = enter_all(&mut fleet, BACKOFF);
+fn requests_sent_before_a_backoff_do_not_count_in_its_slow_start() {
+    let mut registry = registry();
+    registry.back_off(&name("a"), BACKOFF, Duration::ZERO);
+    let before = acquire_all(&mut registry, BACKOFF);
     assert_eq!(before.len(), 1);
-    fleet.back_off(&name("a"), BACKOFF, BACKOFF);
-    assert!(!fleet.may_send(&name("a"), Some(before[0]), 2 * BACKOFF));
-    assert!(!fleet.slow_start_accepted(&name("a"), Some(before[0])));
-    assert_eq!(enter_all(&mut fleet, 2 * BACKOFF).len(), 1);
-    fleet.release_slow_start_slot(&name("a"), Some(before[0]));
-    assert!(enter_all(&mut fleet, 2 * BACKOFF).is_empty());
+    registry.back_off(&name("a"), BACKOFF, BACKOFF);
+    assert!(!registry.may_send(&name("a"), Some(before[0]), 2 * BACKOFF));
+    assert!(!registry.slow_start_accepted(&name("a"), Some(before[0])));
+    assert_eq!(acquire_all(&mut registry, 2 * BACKOFF).len(), 1);
+    registry.release_slow_start_slot(&name("a"), Some(before[0]));
+    assert!(acquire_all(&mut registry, 2 * BACKOFF).is_empty());
 }
 
-/// The slow start before is over by then, and nothing is left of it.
+/// The earlier slow start has completed by then, so its state is gone and a late response must not
+/// advance the later one.
 #[test]
-fn a_trial_of_an_earlier_slow_start_doesnt_count_in_a_later_one() {
-    let mut fleet = fleet();
-    fleet.back_off(&name("a"), BACKOFF, MOMENT);
-    let first = enter_all(&mut fleet, MOMENT + BACKOFF);
-    fleet.upsert(UpstreamListing { slots: 1, ..upstream("a") }, None);
-    assert!(fleet.slow_start_accepted(&name("a"), Some(first[0])));
-    fleet.back_off(&name("a"), BACKOFF, 2 * BACKOFF);
-    assert!(!fleet.slow_start_accepted(&name("a"), Some(first[0])));
-    assert!(!fleet.may_send(&name("a"), Some(first[0]), 3 * BACKOFF));
-    assert_eq!(enter_all(&mut fleet, 3 * BACKOFF).len(), 1);
-    fleet.release_slow_start_slot(&name("a"), Some(first[0]));
-    assert!(enter_all(&mut fleet, 3 * BACKOFF).is_empty());
+fn a_slot_of_an_earlier_slow_start_does_not_count_in_a_later_one() {
+    let mut registry = registry();
+    registry.back_off(&name("a"), BACKOFF, MILLISECOND);
+    let first = acquire_all(&mut registry, MILLISECOND + BACKOFF);
+    registry.upsert(UpstreamListing { slots: 1, ..upstream("a") }, None);
+    assert!(registry.slow_start_accepted(&name("a"), Some(first[0])));
+    registry.back_off(&name("a"), BACKOFF, 2 * BACKOFF);
+    assert!(!registry.slow_start_accepted(&name("a"), Some(first[0])));
+    assert!(!registry.may_send(&name("a"), Some(first[0]), 3 * BACKOFF));
+    assert_eq!(acquire_all(&mut registry, 3 * BACKOFF).len(), 1);
+    registry.release_slow_start_slot(&name("a"), Some(first[0]));
+    assert!(acquire_all(&mut registry, 3 * BACKOFF).is_empty());
 }
 
-/// Retry-After names when the first of all may be sent to, and only where none may be now.
+/// `Retry-After` states when the first of all upstreams may be sent to, and only if none may be
+/// now.
 #[test]
-fn a_service_resumes_when_its_first_upstream_does() {
-    let mut fleet = fleet();
-    fleet.back_off(&name("a"), BACKOFF, Duration::ZERO);
-    assert_eq!(fleet.min_backoff_remaining("s", MOMENT), None);
-    fleet.back_off(&name("b"), 2 * BACKOFF, Duration::ZERO);
-    assert_eq!(fleet.min_backoff_remaining("s", MOMENT), Some(BACKOFF - MOMENT));
-    fleet.upsert(UpstreamListing { leaving: true, ..upstream("a") }, None);
-    assert_eq!(fleet.min_backoff_remaining("s", MOMENT), Some(2 * BACKOFF - MOMENT));
-    assert_eq!(fleet.min_backoff_remaining("another", MOMENT), None);
+fn a_service_resumes_with_its_first_upstream() {
+    let mut registry = registry();
+    registry.back_off(&name("a"), BACKOFF, Duration::ZERO);
+    assert_eq!(registry.min_backoff_remaining("s", MILLISECOND), None);
+    registry.back_off(&name("b"), 2 * BACKOFF, Duration::ZERO);
+    assert_eq!(registry.min_backoff_remaining("s", MILLISECOND), Some(BACKOFF - MILLISECOND));
+    registry.upsert(UpstreamListing { leaving: true, ..upstream("a") }, None);
+    assert_eq!(registry.min_backoff_remaining("s", MILLISECOND), Some(2 * BACKOFF - MILLISECOND));
+    assert_eq!(registry.min_backoff_remaining("another", MILLISECOND), None);
 }
 
-/// The store's list is of no weight here: an entry lapses and is back within a backoff.
+/// The store's entry of the upstream lapses and returns within the backoff, which stays in force.
 #[test]
-fn a_backoff_outlasts_an_entry() {
-    let mut fleet = fleet();
-    fleet.back_off(&name("a"), BACKOFF, Duration::ZERO);
-    fleet.remove(&name("a"));
-    fleet.tick(MOMENT);
-    fleet.upsert(upstream("a"), None);
-    assert!(fleet.is_backing_off(&name("a"), BACKOFF - MOMENT));
+fn a_backoff_survives_a_lapsed_store_entry() {
+    let mut registry = registry();
+    registry.back_off(&name("a"), BACKOFF, Duration::ZERO);
+    registry.remove(&name("a"));
+    registry.tick(MILLISECOND);
+    registry.upsert(upstream("a"), None);
+    assert!(registry.is_backing_off(&name("a"), BACKOFF - MILLISECOND));
 }
 
+/// Otherwise the backoffs of removed upstreams would accumulate.
 #[test]
-fn what_is_gone_is_forgotten_after_its_backoff() {
-    let mut fleet = fleet();
-    fleet.back_off(&name("a"), BACKOFF, Duration::ZERO);
-    fleet.remove(&name("a"));
-    fleet.tick(BACKOFF);
-    assert_eq!(fleet.backoff_count(), 0);
+fn a_removed_upstream_is_dropped_after_its_backoff() {
+    let mut registry = registry();
+    registry.back_off(&name("a"), BACKOFF, Duration::ZERO);
+    registry.remove(&name("a"));
+    registry.tick(BACKOFF);
+    assert_eq!(registry.backoff_count(), 0);
 }
--- a/tests/proxy_behind.rs
+++ b/tests/proxy_behind.rs
@@ -1,8 +1,8 @@
-//! How boxes that don't watch the platform's store keep up with it, without network.
+//! Synchronization of boxes that don't watch the platform's store, simulated without a network.
 //!
-//! Load: a release at 300 boxes before 3,000 upstreams. 43 upstreams are replaced each second, one by one; the three
-//! watchers of a zone hear of that at times of their own, up to a second late, and tell by datagrams, of which some
-//! are lost.
+//! Load: a rollout with 300 boxes and 3,000 upstreams. 43 upstreams are replaced each second, one
+//! by one. The three boxes of a zone that watch the store receive each change at different times,
+//! up to a second late, and forward it in datagrams, some of which are lost.
 
 use std::time::Duration;
 
@@ -26,43 +26,45 @@
 
 const UPSTREAMS: u64 = 3_000;
 
-/// Upstreams that come and go, a second.
+/// Upstreams that are replaced per second.
 const REPLACED_PER_S: u64 = 43;
 
-/// A step of the model, and how many there are.
+/// Length of a simulation step, and number of steps.
 const STEP: Duration = Duration::from_millis(100);
 const STEPS: u64 = 300;
 
-/// Steps between two looks of a watcher at the store, between two words of a watcher, between two looks of the box at
-/// its standing, and between two of its questions for changes.
-const GATHER: u64 = 10;
-const BEAT: u64 = 4;
-const LOOK: u64 = 3;
-const BEHIND_EVERY: u64 = 10;
+/// Steps between two reads of the store by a watcher, two reports of a watcher, two checks of the
+/// box's sync state, and two of its requests for changes.
+const STORE_READ_STEPS: u64 = 10;
+const REPORT_STEPS: u64 = 4;
+const CHECK_STEPS: u64 = 3;
+const FETCH_STEPS: u64 = 10;
 
-/// Looks at which the box must have been apart from others before it asks them for all that differs.
-const APART_FOR: u64 = 7;
+/// Successive checks that must find the box diverged before it requests all differences.
+const DIVERGED_CHECKS: u64 = 7;
 
-/// Of the datagrams so many are lost.
-const LOST: f64 = 0.02;
+/// Share of the datagrams that is lost.
+const LOSS_RATE: f64 = 0.02;
 
-/// How the box finds out what it misses.
+/// How the box detects missing changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
-    /// By the digests of the lists alone, whatever the revision.
+enum SyncMethod {
+    /// By the digests of the lists alone, ignoring revisions.
     Digests,
-    /// By the revision up to which the lists are whole.
+    /// By the revision up to which the lists are complete.
     Revisions,
 }
 
 #[derive(Debug, Default)]
 struct Outcome {
-    /// Bytes of questions and answers.
+    /// Bytes of requests and responses.
     bytes: usize,
-    /// Upstreams that the box listed, gave up though the store still listed them, and listed again.
+    /// Upstreams that the box listed, removed although the store still listed them, and listed
+    /// again.
     flaps: usize,
-    /// Steps at which the box listed an upstream that the store had listed no more for three seconds.
-    late: usize,
+    /// Steps, summed over upstreams, at which the box listed one that the store had removed three
+    /// seconds before.
+    stale: usize,
 }
 
 fn name(n: u64) -> UpstreamName {
@@ -92,48 +94,48 @@
     view
 }
 
-/// A box that watches the store, and what it said of itself last.
+/// A box that watches the store, and its last report.
 struct Watcher {
     view: View,
-    /// Changes of the store that it has heard of; each makes a revision.
-    heard: u64,
+    /// Changes of the store received so far; each makes a revision.
+    received: u64,
     phase: u64,
-    word: UpstreamListReport,
+    report: UpstreamListReport,
 }
 
 impl Watcher {
     fn new(phase: u64) -> Watcher {
         let addr = ([127, 0, 0, 1 + phase as u8], 80).into();
-        let word = UpstreamListReport {
+        let report = UpstreamListReport {
             addr,
             sees_store: true,
             revision: Revision::default(),
             upstreams_digest: 0,
             age: Duration::ZERO,
         };
-        Watcher { view: view(), heard: 0, phase, word }
+        Watcher { view: view(), received: 0, phase, report }
     }
 
-    /// Hears of all changes up to the one of this number; gives what it tells of that.
-    fn hear(&mut self, changes: u64, now: Duration) -> Vec<Change> {
-        for n in self.heard..changes {
+    /// Receives all changes up to number `changes`; returns those to forward to other boxes.
+    fn receive_changes(&mut self, changes: u64, now: Duration) -> Vec<Change> {
+        for n in self.received..changes {
             self.view.set_upstream(listed(UPSTREAMS + n), now);
             self.view.entry_removed(&name(n), now);
         }
-        self.heard = changes;
+        self.received = changes;
         self.view.complete_up_to(Revision::new(1, UPSTREAMS + 2 * changes));
         self.view.take_changes()
     }
 
-    fn speak(&mut self) {
+    fn update_report(&mut self) {
         let (revision, upstreams_digest) = (self.view.revision(), self.view.digest());
-        self.word =
-            UpstreamListReport { revision, upstreams_digest, age: Duration::ZERO, ..self.word };
+        self.report =
+            UpstreamListReport { revision, upstreams_digest, age: Duration::ZERO, ..self.report };
     }
 }
 
-/// Takes in what a watcher tells.
-fn take_in(view: &mut View, change: Change, now: Duration) {
+/// Applies a change that a watcher forwarded.
+fn apply_change(view: &mut View, change: Change, now: Duration) {
     match change {
         Change::Upstream(listed) => view.reported_listed(listed, now),
         Change::Gone(name) => view.reported_gone(&name, now),
@@ -141,68 +143,75 @@
     }
 }
 
-/// What a box asks a watcher, and takes over.
-fn ask(view: &mut View, watcher: &View, whole: bool, now: Duration) -> usize {
+/// Fetches changes, or all differences if `full`, from a watcher and applies them. Returns the
+/// bytes transferred.
+fn fetch(view: &mut View, watcher: &View, full: bool, now: Duration) -> usize {
     let version = view.version();
-    let (question, told) = if whole {
+    let (request, response) = if full {
         let digests = view.digests(now);
         (digests.to_string().len(), Some(watcher.difference(version, &digests, now)))
     } else {
         (0, watcher.changes_since(version, view.revision(), now))
     };
-    let Some(told) = told else { return question + ask(view, watcher, true, now) };
-    let packed = postcard::to_stdvec(&told).expect("it can be packed");
-    let told: Snapshot = postcard::from_bytes(&packed).expect("it can be read");
-    view.apply_snapshot(told, now);
-    question + packed.len()
+    let Some(response) = response else { return request + fetch(view, watcher, true, now) };
+    let encoded = postcard::to_stdvec(&response).expect("it can be encoded");
+    let response: Snapshot = postcard::from_bytes(&encoded).expect("it can be decoded");
+    view.apply_snapshot(response, now);
+    request + encoded.len()
 }
 
-fn run(way: Way, seed: u64) -> Outcome {
+fn run(method: SyncMethod, seed: u64) -> Outcome {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut watchers = [Watcher::new(0), Watcher::new(3), Watcher::new(7)];
     let mut box_ = view();
     box_.store_left_to_others();
     let mut outcome = Outcome::default();
-    let (mut apart, mut asked_at) = (0, 0);
+    let (mut diverged_checks, mut fetched_at) = (0, 0);
     let mut changes = 0;
     for step in 1..=STEPS {
         let now = STEP * step as u32;
-        // A watcher hears of the latest change, whenever that was.
+        // A watcher receives everything up to the latest change at once.
         changes = REPLACED_PER_S * step / 10;
         for watcher in watchers.iter_mut() {
-            watcher.word.age += STEP;
-            if step % GATHER == watcher.phase {
-                for change in watcher.hear(changes, now) {
-                    if !rng.random_bool(LOST) {
-                        take_in(&mut box_, change, now);
+            watcher.report.age += STEP;
+            if step % STORE_READ_STEPS == watcher.phase {
+                for change in watcher.receive_changes(changes, now) {
+                    if !rng.random_bool(LOSS_RATE) {
+                        apply_change(&mut box_, change, now);
                     }
                 }
             }
-            if (step + watcher.phase) % BEAT == 0 && !rng.random_bool(LOST) {
-                watcher.speak();
+            if (step + watcher.phase) % REPORT_STEPS == 0 && !rng.random_bool(LOSS_RATE) {
+                watcher.update_report();
             }
         }
         box_.tick(now);
-        if step % LOOK != 0 {
+        if step % CHECK_STEPS != 0 {
             continue;
         }
-        let words = watchers.iter().map(|w| UpstreamListReport {
-            revision: if way == Way::Digests { Revision::default() } else { w.word.revision },
-            ..w.word
+        let reports = watchers.iter().map(|w| UpstreamListReport {
+            revision: if method == SyncMethod::Digests {
+                Revision::default()
+            } else {
+                w.report.revision
+            },
+            ..w.report
         });
-        let revision = if way == Way::Digests { Revision::default() } else { box_.revision() };
-        let standing = sync_state::evaluate(revision, box_.digest(), words);
-        apart = if matches!(standing, SyncState::Diverged(_)) { apart + 1 } else { 0 };
-        let apart_for = if way == Way::Digests { 2 } else { APART_FOR };
-        let by_addr = |addr| watchers.iter().find(|w| w.word.addr == addr).expect("one of them");
-        match standing {
-            SyncState::Diverged(addr) if apart_for <= apart => {
-                outcome.bytes += ask(&mut box_, &by_addr(addr).view, true, now);
+        let revision =
+            if method == SyncMethod::Digests { Revision::default() } else { box_.revision() };
+        let state = sync_state::evaluate(revision, box_.digest(), reports);
+        diverged_checks =
+            if matches!(state, SyncState::Diverged(_)) { diverged_checks + 1 } else { 0 };
+        let diverged_checks_min = if method == SyncMethod::Digests { 2 } else { DIVERGED_CHECKS };
+        let by_addr = |addr| watchers.iter().find(|w| w.report.addr == addr).expect("one of them");
+        match state {
+            SyncState::Diverged(addr) if diverged_checks_min <= diverged_checks => {
+                outcome.bytes += fetch(&mut box_, &by_addr(addr).view, true, now);
             }
-            SyncState::Behind(all) if asked_at + BEHIND_EVERY <= step => {
-                asked_at = step;
+            SyncState::Behind(all) if fetched_at + FETCH_STEPS <= step => {
+                fetched_at = step;
                 let addr = all[rng.random_range(0..all.len())];
-                outcome.bytes += ask(&mut box_, &by_addr(addr).view, false, now);
+                outcome.bytes += fetch(&mut box_, &by_addr(addr).view, false, now);
             }
             _ => {}
         }
@@ -214,27 +223,30 @@
             }
         }
         let old = REPLACED_PER_S * step.saturating_sub(30) / 10;
-        let is_late = |n: u64| box_.fleet().is_open(&name(n));
-        outcome.late += (old.saturating_sub(100)..old).filter(|n| is_late(*n)).count();
+        let is_stale = |n: u64| box_.fleet().is_open(&name(n));
+        outcome.stale += (old.saturating_sub(100)..old).filter(|n| is_stale(*n)).count();
     }
-    // When all is quiet both list the same.
+    // Once changes stop, both must list the same upstreams.
     for watcher in &mut watchers {
-        watcher.hear(changes, STEP * STEPS as u32);
+        watcher.receive_changes(changes, STEP * STEPS as u32);
     }
     let now = STEP * (STEPS + 1) as u32;
-    ask(&mut box_, &watchers[0].view, way == Way::Digests, now);
-    assert_eq!(box_.digest(), watchers[0].view.digest(), "{way:?}");
+    fetch(&mut box_, &watchers[0].view, method == SyncMethod::Digests, now);
+    assert_eq!(box_.digest(), watchers[0].view.digest(), "{method:?}");
     outcome
 }
 
+/// With digests alone a box can't tell that it merely lags behind: it fetches all that differs,
+/// more than ten times the data, and may remove upstreams that are still listed.
 #[test]
-fn who_is_behind_asks_for_changes_and_gives_up_nothing() {
+fn a_lagging_box_fetches_changes_and_removes_no_listed_upstream() {
     let seconds = STEPS as usize / 10;
     for seed in 0..2 {
-        let (digests, revisions) = (run(Way::Digests, seed), run(Way::Revisions, seed));
+        let (digests, revisions) =
+            (run(SyncMethod::Digests, seed), run(SyncMethod::Revisions, seed));
         println!("{digests:?} {revisions:?}");
         assert!(revisions.bytes < 10_000 * seconds, "{revisions:?}");
         assert!(10 * revisions.bytes < digests.bytes, "{revisions:?} {digests:?}");
-        assert_eq!((revisions.flaps, revisions.late), (0, 0));
+        assert_eq!((revisions.flaps, revisions.stale), (0, 0));
     }
 }
--- a/tests/proxy_draining.rs
+++ b/tests/proxy_draining.rs
@@ -1,4 +1,5 @@
-//! The notice of an upstream that it drains, against what the store and other boxes list later.
+//! An upstream's own notice that it drains takes precedence over what the store and other boxes
+//! list later.
 
 use std::time::Duration;
 
@@ -14,15 +15,15 @@
 use frostdyke::proxy::view::Snapshot;
 use frostdyke::proxy::view::View;
 
-/// When `a` was started, and when it says that it drains, in milliseconds since 1970.
-const BORN: u64 = 1_000_000;
-const SAID_AT: u64 = 2_000_000;
+/// When `a` was started and when it answered that it drains, in milliseconds since 1970.
+const STARTED_AT_MS: u64 = 1_000_000;
+const ANSWERED_AT_MS: u64 = 2_000_000;
 
 const NOW: Duration = Duration::from_secs(100);
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn upstream(name: &str, born: u64) -> UpstreamListing {
+fn upstream(name: &str, started_at_ms: u64) -> UpstreamListing {
     UpstreamListing {
         name: UpstreamName::from(name),
         service: ServiceName::from("s"),
@@ -30,26 +31,26 @@
         zone: ZoneName::from("z"),
         version: VersionName::from("v1"),
         slots: 1,
-        started_at_ms: Some(born),
+        started_at_ms: Some(started_at_ms),
         leaving: false,
         cold_for: None,
     }
 }
 
 fn all() -> Vec<UpstreamListing> {
-    vec![upstream("a", BORN), upstream("b", BORN)]
+    vec![upstream("a", STARTED_AT_MS), upstream("b", STARTED_AT_MS)]
 }
 
-fn notice(born: Option<u64>) -> DrainNotice {
-    DrainNotice { upstream: UpstreamName::from("a"), started_at_ms: born, answered_at_ms: SAID_AT }
+fn notice(started_at_ms: Option<u64>) -> DrainNotice {
+    DrainNotice { upstream: UpstreamName::from("a"), started_at_ms, answered_at_ms: ANSWERED_AT_MS }
 }
 
-/// A view that sees the store, and to which `a` has said that it drains.
+/// A view with access to the store, after `a` has answered that it drains.
 fn view() -> View {
     let mut view = View::new(UpstreamRegistry::new(ZoneName::from("z"), Tuning::default()));
     view.store_regained(Duration::ZERO);
     view.set_upstreams(all(), Duration::ZERO);
-    assert!(view.apply_draining(&notice(Some(BORN)), NOW));
+    assert!(view.apply_draining(&notice(Some(STARTED_AT_MS)), NOW));
     view.take_changes();
     view
 }
@@ -61,29 +62,30 @@
     is_open
 }
 
-/// A store that is slow lists it as ready on and on.
+/// A slow store keeps listing the upstream as ready.
 #[test]
-fn a_listing_of_the_same_incarnation_opens_nothing() {
+fn a_listing_of_the_same_instance_does_not_reopen_it() {
     let mut view = view();
-    view.set_upstream(upstream("a", BORN), NOW + SECOND);
+    view.set_upstream(upstream("a", STARTED_AT_MS), NOW + SECOND);
     view.set_upstreams(all(), NOW + SECOND);
     assert!(!is_open(&view));
     assert!(view.take_changes().is_empty());
 }
 
-/// Entries lapse while the store is away, and are written again.
+/// Entries lapse while the store is unavailable and are written again afterwards.
 #[test]
-fn an_entry_that_lapsed_and_is_back_opens_nothing() {
+fn an_entry_that_lapsed_and_returned_does_not_reopen_it() {
     let mut view = view();
     view.entry_removed(&UpstreamName::from("a"), NOW + SECOND);
     assert!(view.is_barred(&UpstreamName::from("a")));
     view.tick(NOW + 12 * SECOND);
-    view.set_upstream(upstream("a", BORN), NOW + 12 * SECOND);
+    view.set_upstream(upstream("a", STARTED_AT_MS), NOW + 12 * SECOND);
     assert!(!is_open(&view));
 }
 
+/// The copy was taken before the upstream began to drain.
 #[test]
-fn a_store_that_comes_back_from_an_older_copy_opens_nothing() {
+fn a_store_restored_from_an_older_copy_does_not_reopen_it() {
     let mut view = view();
     view.enter_era(1, NOW + SECOND);
     view.set_upstreams(all(), NOW + SECOND);
@@ -91,77 +93,80 @@
     assert!(!is_open(&view));
 }
 
-/// A box without the notice, since its zone was cut off or it has just started, sends what it believes.
+/// A box without the notice, because its zone was cut off or it has just started, sends outdated
+/// listings.
 #[test]
-fn what_other_boxes_list_opens_nothing() {
+fn listings_of_other_boxes_do_not_reopen_it() {
     let mut view = view();
     view.store_lost();
     let revision = Revision::new(1, 5);
     let snapshot =
         Snapshot { upstreams: all(), revision, is_complete: true, ..Snapshot::default() };
     view.apply_snapshot(snapshot, NOW + SECOND);
-    view.reported_listed(upstream("a", BORN), NOW + SECOND);
+    view.reported_listed(upstream("a", STARTED_AT_MS), NOW + SECOND);
     assert!(!is_open(&view));
 }
 
+/// A notice is about one instance; a restarted upstream takes requests again.
 #[test]
-fn an_incarnation_after_the_notice_is_open() {
+fn an_instance_started_after_the_notice_is_open() {
     let mut view = view();
-    view.set_upstream(upstream("a", SAID_AT + 1), NOW + SECOND);
+    view.set_upstream(upstream("a", ANSWERED_AT_MS + 1), NOW + SECOND);
     assert!(is_open(&view));
     assert!(
-        !view.apply_draining(&notice(Some(BORN)), NOW + SECOND),
-        "of the earlier incarnation, late"
+        !view.apply_draining(&notice(Some(STARTED_AT_MS)), NOW + SECOND),
+        "a late notice of the earlier instance"
     );
     assert!(is_open(&view));
 }
 
-/// It may be the incarnation that answered, or a later one by clocks that differ. Which one shows when the one that
-/// drains must have ended.
+/// The listed instance may be the one that answered or, as clocks differ, a later one. It opens
+/// when the draining one must have ended.
 #[test]
-fn an_uncertain_incarnation_is_open_once_the_other_one_has_ended() {
+fn an_instance_of_uncertain_order_opens_once_the_draining_one_must_have_ended() {
     let mut view = view();
-    view.set_upstream(upstream("a", SAID_AT - 1), NOW + SECOND);
+    view.set_upstream(upstream("a", ANSWERED_AT_MS - 1), NOW + SECOND);
     view.tick(NOW + 20 * SECOND);
     assert!(!is_open(&view));
     view.tick(NOW + 31 * SECOND);
     assert!(is_open(&view));
 }
 
+/// The notice may arrive after the restart that it precedes.
 #[test]
-fn a_listed_incarnation_stays_open_when_the_notice_of_an_earlier_one_comes() {
+fn a_late_notice_of_an_earlier_instance_does_not_close_a_listed_one() {
     let mut view = View::new(UpstreamRegistry::new(ZoneName::from("z"), Tuning::default()));
     view.store_regained(Duration::ZERO);
-    view.set_upstreams(vec![upstream("a", SAID_AT + 1)], Duration::ZERO);
-    assert!(!view.apply_draining(&notice(Some(BORN)), NOW));
+    view.set_upstreams(vec![upstream("a", ANSWERED_AT_MS + 1)], Duration::ZERO);
+    assert!(!view.apply_draining(&notice(Some(STARTED_AT_MS)), NOW));
     assert!(is_open(&view));
 }
 
-/// Each box that reads it would broadcast it; only the first time is worth a message.
+/// Each box that reads a notice broadcasts it if it is new; only the first is worth a message.
 #[test]
-fn a_notice_is_new_once() {
+fn a_repeated_notice_is_not_new() {
     let mut view = view();
-    assert!(!view.apply_draining(&notice(Some(BORN)), NOW + SECOND));
+    assert!(!view.apply_draining(&notice(Some(STARTED_AT_MS)), NOW + SECOND));
     assert!(!view.apply_draining(&notice(None), NOW + SECOND));
 }
 
-/// All boxes have it from the store.
+/// All boxes have it from the store, so it needs no broadcast.
 #[test]
 fn a_notice_that_the_store_lists_is_not_new() {
     let mut view = View::new(UpstreamRegistry::new(ZoneName::from("z"), Tuning::default()));
     view.store_regained(Duration::ZERO);
     view.set_upstreams(
-        vec![UpstreamListing { leaving: true, ..upstream("a", BORN) }],
+        vec![UpstreamListing { leaving: true, ..upstream("a", STARTED_AT_MS) }],
         Duration::ZERO,
     );
-    assert!(!view.apply_draining(&notice(Some(BORN)), NOW));
-    view.set_upstream(upstream("a", BORN), NOW + SECOND);
+    assert!(!view.apply_draining(&notice(Some(STARTED_AT_MS)), NOW));
+    view.set_upstream(upstream("a", STARTED_AT_MS), NOW + SECOND);
     assert!(!is_open(&view));
 }
 
-/// An owner may choose an upstream of which this box has no more than the notice.
+/// An owner may choose an upstream of which this box has only the notice.
 #[test]
-fn an_upstream_that_isnt_listed_is_barred_by_its_notice() {
+fn an_unlisted_upstream_is_barred_by_its_notice() {
     let mut view = View::new(UpstreamRegistry::new(ZoneName::from("z"), Tuning::default()));
     assert!(view.apply_draining(&notice(None), NOW));
     assert!(view.is_barred(&UpstreamName::from("a")));
@@ -170,9 +175,9 @@
     assert!(!is_open(&view));
 }
 
-/// A box that has just started lists what the store has, and gets the notices from another one.
+/// A box that has just started lists what the store has, and receives the notices from another box.
 #[test]
-fn a_box_that_starts_gets_the_notices() {
+fn a_starting_box_receives_the_notices() {
     let learned = view().learned(None);
     let mut started = View::new(UpstreamRegistry::new(ZoneName::from("z"), Tuning::default()));
     started.store_regained(NOW);
@@ -181,8 +186,9 @@
     assert!(!is_open(&started));
 }
 
+/// Otherwise the notices of removed upstreams would accumulate.
 #[test]
-fn what_is_long_gone_is_forgotten() {
+fn notices_of_removed_upstreams_expire() {
     let mut view = view();
     view.entry_removed(&UpstreamName::from("a"), NOW);
     view.tick(NOW + 5 * SECOND);
--- a/tests/proxy_plain.rs
+++ b/tests/proxy_plain.rs
@@ -1,8 +1,11 @@
-//! Plain services whose upstreams would queue for longer than callers care. Load: 64 and 295 boxes, of which some
-//! have most of the callers, before four and five upstreams of six slots that work 60 ms on a request and queue 24
-//! more; half to one and a half times what they can do, asked of an aim of 300 ms; who is refused comes back once.
-//! An upstream whose queue is full answers after 240 ms of waiting, so nobody there is served in time, while
-//! each box sees few answers of its own. No network: questions take 1 ms each way, ends are told after 20 ms.
+//! Plain services whose upstreams would queue requests for longer than callers can wait.
+//!
+//! Load: 64 and 295 boxes, a tenth of which have most of the callers, and four and five upstreams
+//! of six slots that take 60 ms for a request and queue 24 more. Callers send half to one and a
+//! half times what the upstreams can serve, with a target latency of 300 ms; a refused caller
+//! retries once. An upstream whose queue is full responds after 240 ms of waiting, so none of its
+//! callers is served in time, while each box sees few responses of its own. No network: requests to
+//! an owner take 1 ms each way, ends are reported after 20 ms.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -30,72 +33,72 @@
 use rand::rngs::SmallRng;
 
 const SLOTS: u32 = 6;
-const QUEUE: usize = 24;
-const AIM: Duration = Duration::from_millis(300);
-const WORK: f64 = 0.060;
+const QUEUE_MAX: usize = 24;
+const LATENCY_TARGET: Duration = Duration::from_millis(300);
+const SERVICE_TIME_S: f64 = 0.060;
 
-/// Seconds that are played, the first of which isn't counted.
-const SPAN: f64 = 12.0;
-const WARM_UP: f64 = 2.0;
+/// Simulated seconds; the first ones, `WARM_UP_S`, aren't counted.
+const DURATION_S: f64 = 12.0;
+const WARM_UP_S: f64 = 2.0;
 
-/// Seconds that a message takes, and that ends wait to be told together.
-const MESSAGE: f64 = 0.001;
-const GATHER: f64 = 0.020;
+/// Seconds that a message takes, and for which ends of requests are collected into one report.
+const MESSAGE_DELAY_S: f64 = 0.001;
+const REPORT_DELAY_S: f64 = 0.020;
 
-/// Seconds after which who is refused comes back.
-const COMES_BACK: f64 = 0.1;
+/// Seconds after which a refused caller retries.
+const RETRY_DELAY_S: f64 = 0.1;
 
-/// Who chooses.
+/// Which box chooses the upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Way {
-    /// One box counts what all have at the upstreams.
+enum ChoosingBox {
+    /// One box counts the requests of all boxes at the upstreams.
     Owner,
-    /// Each box by its own answers.
-    Alone,
+    /// Each box, by the responses that it has received itself.
+    Sender,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Event {
-    /// Comes to a box, by number; whether for the second time, and since when.
-    Come { sender: usize, again: bool, since: f64 },
-    /// Reaches an upstream.
+    /// Arrives at box number `sender`; `first_at` is the time of the first attempt.
+    Arrive { sender: usize, is_retry: bool, first_at: f64 },
+    /// Reaches the upstream.
     Reach { upstream: usize, request: u64 },
-    /// Is answered.
-    Done { upstream: usize, request: u64 },
-    /// The counts hear of the end.
-    Told { upstream: usize, request: u64, took: f64 },
+    /// The upstream responds.
+    Respond { upstream: usize, request: u64 },
+    /// The owner receives the report of the end.
+    EndReported { upstream: usize, request: u64, took: f64 },
 }
 
 struct Request {
     sender: usize,
-    since: f64,
-    sent: f64,
+    first_at: f64,
+    sent_at: f64,
 }
 
 #[derive(Default)]
-struct Real {
-    working: u32,
+struct UpstreamState {
+    running: u32,
     queue: VecDeque<u64>,
 }
 
 #[derive(Debug, Default)]
 struct Outcome {
-    asked: usize,
-    in_aim: usize,
+    requests: usize,
+    in_time: usize,
     late: usize,
-    turned_away: usize,
+    rejected: usize,
     refused: usize,
-    /// Moments at which an upstream had a free slot while another one's queue held work for its whole slots.
-    idle_beside_work: usize,
+    /// Arrivals while an upstream had a free slot and another's queue could fill all its slots.
+    idle_while_queued: usize,
 }
 
-struct Play {
-    way: Way,
+struct Simulation {
+    choosing_box: ChoosingBox,
     rng: SmallRng,
     /// One for each box, or one for all.
-    fleets: Vec<UpstreamRegistry>,
+    registries: Vec<UpstreamRegistry>,
     shares: Shares,
-    upstreams: Vec<Real>,
+    upstreams: Vec<UpstreamState>,
     requests: BTreeMap<u64, Request>,
     events: BinaryHeap<Reverse<(u64, u64)>>,
     scheduled: BTreeMap<u64, Event>,
@@ -107,8 +110,8 @@
     UpstreamName::from(&*format!("u{n}"))
 }
 
-fn fleet(upstreams: usize) -> UpstreamRegistry {
-    let mut fleet = UpstreamRegistry::new(ZoneName::from("a"), Tuning::default());
+fn registry(upstreams: usize) -> UpstreamRegistry {
+    let mut registry = UpstreamRegistry::new(ZoneName::from("a"), Tuning::default());
     for n in 0..upstreams {
         let listed = UpstreamListing {
             name: name(n),
@@ -121,12 +124,12 @@
             leaving: false,
             cold_for: None,
         };
-        fleet.upsert(listed, None);
+        registry.upsert(listed, None);
     }
-    fleet
+    registry
 }
 
-/// A request of this box, for whoever counts.
+/// A request as its box submits it for admission.
 fn query(request: u64, zone: &ZoneName) -> PlainQuery<'_> {
     PlainQuery {
         request,
@@ -134,7 +137,7 @@
         workspace: None,
         excluded: &[],
         version_filter: VersionFilter::Any,
-        target_latency: AIM,
+        target_latency: LATENCY_TARGET,
         waited: Duration::ZERO,
         zone,
         sender: None,
@@ -145,36 +148,42 @@
     Duration::from_secs_f64(now)
 }
 
-impl Play {
-    fn run(way: Way, boxes: usize, upstreams: usize, load: f64, seed: u64) -> Outcome {
-        let fleets = if way == Way::Owner { 1 } else { boxes };
-        let mut play = Play {
-            way,
+impl Simulation {
+    fn run(
+        choosing_box: ChoosingBox,
+        boxes: usize,
+        upstreams: usize,
+        load: f64,
+        seed: u64,
+    ) -> Outcome {
+        let registries = if choosing_box == ChoosingBox::Owner { 1 } else { boxes };
+        let mut simulation = Simulation {
+            choosing_box,
             rng: SmallRng::seed_from_u64(seed),
-            fleets: (0..fleets).map(|_| fleet(upstreams)).collect(),
+            registries: (0..registries).map(|_| registry(upstreams)).collect(),
             shares: Shares::new(Duration::from_secs(4)),
-            upstreams: (0..upstreams).map(|_| Real::default()).collect(),
+            upstreams: (0..upstreams).map(|_| UpstreamState::default()).collect(),
             requests: BTreeMap::new(),
             events: BinaryHeap::new(),
             scheduled: BTreeMap::new(),
             next: 0,
             outcome: Outcome::default(),
         };
-        let rate = load * upstreams as f64 * f64::from(SLOTS) / WORK;
+        let rate = load * upstreams as f64 * f64::from(SLOTS) / SERVICE_TIME_S;
         let mut now = 0.0;
-        while now < SPAN {
-            now -= play.rng.random_range(f64::MIN_POSITIVE..1.0f64).ln() / rate;
+        while now < DURATION_S {
+            now -= simulation.rng.random_range(f64::MIN_POSITIVE..1.0f64).ln() / rate;
             // Half of the requests come to a tenth of the boxes.
-            let few = if play.rng.random_bool(0.5) { boxes / 10 } else { boxes };
-            let sender = play.rng.random_range(0..few);
-            play.schedule(now, Event::Come { sender, again: false, since: now });
+            let few = if simulation.rng.random_bool(0.5) { boxes / 10 } else { boxes };
+            let sender = simulation.rng.random_range(0..few);
+            simulation.schedule(now, Event::Arrive { sender, is_retry: false, first_at: now });
         }
-        while let Some(Reverse((nanos, key))) = play.events.pop() {
-            if let Some(event) = play.scheduled.remove(&key) {
-                play.take(nanos as f64 / 1e9, event);
+        while let Some(Reverse((nanos, key))) = simulation.events.pop() {
+            if let Some(event) = simulation.scheduled.remove(&key) {
+                simulation.handle(nanos as f64 / 1e9, event);
             }
         }
-        play.outcome
+        simulation.outcome
     }
 
     fn schedule(&mut self, when: f64, event: Event) {
@@ -183,189 +192,202 @@
         self.scheduled.insert(self.next, event);
     }
 
-    fn counts(since: f64) -> bool {
-        (WARM_UP..SPAN - 1.0).contains(&since)
+    fn is_counted(first_at: f64) -> bool {
+        (WARM_UP_S..DURATION_S - 1.0).contains(&first_at)
     }
 
-    fn take(&mut self, now: f64, event: Event) {
+    fn handle(&mut self, now: f64, event: Event) {
         match event {
-            Event::Come { sender, again, since } => self.come(now, sender, again, since),
+            Event::Arrive { sender, is_retry, first_at } => {
+                self.arrive(now, sender, is_retry, first_at)
+            }
             Event::Reach { upstream, request } => self.reach(now, upstream, request),
-            Event::Done { upstream, request } => self.done(now, upstream, request),
-            Event::Told { upstream, request, took } => {
-                let fleet = &mut self.fleets[0];
-                fleet.record_first_token(&name(upstream), request, Some(at(took)), at(now));
-                fleet.remove_request(&name(upstream), request);
+            Event::Respond { upstream, request } => self.respond(now, upstream, request),
+            Event::EndReported { upstream, request, took } => {
+                let registry = &mut self.registries[0];
+                registry.record_first_token(&name(upstream), request, Some(at(took)), at(now));
+                registry.remove_request(&name(upstream), request);
             }
         }
     }
 
-    fn come(&mut self, now: f64, sender: usize, again: bool, since: f64) {
-        self.outcome.asked += usize::from(!again && Play::counts(since));
+    fn arrive(&mut self, now: f64, sender: usize, is_retry: bool, first_at: f64) {
+        self.outcome.requests += usize::from(!is_retry && Simulation::is_counted(first_at));
         self.next += 1;
         let request = self.next;
         let Some(choice) = self.choose(now, request, sender) else {
-            self.outcome.refused += usize::from(Play::counts(since));
-            if !again {
+            self.outcome.refused += usize::from(Simulation::is_counted(first_at));
+            if !is_retry {
                 let jitter = self.rng.random_range(0.0..0.02);
-                let event = Event::Come { sender, again: true, since };
-                self.schedule(now + COMES_BACK + jitter, event);
+                let event = Event::Arrive { sender, is_retry: true, first_at };
+                self.schedule(now + RETRY_DELAY_S + jitter, event);
             }
             return;
         };
         let upstream = (0..).find(|n| name(*n) == choice.upstream).expect("it is one of them");
-        let delay = if self.way == Way::Owner { 2.0 * MESSAGE } else { 0.0 };
-        self.requests.insert(request, Request { sender, since, sent: now + delay });
-        self.schedule(now + delay + MESSAGE, Event::Reach { upstream, request });
+        let delay =
+            if self.choosing_box == ChoosingBox::Owner { 2.0 * MESSAGE_DELAY_S } else { 0.0 };
+        self.requests.insert(request, Request { sender, first_at, sent_at: now + delay });
+        self.schedule(now + delay + MESSAGE_DELAY_S, Event::Reach { upstream, request });
     }
 
     fn choose(&mut self, now: f64, request: u64, sender: usize) -> Option<Choice> {
-        if self.way == Way::Alone {
+        if self.choosing_box == ChoosingBox::Sender {
             let wanted = SelectionCriteria::any("ledger", None, &[], Duration::MAX);
-            let choice = self.fleets[sender].choose(wanted, at(now)).ok()?;
-            self.fleets[sender].request_sent(&choice.upstream);
+            let choice = self.registries[sender].choose(wanted, at(now)).ok()?;
+            self.registries[sender].request_sent(&choice.upstream);
             return Some(choice);
         }
         let zone = ZoneName::from("a");
         let query = query(request, &zone);
-        plain::admit(&mut self.fleets[0], &mut self.shares, query, at(now)).ok()
+        plain::admit(&mut self.registries[0], &mut self.shares, query, at(now)).ok()
     }
 
     fn reach(&mut self, now: f64, upstream: usize, request: u64) {
-        let real = &mut self.upstreams[upstream];
-        if QUEUE <= real.queue.len() {
-            self.outcome.turned_away += 1;
-            self.ended(now, upstream, request, Some(Health::Failed));
+        let state = &mut self.upstreams[upstream];
+        if QUEUE_MAX <= state.queue.len() {
+            self.outcome.rejected += 1;
+            self.report_end(now, upstream, request, Some(Health::Failed));
             return;
         }
-        real.queue.push_back(request);
-        let is_long = SLOTS as usize <= real.queue.len();
-        let has_idle = self.upstreams.iter().any(|u| u.working < SLOTS && u.queue.is_empty());
-        self.outcome.idle_beside_work += usize::from(is_long && has_idle);
-        self.work(now, upstream);
+        state.queue.push_back(request);
+        let is_long = SLOTS as usize <= state.queue.len();
+        let has_idle = self.upstreams.iter().any(|u| u.running < SLOTS && u.queue.is_empty());
+        self.outcome.idle_while_queued += usize::from(is_long && has_idle);
+        self.start_queued(now, upstream);
     }
 
-    fn work(&mut self, now: f64, upstream: usize) {
-        while self.upstreams[upstream].working < SLOTS {
+    fn start_queued(&mut self, now: f64, upstream: usize) {
+        while self.upstreams[upstream].running < SLOTS {
             let Some(request) = self.upstreams[upstream].queue.pop_front() else { return };
-            self.upstreams[upstream].working += 1;
-            let took = WORK * self.rng.random_range(0.8..1.2);
-            self.schedule(now + took, Event::Done { upstream, request });
+            self.upstreams[upstream].running += 1;
+            let took = SERVICE_TIME_S * self.rng.random_range(0.8..1.2);
+            self.schedule(now + took, Event::Respond { upstream, request });
         }
     }
 
-    fn done(&mut self, now: f64, upstream: usize, request: u64) {
-        self.upstreams[upstream].working -= 1;
-        let answered = now + MESSAGE;
-        let Some(Request { since, sent, .. }) = self.requests.get(&request) else { return };
-        let (since, took) = (*since, answered - sent);
-        if Play::counts(since) {
-            match answered - since <= AIM.as_secs_f64() {
-                true => self.outcome.in_aim += 1,
+    fn respond(&mut self, now: f64, upstream: usize, request: u64) {
+        self.upstreams[upstream].running -= 1;
+        let responded_at = now + MESSAGE_DELAY_S;
+        let Some(Request { first_at, sent_at, .. }) = self.requests.get(&request) else { return };
+        let (first_at, took) = (*first_at, responded_at - sent_at);
+        if Simulation::is_counted(first_at) {
+            match responded_at - first_at <= LATENCY_TARGET.as_secs_f64() {
+                true => self.outcome.in_time += 1,
                 false => self.outcome.late += 1,
             }
         }
-        self.ended(now, upstream, request, Some(Health::Good(at(took))));
-        self.work(now, upstream);
+        self.report_end(now, upstream, request, Some(Health::Good(at(took))));
+        self.start_queued(now, upstream);
     }
 
-    fn ended(&mut self, now: f64, upstream: usize, request: u64, health: Option<Health>) {
-        let Some(Request { sender, sent, .. }) = self.requests.remove(&request) else { return };
-        if self.way == Way::Alone {
-            self.fleets[sender].request_ended(&name(upstream), health, at(now));
+    fn report_end(&mut self, now: f64, upstream: usize, request: u64, health: Option<Health>) {
+        let Some(Request { sender, sent_at, .. }) = self.requests.remove(&request) else { return };
+        if self.choosing_box == ChoosingBox::Sender {
+            self.registries[sender].request_ended(&name(upstream), health, at(now));
             return;
         }
-        let took = now - sent;
-        self.schedule(now + GATHER + MESSAGE, Event::Told { upstream, request, took });
+        let took = now - sent_at;
+        self.schedule(
+            now + REPORT_DELAY_S + MESSAGE_DELAY_S,
+            Event::EndReported { upstream, request, took },
+        );
     }
 }
 
-/// What can be answered a second, of what is asked a second: in the time that is counted.
+/// Requests served within the target latency, as a share of the upstreams' capacity, in the time
+/// that is counted.
 fn goodput(outcome: &Outcome, upstreams: usize) -> f64 {
-    let capacity = upstreams as f64 * f64::from(SLOTS) / WORK * (SPAN - 1.0 - WARM_UP);
-    outcome.in_aim as f64 / capacity
+    let capacity =
+        upstreams as f64 * f64::from(SLOTS) / SERVICE_TIME_S * (DURATION_S - 1.0 - WARM_UP_S);
+    outcome.in_time as f64 / capacity
 }
 
+/// With one owner counting the requests at each upstream, overload must neither fill the queues nor
+/// leave slots idle.
 #[test]
-fn a_plain_service_serves_what_it_can_however_much_is_asked() {
+fn a_plain_service_serves_its_capacity_at_any_load() {
     for (boxes, upstreams) in [(64, 4), (295, 5)] {
         for load in [0.5, 0.8, 0.9, 1.0, 1.2, 1.5] {
-            let outcome = Play::run(Way::Owner, boxes, upstreams, load, 7);
+            let outcome = Simulation::run(ChoosingBox::Owner, boxes, upstreams, load, 7);
             let what = format!("{boxes} boxes, load {load}: {outcome:?}");
-            assert_eq!(outcome.turned_away, 0, "{what}");
+            assert_eq!(outcome.rejected, 0, "{what}");
             let wanted = f64::min(load * 0.99, 0.95);
             assert!(wanted <= goodput(&outcome, upstreams), "{what}");
-            assert!(outcome.late * 100 <= outcome.asked, "{what}");
-            assert!(outcome.idle_beside_work * 1000 <= outcome.asked, "{what}");
+            assert!(outcome.late * 100 <= outcome.requests, "{what}");
+            assert!(outcome.idle_while_queued * 1000 <= outcome.requests, "{what}");
         }
     }
 }
 
-/// What it answers: boxes that choose by their own answers fill the queues.
+/// The reason for owners: boxes that know only their own responses fill the queues.
 #[test]
-fn boxes_that_choose_alone_serve_less() {
+fn boxes_that_choose_by_themselves_serve_less() {
     for (boxes, upstreams) in [(64, 4), (295, 5)] {
-        let alone = Play::run(Way::Alone, boxes, upstreams, 1.5, 7);
-        let owned = Play::run(Way::Owner, boxes, upstreams, 1.5, 7);
+        let alone = Simulation::run(ChoosingBox::Sender, boxes, upstreams, 1.5, 7);
+        let owned = Simulation::run(ChoosingBox::Owner, boxes, upstreams, 1.5, 7);
         let [alone, owned] = [&alone, &owned].map(|outcome| goodput(outcome, upstreams));
         assert!(1.2 * alone < owned, "{boxes} boxes: {alone} alone, {owned} by the owner");
     }
 }
 
-/// Load: an aim of a hundred times the work, and more requests than any queue holds.
+/// Load: a target latency of about a hundred times the service time, and more requests than any
+/// queue holds.
 #[test]
-fn an_upstreams_queue_isnt_filled_however_long_the_aim() {
-    let (mut fleet, mut shares) = (fleet(1), Shares::new(Duration::from_secs(4)));
+fn an_upstreams_queue_is_bounded_whatever_the_target_latency() {
+    let (mut registry, mut shares) = (registry(1), Shares::new(Duration::from_secs(4)));
     let zone = ZoneName::from("a");
     let mut admitted = 0;
     for request in 0..100 {
         let query = PlainQuery { target_latency: Duration::from_secs(5), ..query(request, &zone) };
-        admitted += u32::from(plain::admit(&mut fleet, &mut shares, query, at(1.0)).is_ok());
+        admitted += u32::from(plain::admit(&mut registry, &mut shares, query, at(1.0)).is_ok());
     }
     assert_eq!(admitted, 3 * SLOTS);
 }
 
-/// Load: two workspaces, of which one asks for four times as much as the other; together twice what can be done.
+/// Load: two workspaces, one of which sends four times as much as the other; together twice the
+/// capacity.
 #[test]
-fn a_workspace_beyond_its_share_gives_way() {
-    let (mut fleet, mut shares) = (fleet(1), Shares::new(Duration::from_secs(4)));
+fn a_workspace_over_its_share_yields_to_others() {
+    let (mut registry, mut shares) = (registry(1), Shares::new(Duration::from_secs(4)));
     let zone = ZoneName::from("a");
     let names = ["many", "few"].map(WorkspaceName::from);
     let mut served = [0, 0];
     let mut running = VecDeque::new();
-    // 100 requests a second can be worked on: one ends every ten milliseconds.
+    // The capacity is 100 requests a second: one ends every ten milliseconds.
     for request in 0..1_600 {
         let now = 0.005 * request as f64;
         if request % 2 == 0
             && let Some(ended) = running.pop_front()
         {
-            fleet.remove_request(&name(0), ended);
+            registry.remove_request(&name(0), ended);
         }
         let who = usize::from(request % 5 == 0);
         let query = PlainQuery { workspace: Some(&names[who]), ..query(request, &zone) };
-        if plain::admit(&mut fleet, &mut shares, query, at(now)).is_ok() {
+        if plain::admit(&mut registry, &mut shares, query, at(now)).is_ok() {
             served[who] += 1;
             running.push_back(request);
         }
     }
-    // The one that asks for 40 a second, less than half of what there is, gets nearly all of it.
+    // The one that sends 40 a second, less than half of the capacity, gets nearly all of them
+    // served.
     assert!(320 * 9 / 10 <= served[1], "{served:?}");
     assert!(350 <= served[0], "{served:?}");
 }
 
-/// Load: all boxes have been killed and start again; while owners change, one hears of beginnings whose ends are told to
-/// others. Eighteen of them kept everybody out for twenty seconds.
+/// All boxes have been killed and restart. While owners change, one is told of requests whose ends
+/// are reported to others. Eighteen of them blocked all callers for twenty seconds.
 #[test]
-fn what_is_counted_in_vain_keeps_nobody_out() {
+fn requests_whose_end_is_never_reported_expire() {
     let zone = ZoneName::from("a");
-    let admit = |fleet: &mut UpstreamRegistry, request, now| {
+    let admit = |registry: &mut UpstreamRegistry, request, now| {
         let mut shares = Shares::new(Duration::from_secs(4));
         let query = query(request, &zone);
-        plain::admit(fleet, &mut shares, query, at(now)).is_ok()
+        plain::admit(registry, &mut shares, query, at(now)).is_ok()
     };
-    let mut fleet = fleet(1);
-    (0..18).for_each(|request| fleet.begin_plain(&name(0), request, None, at(1.0)));
-    assert!(!admit(&mut fleet, 100, 1.5));
-    fleet.tick(at(3.1));
-    assert!(admit(&mut fleet, 101, 3.1), "what has no end for long is forgotten");
+    let mut registry = registry(1);
+    (0..18).for_each(|request| registry.begin_plain(&name(0), request, None, at(1.0)));
+    assert!(!admit(&mut registry, 100, 1.5));
+    registry.tick(at(3.1));
+    assert!(admit(&mut registry, 101, 3.1), "requests without a reported end expire");
 }
--- a/tests/proxy_shares.rs
+++ b/tests/proxy_shares.rs
@@ -1,4 +1,4 @@
-//! Fair shares among workspaces, and what each gets by them while the engines are busy.
+//! Fair shares among workspaces, and what each workspace gets while the engines are busy.
 
 use std::time::Duration;
 
@@ -20,8 +20,9 @@
     Duration::from_millis(ms)
 }
 
+/// One that sends few requests must not be refused because another floods the engines.
 #[test]
-fn who_asks_for_little_is_never_over_its_share() {
+fn a_workspace_with_little_demand_is_never_over_its_share() {
     let mut shares = Shares::new(WINDOW);
     for ms in 0..1_000 {
         shares.begin(&name(0), 100, millis(ms));
@@ -31,8 +32,9 @@
     assert!(shares.share_used(&name(1), 100, millis(1_000)) <= 1.0);
 }
 
+/// Otherwise the one that was admitted first keeps the engines.
 #[test]
-fn who_had_more_than_the_others_and_asks_on_is_over_its_share() {
+fn a_workspace_that_got_more_than_others_is_over_its_share() {
     let mut shares = Shares::new(WINDOW);
     for ms in 0..100 {
         shares.begin(&name(0), 300, millis(ms));
@@ -43,8 +45,9 @@
     assert!(shares.share_used(&name(1), 300, millis(100)) < 1.0);
 }
 
+/// A workspace must not be refused for usage of long ago.
 #[test]
-fn what_is_older_than_the_window_is_forgotten() {
+fn usage_older_than_the_window_is_dropped() {
     let mut shares = Shares::new(WINDOW);
     shares.begin(&name(0), 1_000_000, millis(0));
     shares.begin(&name(1), 10, millis(0));
@@ -54,15 +57,15 @@
 }
 
 proptest! {
-    /// Whatever was asked and served: of the workspaces that still want more, the one that got the
-    /// least is within its share.
+    /// Whatever was requested and admitted: of the workspaces that still want more, the one that
+    /// got the least is within its share.
     #[test]
-    fn the_one_furthest_behind_is_never_over(
+    fn the_least_served_workspace_is_never_over_its_share(
         served in collection::vec((1u64..100_000, 0u64..100_000), 1..20),
     ) {
         let mut shares = Shares::new(WINDOW);
-        for (n, (begun, refused)) in served.iter().enumerate() {
-            shares.begin(&name(n), *begun, millis(1));
+        for (n, (admitted, refused)) in served.iter().enumerate() {
+            shares.begin(&name(n), *admitted, millis(1));
             shares.refuse(&name(n), *refused, millis(1));
         }
         let least = (0..served.len()).min_by_key(|n| served[*n].0).expect("not empty");
@@ -71,8 +74,9 @@
     }
 }
 
+/// Reported again, it would be counted twice elsewhere.
 #[test]
-fn what_another_box_counted_is_added_and_not_told_again() {
+fn usage_reported_by_another_box_is_not_reported_again() {
     let mut shares = Shares::new(WINDOW);
     shares.begin(&name(0), 300, millis(0));
     shares.refuse(&name(0), 100, millis(0));
@@ -86,19 +90,19 @@
     assert!(shares.share_used(&name(1), 1, millis(1)) < 1.0);
 }
 
-/// Engines that do so many tokens a second, with what waits before them.
+/// Engines with a fixed throughput in tokens a second, and a queue.
 struct Engines {
     shares: Shares,
-    per_s: f64,
-    /// When what was begun so far is done.
+    throughput: f64,
+    /// When all admitted requests are complete.
     done_at: Duration,
-    /// What each workspace got, a second.
-    got: Vec<Vec<u64>>,
+    /// Tokens admitted of each workspace, per second.
+    admitted: Vec<Vec<u64>>,
 }
 
 impl Engines {
-    /// A request of a workspace comes; it is begun if it needn't wait for longer than it may.
-    fn ask(&mut self, workspace: usize, tokens: u64, now: Duration) {
+    /// Admits a request of a workspace if it wouldn't wait for longer than it may.
+    fn request(&mut self, workspace: usize, tokens: u64, now: Duration) {
         let used = self.shares.share_used(&name(workspace), tokens, now);
         let (wait_max, _) = admit::wait_limits(Tuning::default(), millis(300), used);
         if wait_max < self.done_at.saturating_sub(now) {
@@ -106,72 +110,75 @@
             return;
         }
         self.shares.begin(&name(workspace), tokens, now);
-        self.done_at = self.done_at.max(now) + Duration::from_secs_f64(tokens as f64 / self.per_s);
-        self.got[workspace][now.as_secs() as usize] += tokens;
+        self.done_at =
+            self.done_at.max(now) + Duration::from_secs_f64(tokens as f64 / self.throughput);
+        self.admitted[workspace][now.as_secs() as usize] += tokens;
     }
 
-    /// What a workspace got from one second to another.
-    fn got(&self, workspace: usize, from: usize, to: usize) -> u64 {
-        self.got[workspace][from..to].iter().sum()
+    /// Tokens admitted of a workspace from one second to another.
+    fn admitted(&self, workspace: usize, from: usize, to: usize) -> u64 {
+        self.admitted[workspace][from..to].iter().sum()
     }
 }
 
-/// Load: engines that do four million tokens a second, a workspace that asks for two million all the time and ten
-/// that ask for 100,000 each; one that asks for 30 million from 7 s on, and one that asks for six million from 9 s
-/// on. Requests are of 10,000 tokens, as a fleet of 75 engines had them on a day on which the first of the two hot
-/// workspaces got 0.38 of the second in six seconds.
+/// Load: engines that serve four million tokens a second, a workspace that sends two million all
+/// the time and ten that send 100,000 each; one that sends 30 million from 7 s on, and one that
+/// sends six million from 9 s on. Requests are of 10,000 tokens. With such a load a fleet of 75
+/// engines served the first of the two hot workspaces only 0.38 of what the second got in six
+/// seconds.
 #[test]
-fn who_was_served_while_there_was_room_is_not_shut_out_when_others_come() {
+fn a_workspace_served_while_engines_were_idle_is_not_starved_when_others_come() {
     const STEP: u64 = 5;
     const TOKENS: u64 = 10_000;
     let mut engines = Engines {
         shares: Shares::new(WINDOW),
-        per_s: 4e6,
+        throughput: 4e6,
         done_at: Duration::ZERO,
-        got: vec![vec![0; 16]; 13],
+        admitted: vec![vec![0; 16]; 13],
     };
-    let mut wanted = [0; 13];
+    let mut pending = [0; 13];
     for step in 0..16_000 / STEP {
         let now = millis(step * STEP);
-        let hot = |from: u64, rate: u64| if millis(from) <= now { rate } else { 100_000 };
-        for (workspace, wanted) in wanted.iter_mut().enumerate() {
+        let rate_from = |from: u64, rate: u64| if millis(from) <= now { rate } else { 100_000 };
+        for (workspace, pending) in pending.iter_mut().enumerate() {
             let rate = match workspace {
                 0 => 2_000_000,
-                1 => hot(7_000, 30_000_000),
-                2 => hot(9_000, 6_000_000),
+                1 => rate_from(7_000, 30_000_000),
+                2 => rate_from(9_000, 6_000_000),
                 _ => 100_000,
             };
-            *wanted += rate * STEP / 1_000;
-            while TOKENS <= *wanted {
-                *wanted -= TOKENS;
-                engines.ask(workspace, TOKENS, now);
+            *pending += rate * STEP / 1_000;
+            while TOKENS <= *pending {
+                *pending -= TOKENS;
+                engines.request(workspace, TOKENS, now);
             }
         }
     }
-    let (first, second) = (engines.got(1, 9, 15), engines.got(2, 9, 15));
-    let part = first as f64 / second as f64;
-    assert!(0.5 < part && part < 2.0, "{first} and {second}: {:?}", &engines.got[..3]);
-    // Six seconds in each of which it gets less than half are too many; so are two.
-    let is_shut_out = |s: &usize| engines.got[1][*s] * 2 < engines.got[2][*s];
-    let seconds: Vec<usize> = (9..15).filter(is_shut_out).collect();
-    assert!(seconds.len() < 2, "{seconds:?}: {:?}", &engines.got[..3]);
+    let (first, second) = (engines.admitted(1, 9, 15), engines.admitted(2, 9, 15));
+    let ratio = first as f64 / second as f64;
+    assert!(0.5 < ratio && ratio < 2.0, "{first} and {second}: {:?}", &engines.admitted[..3]);
+    // In one of six seconds, not in two, it may get less than half.
+    let is_starved = |s: &usize| engines.admitted[1][*s] * 2 < engines.admitted[2][*s];
+    let seconds: Vec<usize> = (9..15).filter(is_starved).collect();
+    assert!(seconds.len() < 2, "{seconds:?}: {:?}", &engines.admitted[..3]);
 }
 
+/// A charge for nothing would put the workspace over its share.
 #[test]
-fn a_request_that_runs_nowhere_is_taken_back_here_and_elsewhere() {
+fn the_charge_of_a_request_that_never_ran_is_reverted_on_all_boxes() {
     let (mut here, mut there) = (Shares::new(WINDOW), Shares::new(WINDOW));
-    let counted = here.begin(&name(0), 300, millis(0));
-    here.remember(1, counted);
-    let tell = |here: &mut Shares, there: &mut Shares, now| {
+    let charge = here.begin(&name(0), 300, millis(0));
+    here.remember(1, charge);
+    let exchange = |here: &mut Shares, there: &mut Shares, now| {
         for (workspace, tokens) in here.take_local() {
             there.add_remote(&workspace, tokens, now);
         }
     };
-    tell(&mut here, &mut there, millis(100));
+    exchange(&mut here, &mut there, millis(100));
     assert_eq!(there.totals().collect::<Vec<_>>(), [(name(0), TokenCounts::admitted(300))]);
     here.revert(1, millis(600));
-    // It is told as less than nothing.
-    tell(&mut here, &mut there, millis(700));
+    // The reverted charge is reported as a negative one.
+    exchange(&mut here, &mut there, millis(700));
     for shares in [&mut here, &mut there] {
         assert_eq!(shares.totals().count(), 0);
         shares.begin(&name(1), 100, millis(800));
@@ -181,48 +188,50 @@
     assert_eq!(here.totals().count(), 1);
 }
 
+/// A repeated placement request must not charge the workspace again.
 #[test]
-fn a_request_counts_once_however_often_it_is_decided() {
+fn a_request_is_charged_once_however_often_it_is_decided() {
     let mut shares = Shares::new(WINDOW);
     for ms in [0, 50, 90] {
-        let counted = shares.begin(&name(0), 300, millis(ms));
-        shares.remember(1, counted);
+        let charge = shares.begin(&name(0), 300, millis(ms));
+        shares.remember(1, charge);
     }
     assert_eq!(shares.totals().collect::<Vec<_>>(), [(name(0), TokenCounts::admitted(300))]);
     assert_eq!(shares.take_local().get(&name(0)), Some(&TokenCounts::admitted(300)));
 }
 
+/// Reverting a charge that the window no longer contains would reduce later usage.
 #[test]
-fn what_has_fallen_out_of_the_window_isnt_taken_back_from_it() {
+fn a_charge_older_than_the_window_is_not_reverted() {
     let mut shares = Shares::new(WINDOW);
-    let counted = shares.begin(&name(0), 300, millis(0));
-    shares.remember(1, counted);
+    let charge = shares.begin(&name(0), 300, millis(0));
+    shares.remember(1, charge);
     shares.begin(&name(0), 100, millis(4_600));
     shares.begin(&name(1), 300, millis(4_600));
     shares.revert(1, millis(4_600));
-    // 200 of 300, which is the most that anybody wants.
+    // 200 of 300, which is the most that any workspace wants.
     assert!(0.6 < shares.share_used(&name(0), 100, millis(4_600)));
 }
 
 proptest! {
-    /// Whatever is counted and taken back in whatever order: nothing is left of what was taken back, and what was
-    /// told elsewhere comes to the same.
+    /// Whatever is charged and reverted, in whatever order: nothing remains of reverted charges,
+    /// and another box arrives at the same totals.
     #[test]
-    fn what_is_told_sums_up_to_what_wasnt_taken_back(
+    fn reported_charges_add_up_to_those_not_reverted(
         steps in collection::vec((0u64..8, 0usize..4, 1u64..1_000, proptest::bool::ANY, 0u64..600), 1..60),
     ) {
         let (mut here, mut there) = (Shares::new(WINDOW), Shares::new(WINDOW));
         let mut expected = std::collections::BTreeMap::new();
         let mut now = 0;
-        for (request, workspace, tokens, is_begun, pause) in steps {
+        for (request, workspace, tokens, is_admitted, pause) in steps {
             now += pause;
-            if is_begun {
-                let counted = here.begin(&name(workspace), tokens, millis(now));
-                here.remember(request, counted);
+            if is_admitted {
+                let charge = here.begin(&name(workspace), tokens, millis(now));
+                here.remember(request, charge);
                 expected.insert(request, (workspace, tokens, now));
             } else {
                 here.revert(request, millis(now));
-                // What was counted longer ago than the window may be remembered or not: nobody asks for it.
+                // A charge older than the window may be remembered or not: it no longer matters.
                 if expected.get(&request).is_some_and(|(_, _, at)| now <= at + 4_000) {
                     expected.remove(&request);
                 }
@@ -233,8 +242,8 @@
             prop_assert_eq!(sorted(&here), sorted(&there));
         }
         let lately: u64 = expected.values().filter(|(_, _, at)| now <= at + 4_000).map(|(_, t, _)| t).sum();
-        let counted: i64 = there.totals().map(|(_, t)| t.admitted).sum();
-        prop_assert!(lately as i64 <= counted);
+        let charge: i64 = there.totals().map(|(_, t)| t.admitted).sum();
+        prop_assert!(lately as i64 <= charge);
     }
 }
 
--- a/tests/proxy_speed.rs
+++ b/tests/proxy_speed.rs
@@ -1,4 +1,4 @@
-//! How fast engines are, learned from the times to first tokens, whatever the settings say.
+//! Learning the speed of engines from the times to first tokens, whatever the settings say.
 
 use std::time::Duration;
 
@@ -23,32 +23,32 @@
 const LIMITS: EngineLimits =
     EngineLimits { slots: 64, memory_tokens: 500_000, copied_per_s: 400_000, cold: None };
 
-/// An engine as it is: reads one prompt after the other.
+/// The actual speed of an engine, which prefills one prompt after the other.
 #[derive(Clone, Copy, Debug)]
-struct Truth {
+struct ActualSpeed {
     tokens_per_ms: f64,
-    pairs_ms: f64,
-    first_ms: f64,
+    per_million_pairs_ms: f64,
+    fixed_ms: f64,
 }
 
-impl Truth {
-    fn reading(&self, tokens: u32) -> f64 {
+impl ActualSpeed {
+    fn prefill_s(&self, tokens: u32) -> f64 {
         let tokens = f64::from(tokens);
-        let pairs = tokens * tokens / 2e6 * self.pairs_ms;
+        let pairs = tokens * tokens / 2e6 * self.per_million_pairs_ms;
         (tokens / self.tokens_per_ms + pairs) / 1e3
     }
 }
 
-/// A fleet of one engine and what is under way there.
-struct Scene {
-    fleet: UpstreamRegistry,
+/// One engine, and its requests in progress.
+struct Simulation {
+    registry: UpstreamRegistry,
     rng: StdRng,
     now: f64,
     free_at: f64,
     /// Requests in the order of their first tokens: when, which, how long it took.
-    under_way: Vec<(f64, u64, f64)>,
+    in_progress: Vec<(f64, u64, f64)>,
     next: u64,
-    /// Real by expected times to first tokens.
+    /// Actual by expected times to first tokens.
     ratios: Vec<f64>,
 }
 
@@ -56,9 +56,9 @@
     Tuning { tokens_per_ms, ..Tuning::default() }
 }
 
-impl Scene {
-    fn new(seed: u64, tokens_per_ms: f64) -> Scene {
-        let mut fleet = UpstreamRegistry::new(ZoneName::from("a"), tuning(tokens_per_ms));
+impl Simulation {
+    fn new(seed: u64, tokens_per_ms: f64) -> Simulation {
+        let mut registry = UpstreamRegistry::new(ZoneName::from("a"), tuning(tokens_per_ms));
         let listed = UpstreamListing {
             name: UpstreamName::from("e1"),
             service: ServiceName::from("llm"),
@@ -70,36 +70,36 @@
             leaving: false,
             cold_for: None,
         };
-        fleet.upsert(listed, Some(LIMITS));
+        registry.upsert(listed, Some(LIMITS));
         let rng = StdRng::seed_from_u64(seed);
-        let (under_way, ratios) = (Vec::new(), Vec::new());
-        Scene { fleet, rng, now: 0.0, free_at: 0.0, under_way, next: 1, ratios }
+        let (in_progress, ratios) = (Vec::new(), Vec::new());
+        Simulation { registry, rng, now: 0.0, free_at: 0.0, in_progress, next: 1, ratios }
     }
 
-    /// Sends requests that keep an engine busy for about half of the time. One answer in
-    /// `late_one_in` is held up on its way by a second; zero for none.
-    fn play(&mut self, truth: Truth, requests: usize, late_one_in: u32) {
+    /// Sends requests that keep the engine busy for about half of the time. One response in
+    /// `late_one_in` is delayed by a second on its way; zero for none.
+    fn run(&mut self, actual_speed: ActualSpeed, requests: usize, late_one_in: u32) {
         self.ratios.clear();
         for _ in 0..requests {
             let tokens = self.rng.random_range(200..6_000);
-            self.now += truth.reading(tokens) * self.rng.random_range(0.0..4.0);
-            self.hear();
-            self.send(truth, tokens, late_one_in);
+            self.now += actual_speed.prefill_s(tokens) * self.rng.random_range(0.0..4.0);
+            self.deliver_first_tokens();
+            self.send(actual_speed, tokens, late_one_in);
         }
     }
 
-    fn hear(&mut self) {
-        self.under_way.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let due = self.under_way.iter().take_while(|(at, ..)| *at <= self.now).count();
-        for (at, request, took) in self.under_way.drain(..due) {
+    fn deliver_first_tokens(&mut self) {
+        self.in_progress.sort_by(|a, b| a.0.total_cmp(&b.0));
+        let due = self.in_progress.iter().take_while(|(at, ..)| *at <= self.now).count();
+        for (at, request, took) in self.in_progress.drain(..due) {
             let name = UpstreamName::from("e1");
             let (took, at) = (Duration::from_secs_f64(took), Duration::from_secs_f64(at));
-            self.fleet.record_first_token(&name, request, Some(took), at);
-            self.fleet.remove_request(&name, request);
+            self.registry.record_first_token(&name, request, Some(took), at);
+            self.registry.remove_request(&name, request);
         }
     }
 
-    fn send(&mut self, truth: Truth, tokens: u32, late_one_in: u32) {
+    fn send(&mut self, actual_speed: ActualSpeed, tokens: u32, late_one_in: u32) {
         let (request, now) = (self.next, Duration::from_secs_f64(self.now));
         self.next += 1;
         let parts = vec![PromptPart { id: request, tokens }];
@@ -113,12 +113,12 @@
             sender: None,
             decided_by: None,
         };
-        self.fleet.place(&choice.upstream, placement, now);
-        self.free_at = self.free_at.max(self.now) + truth.reading(tokens);
-        let took = self.free_at + truth.first_ms / 1e3 - self.now;
+        self.registry.place(&choice.upstream, placement, now);
+        self.free_at = self.free_at.max(self.now) + actual_speed.prefill_s(tokens);
+        let took = self.free_at + actual_speed.fixed_ms / 1e3 - self.now;
         let is_late = late_one_in != 0 && self.rng.random_ratio(1, late_one_in);
         let late = f64::from(u8::from(is_late));
-        self.under_way.push((self.now + took + late, request, took + late));
+        self.in_progress.push((self.now + took + late, request, took + late));
         if !is_late {
             self.ratios.push(took / choice.first_token.as_secs_f64());
         }
@@ -127,108 +127,116 @@
     fn choose(&self, prompt: &Prompt, now: Duration) -> Choice {
         let (prompt, excluded) = (Some(prompt), &[][..]);
         let wait_max = Duration::MAX;
-        let wanted = SelectionCriteria::any("llm", prompt, excluded, wait_max);
-        self.fleet.choose(wanted, now).expect("there is an engine")
+        let criteria = SelectionCriteria::any("llm", prompt, excluded, wait_max);
+        self.registry.choose(criteria, now).expect("there is an engine")
     }
 
-    /// The errors that half and nine in ten of the expected times stay below.
+    /// The median and the 90th percentile of the relative errors of the expected times.
     fn errors(&self) -> (f64, f64) {
         let mut errors: Vec<f64> = self.ratios.iter().map(|r| (r - 1.0).abs()).collect();
         errors.sort_by(f64::total_cmp);
         (errors[errors.len() / 2], errors[errors.len() * 9 / 10])
     }
 
-    fn assert_right(&self, what: &str) {
-        let (half, nine) = self.errors();
-        assert!(half < 0.15, "{what}: half of the errors reach {half}");
-        assert!(nine < 0.4, "{what}: one error in ten is over {nine}");
+    fn assert_accurate(&self, what: &str) {
+        let (median, p90) = self.errors();
+        assert!(median < 0.15, "{what}: half of the errors reach {median}");
+        assert!(p90 < 0.4, "{what}: one error in ten is over {p90}");
     }
 }
 
-fn truths() -> impl Iterator<Item = Truth> {
+fn actual_speeds() -> impl Iterator<Item = ActualSpeed> {
     [10.0, 25.0, 50.0, 110.0, 400.0].into_iter().flat_map(|tokens_per_ms| {
-        [(0.05, 10.0), (0.3, 50.0), (0.6, 120.0)].map(|(pairs_ms, first_ms)| Truth {
-            tokens_per_ms,
-            pairs_ms,
-            first_ms,
+        [(0.05, 10.0), (0.3, 50.0), (0.6, 120.0)].map(|(per_million_pairs_ms, fixed_ms)| {
+            ActualSpeed { tokens_per_ms, per_million_pairs_ms, fixed_ms }
         })
     })
 }
 
+/// Wrong settings would make every expected time to a first token wrong.
 #[test]
-fn engines_of_any_speed_are_known_after_some_answers() {
-    for (seed, truth) in truths().enumerate() {
+fn the_speed_of_any_engine_is_learned() {
+    for (seed, actual_speed) in actual_speeds().enumerate() {
         for settings in [25.0, 50.0, 100.0] {
-            let mut scene = Scene::new(seed as u64, settings);
-            scene.play(truth, 150, 0);
-            scene.play(truth, 300, 0);
-            scene.assert_right(&format!("{truth:?}, settings {settings}"));
+            let mut simulation = Simulation::new(seed as u64, settings);
+            simulation.run(actual_speed, 150, 0);
+            simulation.run(actual_speed, 300, 0);
+            simulation.assert_accurate(&format!("{actual_speed:?}, settings {settings}"));
         }
     }
 }
 
+/// Engines slow down under load and recover.
 #[test]
-fn an_engine_that_turns_slow_or_well_is_noticed() {
+fn a_change_of_speed_is_learned() {
     for seed in 0..20 {
-        let well = Truth { tokens_per_ms: 100.0, pairs_ms: 0.2, first_ms: 50.0 };
-        let slow = Truth { tokens_per_ms: 30.0, pairs_ms: 0.6, first_ms: 50.0 };
-        let mut scene = Scene::new(seed, 50.0);
-        for (what, truth) in [("well", well), ("slow", slow), ("well again", well)] {
-            scene.play(truth, 150, 0);
-            scene.play(truth, 150, 0);
-            scene.assert_right(&format!("seed {seed}, {what}"));
+        let fast = ActualSpeed { tokens_per_ms: 100.0, per_million_pairs_ms: 0.2, fixed_ms: 50.0 };
+        let slow = ActualSpeed { tokens_per_ms: 30.0, per_million_pairs_ms: 0.6, fixed_ms: 50.0 };
+        let mut simulation = Simulation::new(seed, 50.0);
+        for (what, actual_speed) in [("fast", fast), ("slow", slow), ("fast again", fast)] {
+            simulation.run(actual_speed, 150, 0);
+            simulation.run(actual_speed, 150, 0);
+            simulation.assert_accurate(&format!("seed {seed}, {what}"));
         }
     }
 }
 
+/// A response delayed by the network says nothing about the engine.
 #[test]
-fn answers_held_up_on_their_way_tell_little() {
+fn delayed_responses_have_little_weight() {
     for seed in 0..20 {
-        let truth = Truth { tokens_per_ms: 80.0, pairs_ms: 0.2, first_ms: 50.0 };
-        let mut scene = Scene::new(seed, 50.0);
-        scene.play(truth, 150, 30);
-        scene.play(truth, 300, 30);
-        let (half, _) = scene.errors();
-        assert!(half < 0.15, "seed {seed}: half of the errors reach {half}");
+        let actual_speed =
+            ActualSpeed { tokens_per_ms: 80.0, per_million_pairs_ms: 0.2, fixed_ms: 50.0 };
+        let mut simulation = Simulation::new(seed, 50.0);
+        simulation.run(actual_speed, 150, 30);
+        simulation.run(actual_speed, 300, 30);
+        let (median, _) = simulation.errors();
+        assert!(median < 0.15, "seed {seed}: half of the errors reach {median}");
     }
 }
 
+/// Estimates drift with time; after ten idle minutes they must still hold.
 #[test]
-fn silence_changes_nothing() {
-    let truth = Truth { tokens_per_ms: 80.0, pairs_ms: 0.2, first_ms: 50.0 };
-    let mut scene = Scene::new(1, 50.0);
-    scene.play(truth, 300, 0);
-    scene.now += 600.0;
-    scene.hear();
-    scene.play(truth, 20, 0);
-    scene.assert_right("after ten minutes");
+fn an_idle_period_keeps_the_estimate() {
+    let actual_speed =
+        ActualSpeed { tokens_per_ms: 80.0, per_million_pairs_ms: 0.2, fixed_ms: 50.0 };
+    let mut simulation = Simulation::new(1, 50.0);
+    simulation.run(actual_speed, 300, 0);
+    simulation.now += 600.0;
+    simulation.deliver_first_tokens();
+    simulation.run(actual_speed, 20, 0);
+    simulation.assert_accurate("after ten minutes");
 }
 
+/// A starting box would otherwise use the settings, which may be wrong. A box with more samples
+/// keeps its own estimate.
 #[test]
-fn a_box_that_starts_takes_over_what_another_has_learned() {
-    let truth = Truth { tokens_per_ms: 150.0, pairs_ms: 0.1, first_ms: 30.0 };
-    let mut scene = Scene::new(1, 50.0);
-    scene.play(truth, 300, 0);
-    let learned = scene.fleet.speed("llm").clone();
+fn a_starting_box_adopts_the_estimate_of_another() {
+    let actual_speed =
+        ActualSpeed { tokens_per_ms: 150.0, per_million_pairs_ms: 0.1, fixed_ms: 30.0 };
+    let mut simulation = Simulation::new(1, 50.0);
+    simulation.run(actual_speed, 300, 0);
+    let learned = simulation.registry.speed("llm").clone();
     let mut fresh = Speed::new(&tuning(50.0));
     fresh.adopt(&learned);
     assert_eq!(fresh.samples(), learned.samples());
     assert_eq!(fresh.fixed_seconds(), learned.fixed_seconds());
-    let mut wiser = learned.clone();
-    wiser.adopt(&Speed::new(&tuning(50.0)));
-    assert_eq!(wiser, learned);
+    let mut experienced = learned.clone();
+    experienced.adopt(&Speed::new(&tuning(50.0)));
+    assert_eq!(experienced, learned);
 }
 
+/// A faulty estimate of one box must not spread to others.
 #[test]
-fn what_cant_be_a_speed_is_not_taken_over() {
-    let known = Speed::new(&tuning(50.0));
+fn an_impossible_speed_is_not_adopted() {
+    let original = Speed::new(&tuning(50.0));
     for value in [1e300, -1.0, 0.0] {
-        let mut told = serde_json::to_value(&known).expect("it can be written");
-        told["seconds_per_unit"][0] = value.into();
-        told["samples"] = 1_000.into();
-        let told: Speed = serde_json::from_value(told).expect("it can be read");
-        let mut speed = known.clone();
-        speed.adopt(&told);
-        assert_eq!(speed, known, "{value}");
+        let mut reported = serde_json::to_value(&original).expect("it can be written");
+        reported["seconds_per_unit"][0] = value.into();
+        reported["samples"] = 1_000.into();
+        let reported: Speed = serde_json::from_value(reported).expect("it can be read");
+        let mut speed = original.clone();
+        speed.adopt(&reported);
+        assert_eq!(speed, original, "{value}");
     }
 }
--- a/tests/proxy_turn_away.rs
+++ b/tests/proxy_turn_away.rs
@@ -1,4 +1,5 @@
-//! Callers whom a crowded box turns away: told so by an answer that reaches them whole.
+//! Rejected connections of an overloaded box: each caller receives the complete refusal, without a
+//! reset.
 
 use std::io::Read;
 use std::io::Write;
@@ -13,18 +14,18 @@
 
 const BUF: usize = 32 << 10;
 
-/// A caller's end of a connection, and the box's.
+/// The caller's end of a connection and the box's.
 fn connect() -> (TcpStream, RejectedConnection) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let caller =
         TcpStream::connect(listener.local_addr().expect("an address")).expect("it accepts");
-    // Each write is to come at once.
+    // Each write is sent at once.
     caller.set_nodelay(true).expect("a connection");
     let (stream, _) = listener.accept().expect("a connection");
     (caller, RejectedConnection::new(stream).expect("the caller is there"))
 }
 
-/// Reads until the end, which is no reset.
+/// Reads until the end of the stream, which must not be a reset.
 fn read(caller: &mut TcpStream) -> String {
     let mut text = String::new();
     caller.read_to_string(&mut text).expect("no reset");
@@ -39,24 +40,26 @@
     req
 }
 
-fn step(turned: &mut RejectedConnection) -> bool {
-    turned.step(&refusal::http1_bytes(Refusal::BoxBusy), &mut vec![0; BUF])
+fn step(rejected: &mut RejectedConnection) -> bool {
+    rejected.step(&refusal::http1_bytes(Refusal::BoxBusy), &mut vec![0; BUF])
 }
 
-/// Takes steps until one says `goes_on` and the caller was told or not: what was written on one end of a connection may
-/// come to the other a moment later. The clock stands still, so nothing ends by itself.
-fn step_until(turned: &mut RejectedConnection, goes_on: bool, is_told: bool) {
+/// Takes steps until one returns `continues` and the caller was answered or not: data written at
+/// one end of a connection may reach the other a moment later. The clock is paused, so nothing
+/// times out.
+fn step_until(rejected: &mut RejectedConnection, continues: bool, is_answered: bool) {
     for _ in 0..5_000 {
-        if step(turned) == goes_on && turned.is_answered() == is_told {
+        if step(rejected) == continues && rejected.is_answered() == is_answered {
             return;
         }
         std::thread::sleep(Duration::from_millis(1));
     }
-    panic!("waited in vain for {goes_on}, {is_told}");
+    panic!("waited in vain for {continues}, {is_answered}");
 }
 
+/// Callers may send the request again only if it was certainly not run.
 #[test]
-fn the_prepared_answer_says_not_run_and_when_to_come_back() {
+fn the_prepared_refusal_says_not_run_and_when_to_retry() {
     let text = String::from_utf8(refusal::http1_bytes(Refusal::BoxBusy)).expect("text");
     let (head, body) = text.split_once("\r\n\r\n").expect("a head");
     assert!(head.starts_with("HTTP/1.1 503 Service Unavailable\r\n"), "{head}");
@@ -66,94 +69,100 @@
     assert!(body.contains("not run"), "{body}");
 }
 
-/// Load: a box that is full, and callers with prompts of 17,000 bytes.
+/// Closing a connection with unread data resets it, and the caller loses the answer. Load: a full
+/// box, and callers with prompts of 17,000 bytes.
 #[tokio::test(start_paused = true)]
-async fn a_whole_request_is_answered_and_its_connection_closed_without_a_reset() {
-    let (mut caller, mut turned) = connect();
+async fn a_complete_request_is_answered_without_a_reset() {
+    let (mut caller, mut rejected) = connect();
     caller.write_all(&request(17_000)).expect("room");
-    step_until(&mut turned, false, true);
-    drop(turned);
+    step_until(&mut rejected, false, true);
+    drop(rejected);
     assert!(read(&mut caller).starts_with("HTTP/1.1 503"));
 }
 
+/// The rest of a request may arrive after the answer was written; left unread, it would reset the
+/// connection.
 #[tokio::test(start_paused = true)]
-async fn a_request_that_comes_in_parts_is_read_to_its_end() {
-    let (mut caller, mut turned) = connect();
+async fn a_request_received_in_parts_is_read_to_its_end() {
+    let (mut caller, mut rejected) = connect();
     let req = request(3 * BUF);
     let (first, rest) = req.split_at(BUF / 2);
-    assert!(step(&mut turned), "nothing has come");
-    assert!(!turned.is_answered());
+    assert!(step(&mut rejected), "nothing has come");
+    assert!(!rejected.is_answered());
     tokio::time::advance(Duration::from_millis(8)).await;
     caller.write_all(first).expect("room");
-    step_until(&mut turned, true, true);
+    step_until(&mut rejected, true, true);
     let (most, last) = rest.split_at(rest.len() - 1);
-    // Written and read in turn, so that it needs no room on the way.
+    // Written and read in turn, so that no buffer has to hold all of it.
     for part in most.chunks(BUF / 2) {
         caller.write_all(part).expect("room");
-        assert!(step(&mut turned));
+        assert!(step(&mut rejected));
     }
     caller.write_all(last).expect("room");
-    step_until(&mut turned, false, true);
-    drop(turned);
+    step_until(&mut rejected, false, true);
+    drop(rejected);
     assert!(read(&mut caller).starts_with("HTTP/1.1 503"));
 }
 
+/// The end of a chunked body isn't parsed here.
 #[tokio::test(start_paused = true)]
-async fn a_request_whose_length_is_not_told_is_read_for_a_while() {
-    let (mut caller, mut turned) = connect();
+async fn a_request_of_unknown_length_is_read_for_a_limited_time() {
+    let (mut caller, mut rejected) = connect();
     caller.write_all(b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n").expect("room");
-    step_until(&mut turned, true, true);
+    step_until(&mut rejected, true, true);
     caller.write_all(b"5\r\nhello\r\n0\r\n\r\n").expect("room");
-    assert!(step(&mut turned));
+    assert!(step(&mut rejected));
     tokio::time::advance(Duration::from_millis(200)).await;
-    step_until(&mut turned, false, true);
-    drop(turned);
+    step_until(&mut rejected, false, true);
+    drop(rejected);
     assert!(read(&mut caller).starts_with("HTTP/1.1 503"));
 }
 
-/// A caller that was told and sends on, a little at a time, doesn't keep its place for longer than one that is silent.
+/// A caller that was answered and keeps sending, a little at a time, must not hold its place longer
+/// than a silent one.
 #[tokio::test(start_paused = true)]
-async fn who_sends_on_without_end_is_not_read_without_end() {
-    let (mut caller, mut turned) = connect();
+async fn an_endless_request_is_read_for_a_limited_time() {
+    let (mut caller, mut rejected) = connect();
     caller.write_all(b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n").expect("room");
-    step_until(&mut turned, true, true);
+    step_until(&mut rejected, true, true);
     let mut steps = 0;
     loop {
         caller.write_all(b"1\r\nx\r\n").expect("room");
-        if !step(&mut turned) {
+        if !step(&mut rejected) {
             break;
         }
         steps += 1;
-        assert!(steps < 1_000, "for how long?");
+        assert!(steps < 1_000, "no end after {steps} steps");
         tokio::time::advance(Duration::from_millis(8)).await;
     }
-    assert!(steps < 25, "{steps} looks");
+    assert!(steps < 25, "{steps} steps");
 }
 
+/// A connection without a request must not hold its place for ever.
 #[tokio::test(start_paused = true)]
-async fn who_says_nothing_is_not_told_and_not_waited_for_without_end() {
-    let (_caller, mut turned) = connect();
+async fn a_silent_caller_is_dropped_without_an_answer() {
+    let (_caller, mut rejected) = connect();
     let began = Instant::now();
-    let mut looks = 0;
+    let mut steps = 0;
     loop {
-        if turned.is_due() {
-            looks += 1;
-            if !step(&mut turned) {
+        if rejected.is_due() {
+            steps += 1;
+            if !step(&mut rejected) {
                 break;
             }
         }
         tokio::time::advance(Duration::from_millis(8)).await;
     }
-    assert!(!turned.is_answered());
-    // Each look costs a call.
-    assert!(looks < 10, "{looks}");
+    assert!(!rejected.is_answered());
+    // Each step costs a system call.
+    assert!(steps < 10, "{steps}");
     let took = began.elapsed().as_millis();
     assert!((1_000..1_100).contains(&took), "{took} ms");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_caller_that_is_gone_is_forgotten() {
-    let (caller, mut turned) = connect();
+async fn a_disconnected_caller_is_dropped() {
+    let (caller, mut rejected) = connect();
     drop(caller);
-    step_until(&mut turned, false, false);
+    step_until(&mut rejected, false, false);
 }
--- a/tests/proxy_view.rs
+++ b/tests/proxy_view.rs
@@ -1,4 +1,4 @@
-//! What a box believes of the upstreams when the store fails, lags or returns.
+//! A box's view of the upstreams while the store fails, lags or returns.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -38,7 +38,7 @@
     }
 }
 
-/// A view that sees the store, which lists `a` and `b`.
+/// A view with access to the store, which lists `a` and `b`.
 fn view() -> View {
     let mut view = View::new(UpstreamRegistry::new(ZoneName::from("a"), Tuning::default()));
     view.store_regained(millis(0));
@@ -51,10 +51,11 @@
     view.fleet().is_open(&UpstreamName::from(name))
 }
 
-/// Load: boxes before 3,000 upstreams restart one after the other, each watches the store until it knows the others,
-/// and tells the hundred of its zone what it hears: 24 MB a restart, while all of it was news to it.
+/// Load: boxes with 3,000 upstreams restart one after the other. Each watches the store until it
+/// knows the other boxes, and forwards changes to the hundred of its zone. Forwarding the whole
+/// first list cost 24 MB per restart.
 #[test]
-fn a_box_that_starts_tells_nobody_what_all_know() {
+fn a_starting_box_does_not_broadcast_the_list_it_reads() {
     let mut view = View::new(UpstreamRegistry::new(ZoneName::from("a"), Tuning::default()));
     view.store_regained(millis(0));
     let leaving = UpstreamListing { leaving: true, ..upstream("c") };
@@ -66,10 +67,10 @@
     assert_eq!(view.take_changes(), changes);
 }
 
-/// Load: an upstream leaves; a watcher hears of it by datagram before the store tells it, and a box of its zone loses
-/// all that it is told. Asked for changes, the watcher must tell of that one.
+/// A watcher learns by datagram that an upstream leaves, before the store delivers it, and a box of
+/// its zone loses all datagrams. Asked for changes, the watcher must include that one.
 #[test]
-fn what_a_watcher_was_told_first_is_told_to_who_asks_it() {
+fn changes_known_to_a_watcher_before_the_store_are_sent_on_request() {
     let now = millis(1_000);
     let (mut watcher, mut box_) = (view(), view());
     watcher.complete_up_to(Revision::new(1, 5));
@@ -85,10 +86,11 @@
     assert_eq!(box_.revision(), Revision::new(1, 6));
 }
 
-/// Load: an upstream leaves and is gone while one of three watchers is cut off. That one is told the past when it comes
-/// back: the upstream changed, and is gone, which near trouble with the store may only have lapsed.
+/// An upstream leaves and is removed while one of three watchers is cut off. Once back, that
+/// watcher receives the past changes: the upstream changed, and its entry is missing, which after
+/// an outage of the store may only mean that it lapsed.
 #[test]
-fn a_watcher_that_was_cut_off_brings_back_nothing_that_is_gone() {
+fn a_watcher_that_was_cut_off_does_not_restore_removed_upstreams() {
     let now = millis(20_000);
     let (mut watcher, mut box_, mut late) = (view(), view(), view());
     watcher.complete_up_to(Revision::new(1, 5));
@@ -107,39 +109,44 @@
     late.set_upstream(UpstreamListing { slots: 2, ..upstream("a") }, now);
     late.entry_removed(&UpstreamName::from("a"), now);
     late.complete_up_to(Revision::new(1, 8));
-    let told = late.changes_since(0, box_.revision(), now).expect("it is known");
-    assert_eq!(told.upstreams, [], "an entry that is missing is told of neither way");
-    box_.apply_snapshot(told, now);
+    let response = late.changes_since(0, box_.revision(), now).expect("it is known");
+    assert_eq!(
+        response.upstreams,
+        [],
+        "a missing entry is reported neither as listed nor as removed"
+    );
+    box_.apply_snapshot(response, now);
     assert!(!is_open(&box_, "a"));
     let (version, digests) = (box_.version(), box_.digests(now));
     box_.apply_snapshot(late.difference(version, &digests, now), now);
-    assert!(!is_open(&box_, "a"), "nor by what differs");
-    // One that lists it again doesn't bring it back either.
+    assert!(!is_open(&box_, "a"), "nor by a difference");
+    // A watcher that lists it again doesn't restore it either.
     late.set_upstream(UpstreamListing { slots: 2, ..upstream("a") }, now);
     late.complete_up_to(Revision::new(1, 9));
     box_.apply_snapshot(late.changes_since(0, box_.revision(), now).expect("it is known"), now);
     assert!(!is_open(&box_, "a"));
 }
 
-/// Load: all entries lapse for a second; a watcher says that they are gone, and lists them again. A zone whose boxes had
-/// heard the first kept from all of them for ten seconds.
+/// All entries lapse for a second; a watcher reports them removed, and lists them again. Boxes of a
+/// zone that had received the first report used none of the upstreams for ten seconds.
 #[test]
-fn what_was_said_to_be_gone_and_is_listed_again_is_back() {
+fn an_upstream_reported_removed_and_listed_again_is_open() {
     let now = millis(20_000);
     let (watcher, mut box_) = (view(), view());
     box_.store_left_to_others();
     box_.reported_gone(&UpstreamName::from("a"), now);
     assert!(!is_open(&box_, "a"));
-    let told = watcher.difference(box_.version(), &box_.digests(now), now);
-    box_.apply_snapshot(told, now);
+    let response = watcher.difference(box_.version(), &box_.digests(now), now);
+    box_.apply_snapshot(response, now);
     assert!(is_open(&box_, "a"));
     box_.tick(now + millis(11_000));
-    assert!(is_open(&box_, "a"), "nor is it forgotten later");
+    assert!(is_open(&box_, "a"), "it isn't dropped later either");
 }
 
-/// Load: a watcher restarts, and is asked as soon as its store has told it the configuration.
+/// A watcher restarts and is asked for the difference when it has only received the configuration
+/// from its store.
 #[test]
-fn a_box_without_a_list_takes_no_upstreams_away() {
+fn a_watcher_without_a_list_removes_no_upstreams() {
     let now = millis(1_000);
     let mut watcher = View::new(UpstreamRegistry::new(ZoneName::from("a"), Tuning::default()));
     watcher.store_regained(millis(0));
@@ -149,16 +156,19 @@
     assert_eq!(names(&box_).len(), 2);
 }
 
+/// The removal is certain then; a delay would send requests to an upstream that has stopped.
 #[test]
-fn an_entry_that_vanishes_while_all_is_well_is_gone_at_once() {
+fn an_entry_removed_from_a_working_store_closes_the_upstream_at_once() {
     let mut view = view();
     view.entry_removed(&UpstreamName::from("a"), millis(10_000));
     assert!(!is_open(&view, "a"));
     assert!(is_open(&view, "b"));
 }
 
+/// Upstreams can't renew their entries during an outage, so a missing entry doesn't mean that the
+/// upstream is gone.
 #[test]
-fn an_entry_that_lapsed_while_the_store_was_away_may_come_back() {
+fn an_entry_that_lapsed_during_an_outage_has_time_to_return() {
     let mut view = view();
     view.store_lost();
     view.store_regained(millis(10_000));
@@ -170,8 +180,9 @@
     assert!(is_open(&view, "a"));
 }
 
+/// The grace period after an outage must end, or requests go to upstreams that have stopped.
 #[test]
-fn an_entry_that_stays_missing_is_gone_soon_after_the_store_is_back() {
+fn an_entry_still_missing_after_an_outage_is_removed() {
     let mut view = view();
     view.store_lost();
     view.store_regained(millis(10_000));
@@ -181,10 +192,10 @@
     assert!(view.take_changes().contains(&Change::Gone(UpstreamName::from("a"))));
 }
 
-/// Found by a hunt (journal 97833dee, trouble-1 --seed 59906455252): the grace began when the entry
-/// vanished, 3 s after the store's return, so that a leaving upstream got work for 2.2 s.
+/// The grace period began when the entry was removed, 3 s after the store's return, so that a
+/// leaving upstream received requests for 2.2 s (journal 97833dee, trouble-1 --seed 59906455252).
 #[test]
-fn an_entry_that_vanishes_later_after_the_stores_return_is_gone_at_once() {
+fn an_entry_removed_some_time_after_an_outage_closes_the_upstream_at_once() {
     let mut view = view();
     view.store_lost();
     view.store_regained(millis(10_000));
@@ -193,8 +204,9 @@
     assert!(!is_open(&view, "a"));
 }
 
+/// Entries lapse during an outage although their upstreams run.
 #[test]
-fn nothing_is_given_up_while_the_store_is_away() {
+fn no_upstream_is_removed_during_an_outage() {
     let mut view = view();
     view.store_lost();
     view.entry_removed(&UpstreamName::from("a"), millis(10_000));
@@ -202,39 +214,44 @@
     assert!(is_open(&view, "a"));
 }
 
+/// A box with access to the store knows better than a box that may lag behind.
 #[test]
-fn that_an_upstream_is_gone_is_believed_of_others_only_while_the_store_is_away() {
+fn removals_reported_by_other_boxes_apply_only_without_the_store() {
     let mut view = view();
     view.reported_gone(&UpstreamName::from("a"), millis(10_000));
     assert!(is_open(&view, "a"));
     view.store_lost();
     view.reported_gone(&UpstreamName::from("a"), millis(10_000));
     assert!(!is_open(&view, "a"));
-    // An upstream that leaves stays so, whatever another box still believes.
+    // A closed upstream stays closed, whatever another box still lists.
     let upstreams = vec![upstream("a"), upstream("b"), upstream("c")];
     view.apply_snapshot(Snapshot { upstreams, ..Snapshot::default() }, millis(10_000));
     assert!(!is_open(&view, "a"));
     assert!(is_open(&view, "c"));
 }
 
-/// A watch may hang for seconds before its box knows that the store doesn't serve it any more. An
-/// entry may lapse, but one that leaves never comes back.
+/// A watch may hang for seconds before its box detects that the store no longer serves it. An entry
+/// may lapse and return, but an upstream that leaves never does.
 #[test]
-fn that_an_upstream_leaves_is_believed_of_others_at_once() {
+fn reports_that_an_upstream_leaves_apply_at_once() {
     let mut view = view();
     assert!(view.reaches_store());
     view.take_changes();
     view.reported_leaving(&UpstreamName::from("a"), millis(10_000));
     assert!(!is_open(&view, "a"));
-    let told = vec![Change::ReportedLeaving(UpstreamName::from("a"))];
-    assert_eq!(view.take_changes(), told, "it is not told again by each box that hears it");
+    let expected = vec![Change::ReportedLeaving(UpstreamName::from("a"))];
+    assert_eq!(
+        view.take_changes(),
+        expected,
+        "a box that received the report doesn't forward it as its own"
+    );
     view.reported_leaving(&UpstreamName::from("a"), millis(10_000));
     assert_eq!(view.take_changes(), []);
 }
 
-/// Load: an upstream is gone; a box that was cut off comes back, still believes in it, and tells.
+/// An upstream is removed; a box that was cut off returns, still lists it, and reports so.
 #[test]
-fn a_box_that_is_behind_doesnt_bring_back_what_is_gone() {
+fn a_lagging_box_does_not_restore_a_removed_upstream() {
     let mut view = view();
     view.entry_removed(&UpstreamName::from("a"), millis(13_000));
     assert!(view.is_barred(&UpstreamName::from("a")));
@@ -244,15 +261,16 @@
     view.apply_snapshot(Snapshot { upstreams, ..Snapshot::default() }, millis(14_000));
     assert!(!is_open(&view, "a"));
     assert!(is_open(&view, "b"));
-    // The store's own word goes before: an entry that lapsed for long may come back after all.
+    // The store takes precedence: an entry that lapsed for long may return.
     view.store_regained(millis(15_000));
     view.set_upstream(upstream("a"), millis(15_000));
     assert!(is_open(&view, "a") && !view.is_barred(&UpstreamName::from("a")));
 }
 
-/// What boxes ask each other for: packed it must say the same, and be less than half as long as for people.
+/// Boxes exchange snapshots in this encoding: it must preserve the content, in less than half the
+/// bytes of JSON.
 #[test]
-fn a_snapshot_can_be_packed() {
+fn a_snapshot_survives_binary_encoding() {
     let mut view = view();
     let cold_for = Some(millis(2_500));
     for n in 0..300 {
@@ -260,48 +278,48 @@
         view.set_upstream(listed, millis(1_000));
     }
     let snapshot = view.snapshot(millis(1_000));
-    let packed = postcard::to_stdvec(&snapshot).expect("it can be packed");
-    let again: Snapshot = postcard::from_bytes(&packed).expect("it can be read");
-    assert_eq!(again.upstreams, snapshot.upstreams);
-    assert_eq!(again.table.map(|t| t.version), snapshot.table.as_ref().map(|t| t.version));
+    let encoded = postcard::to_stdvec(&snapshot).expect("it can be encoded");
+    let decoded: Snapshot = postcard::from_bytes(&encoded).expect("it can be decoded");
+    assert_eq!(decoded.upstreams, snapshot.upstreams);
+    assert_eq!(decoded.table.map(|t| t.version), snapshot.table.as_ref().map(|t| t.version));
     let text = serde_json::to_vec(&snapshot).expect("it can be written");
-    assert!(2 * packed.len() < text.len(), "{} of {}", packed.len(), text.len());
+    assert!(2 * encoded.len() < text.len(), "{} of {}", encoded.len(), text.len());
 }
 
 fn names(view: &View) -> Vec<&UpstreamName> {
     view.fleet().listed().filter(|l| !l.leaving).map(|l| &l.name).collect()
 }
 
-/// Load: 3,000 upstreams of which one is new and another gone, which a box that doesn't watch the store has missed, as
-/// some box does several times a second while engines are replaced.
+/// Load: 3,000 upstreams, one new and one removed, which a box that doesn't watch the store has
+/// missed. This happens to some box several times a second while engines are replaced.
 #[test]
-fn what_a_box_misses_is_told_without_the_whole_list() {
+fn missed_changes_are_sent_without_the_full_list() {
     let now = millis(1_000);
     let listed = |n: u32| upstream(&format!("i-{n:010x}"));
     let (mut watcher, mut box_) = (view(), view());
     (0..3_000).for_each(|n| box_.set_upstream(listed(n), now));
     (1..3_001).for_each(|n| watcher.set_upstream(listed(n), now));
     box_.store_left_to_others();
-    let question = box_.digests(now);
-    assert!(question.to_string().len() <= 1024);
-    assert_eq!(question.to_string().parse(), Ok(question));
-    let told = watcher.difference(box_.version(), &question, now);
-    let packed = postcard::to_stdvec(&told).expect("it can be packed").len();
-    let whole = postcard::to_stdvec(&watcher.snapshot(now)).expect("it can be packed").len();
-    assert!(20 * packed < whole, "{packed} of {whole}");
-    box_.apply_snapshot(told, now);
+    let request = box_.digests(now);
+    assert!(request.to_string().len() <= 1024);
+    assert_eq!(request.to_string().parse(), Ok(request));
+    let response = watcher.difference(box_.version(), &request, now);
+    let encoded = postcard::to_stdvec(&response).expect("it can be encoded").len();
+    let full = postcard::to_stdvec(&watcher.snapshot(now)).expect("it can be encoded").len();
+    assert!(20 * encoded < full, "{encoded} of {full}");
+    box_.apply_snapshot(response, now);
     assert_eq!(names(&box_), names(&watcher));
     assert_eq!(box_.digest(), watcher.digest());
     assert_eq!(watcher.difference(0, &box_.digests(now), now).upstreams, []);
 }
 
-/// That an engine has turned cold again is missed by a box like anything else.
+/// A box may miss that an engine has become cold again, as it may miss any other change.
 #[test]
-fn digests_tell_which_engines_are_cold_and_nothing_of_those_that_leave() {
+fn digests_cover_cold_engines_and_ignore_leaving_ones() {
     let digests = |all: &[UpstreamListing]| Digests::of(all.iter());
     let cold = UpstreamListing { cold_for: Some(millis(3_000)), ..upstream("a") };
     let leaving = UpstreamListing { leaving: true, ..upstream("c") };
-    // Of an engine that is warm a box tells that it is cold for no time.
+    // A warm engine is listed as cold for no time.
     let warm = UpstreamListing { cold_for: Some(Duration::ZERO), ..upstream("a") };
     let warm = digests(&[warm, upstream("b")]);
     let differing = warm.differing(&digests(&[upstream("b"), cold.clone()]));
@@ -309,24 +327,26 @@
     assert_eq!(warm, digests(&[upstream("b"), leaving, upstream("a")]));
 }
 
-/// A box that has just started may have been told of each upstream by itself before it asks for the list.
+/// A box that has just started may have received each upstream in a datagram before it requests the
+/// list.
 #[test]
-fn a_box_that_was_told_all_there_is_is_as_good_as_one_that_has_asked() {
+fn an_empty_difference_completes_the_list_of_a_starting_box() {
     let now = millis(1_000);
     let watcher = view();
     let mut box_ = View::new(UpstreamRegistry::new(ZoneName::from("a"), Tuning::default()));
     ["a", "b"].iter().for_each(|name| box_.reported_listed(upstream(name), now));
-    let told = watcher.difference(0, &box_.digests(now), now);
-    assert_eq!(told.upstreams, []);
-    box_.apply_snapshot(told, now);
+    let response = watcher.difference(0, &box_.digests(now), now);
+    assert_eq!(response.upstreams, []);
+    box_.apply_snapshot(response, now);
     assert_eq!(names(&box_), names(&watcher));
     assert!(box_.has_upstream_list());
 }
 
 proptest! {
-    /// Whatever a box lists: once it has taken over what one that sees the store has told, it lists the same.
+    /// Whatever a box lists: once it has applied the difference to a box with access to the store,
+    /// it lists the same.
     #[test]
-    fn what_is_told_makes_lists_the_same(
+    fn a_difference_makes_the_lists_equal(
         there in collection::btree_set(0u32..500, 0..100),
         here in collection::btree_set(0u32..500, 0..100),
     ) {
@@ -335,27 +355,28 @@
         there.iter().for_each(|n| watcher.set_upstream(upstream(&format!("u{n}")), now));
         here.iter().for_each(|n| box_.set_upstream(upstream(&format!("u{n}")), now));
         box_.store_left_to_others();
-        let told = watcher.difference(0, &box_.digests(now), now);
-        box_.apply_snapshot(told, now);
+        let response = watcher.difference(0, &box_.digests(now), now);
+        box_.apply_snapshot(response, now);
         prop_assert_eq!(names(&box_), names(&watcher));
     }
 
-    /// Bytes of strangers are no digests, or are told back as they came.
+    /// Arbitrary text is no digest, or is one that is written the same way again.
     #[test]
-    fn digests_are_read_or_refused(text in ".{0,64}|[0-9a-f]{1020,1028}") {
+    fn digests_are_parsed_or_rejected(text in ".{0,64}|[0-9a-f]{1020,1028}") {
         if let Ok(digests) = text.parse::<Digests>() {
             prop_assert_eq!(digests.to_string(), text);
         }
     }
 }
 
-fn born(name: &str, born: u64) -> UpstreamListing {
-    UpstreamListing { started_at_ms: Some(born), ..upstream(name) }
+fn started_at(name: &str, started_at: u64) -> UpstreamListing {
+    UpstreamListing { started_at_ms: Some(started_at), ..upstream(name) }
 }
 
-/// The store has come back from a copy in which `b` isn't listed yet and `c`, which is gone, still is.
+/// The store was restored from a copy that doesn't list `b` yet and still lists `c`, which has been
+/// removed.
 #[test]
-fn a_copy_of_the_store_neither_takes_away_nor_brings_back_at_once() {
+fn a_restored_store_neither_removes_nor_adds_upstreams_at_once() {
     let mut view = view();
     view.enter_era(1, millis(0));
     view.set_upstream(upstream("c"), millis(10_000));
@@ -372,7 +393,7 @@
             "{ms}"
         );
     }
-    // Nobody has written `b` again; nobody has taken `c` away.
+    // `b` has not been written again, and `c` has not been removed again.
     view.tick(millis(14_300));
     assert!(!is_open(&view, "b"));
     view.tick(millis(16_600));
@@ -380,8 +401,10 @@
     assert_eq!(view.revision(), Revision::new(2, 5));
 }
 
+/// After a restore, a listed upstream that was removed shortly before stays closed until its own
+/// entry proves that it runs.
 #[test]
-fn what_lives_is_back_as_soon_as_it_is_written_again() {
+fn a_running_upstream_opens_as_soon_as_its_entry_is_written_again() {
     let mut view = view();
     view.enter_era(1, millis(0));
     view.entry_removed(&UpstreamName::from("b"), millis(10_000));
@@ -395,19 +418,19 @@
     assert!(!is_open(&view, "b"));
 }
 
-/// A box that doesn't see the store, and one that hears of an era late.
+/// A box without access to the store, and one that learns of a restore late.
 #[test]
-fn what_is_told_of_an_earlier_era_is_behind() {
+fn reports_of_an_earlier_era_are_outdated() {
     let mut watcher = view();
     watcher.complete_up_to(Revision::new(1, 90));
-    let stale = watcher.snapshot(millis(100));
+    let outdated = watcher.snapshot(millis(100));
     let mut other = View::new(UpstreamRegistry::new(ZoneName::from("a"), Tuning::default()));
-    other.apply_snapshot(stale.clone(), millis(200));
+    other.apply_snapshot(outdated.clone(), millis(200));
     assert_eq!(other.revision(), Revision::new(1, 90));
     watcher.enter_era(2, millis(300));
     watcher.set_upstreams(vec![upstream("a"), upstream("b"), upstream("c")], millis(300));
     watcher.complete_up_to(Revision::new(2, 40));
-    // What changed since isn't known over a return; what differs is.
+    // Changes aren't known across a restore; differences are.
     assert!(watcher.changes_since(0, other.revision(), millis(400)).is_none());
     other.apply_snapshot(
         watcher.difference(0, &other.digests(millis(400)), millis(400)),
@@ -415,13 +438,14 @@
     );
     assert!(is_open(&other, "c"));
     assert_eq!(other.revision(), Revision::new(2, 40));
-    other.apply_snapshot(stale, millis(500));
+    other.apply_snapshot(outdated, millis(500));
     assert!(is_open(&other, "c"));
     assert_eq!(other.revision(), Revision::new(2, 40));
 }
 
+/// Each box reports a new era to others; a repeated or earlier one must not be reported again.
 #[test]
-fn an_era_is_news_once_and_two_in_succession_are_one() {
+fn a_restore_is_reported_once_and_successive_ones_together() {
     let mut view = view();
     view.enter_era(4, millis(0));
     view.enter_era(5, millis(10));
@@ -435,8 +459,9 @@
     assert_eq!(fresh.take_changes(), [Change::Listed(1)]);
 }
 
+/// A restore from an older copy would otherwise open an evacuated zone.
 #[test]
-fn an_evacuation_that_a_copy_lacks_is_kept_until_it_would_be_written_again() {
+fn an_evacuation_missing_after_a_restore_is_kept_until_it_could_be_rewritten() {
     let mut view = view();
     let zones = BTreeSet::from([ZoneName::from("a")]);
     view.evacuate(&EvacuatedZones { revision: Revision::new(1, 8), zones }, millis(0));
@@ -446,7 +471,7 @@
     );
     view.tick(millis(7_000));
     assert!(view.is_barred(&UpstreamName::from("a")));
-    // One that was heard late, of before.
+    // An order from before the restore, received late.
     view.evacuate(
         &EvacuatedZones { revision: Revision::new(1, 9), ..EvacuatedZones::default() },
         millis(7_100),
@@ -456,34 +481,37 @@
     assert!(!view.is_barred(&UpstreamName::from("a")));
 }
 
+/// A restarted upstream must not inherit that its previous instance was leaving, nor may late
+/// reports of that instance apply to it.
 #[test]
-fn another_start_of_a_name_is_another_upstream() {
+fn a_new_instance_under_a_name_is_a_new_upstream() {
     let mut view = view();
     let name = UpstreamName::from("c");
-    view.set_upstream(born("c", 100), millis(0));
-    view.set_upstream(UpstreamListing { leaving: true, ..born("c", 100) }, millis(10));
-    view.set_upstream(born("c", 100), millis(20));
-    assert!(!is_open(&view, "c"), "no start returns from leaving");
+    view.set_upstream(started_at("c", 100), millis(0));
+    view.set_upstream(UpstreamListing { leaving: true, ..started_at("c", 100) }, millis(10));
+    view.set_upstream(started_at("c", 100), millis(20));
+    assert!(!is_open(&view, "c"), "an instance that leaves never returns");
     view.take_changes();
-    view.set_upstream(born("c", 200), millis(30));
+    view.set_upstream(started_at("c", 200), millis(30));
     assert!(is_open(&view, "c"));
     let addr = upstream("c").addr;
     let restarted = Change::Restarted(name.clone(), addr, 200);
-    assert_eq!(view.take_changes(), [restarted, Change::Upstream(born("c", 200))]);
-    view.set_upstream(born("c", 100), millis(40));
-    view.reported_listed(born("c", 100), millis(40));
+    assert_eq!(view.take_changes(), [restarted, Change::Upstream(started_at("c", 200))]);
+    view.set_upstream(started_at("c", 100), millis(40));
+    view.reported_listed(started_at("c", 100), millis(40));
     assert_eq!(view.take_changes(), []);
-    // Gone, and back by another start that another box tells of.
+    // Removed, and listed again by another box as a later instance.
     view.entry_removed(&name, millis(5_000));
     view.store_lost();
-    view.reported_listed(born("c", 200), millis(5_100));
+    view.reported_listed(started_at("c", 200), millis(5_100));
     assert!(!is_open(&view, "c"));
-    view.reported_listed(born("c", 300), millis(5_200));
+    view.reported_listed(started_at("c", 300), millis(5_200));
     assert!(is_open(&view, "c"));
 }
 
+/// Delivered again without a change, an unreadable entry must not be logged again.
 #[test]
-fn an_entry_that_cant_be_read_is_news_once_a_change() {
+fn an_unreadable_entry_is_reported_once_per_change() {
     let mut view = view();
     let name = UpstreamName::from("a");
     assert!(view.mark_unreadable(&name, "one", millis(0)));
@@ -495,9 +523,10 @@
     assert!(view.mark_unreadable(&name, "one", millis(4)));
 }
 
-/// A box that doesn't see the store hears that an upstream is gone which it doesn't list, and then that it is there.
+/// A box without access to the store receives the removal of an upstream that it doesn't list, and
+/// then its listing.
 #[test]
-fn one_that_was_said_to_be_gone_before_it_was_known_stays() {
+fn an_upstream_reported_removed_before_it_was_listed_stays_open() {
     let mut view = view();
     view.store_lost();
     view.reported_gone(&UpstreamName::from("c"), millis(0));
