--- a/benches/claims.rs
+++ b/benches/claims.rs
@@ -108,7 +108,7 @@
             let text = Uuid::now_v7().to_string();
             let key = IdempotencyKey::new("alpha", &text, SystemTime::now()).expect("it is new");
             let started = Instant::now();
-            let attempt = claims.acquire(key, n + 1).await.expect("nobody else has it");
+            let attempt = claims.acquire(key, n + 1).await.expect("no other attempt has it");
             claims.resolve(key, attempt, true);
             started.elapsed()
         });
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -275,7 +275,7 @@
     assert_eq!(pool.ledger().known_virtual_time("a"), 30_000);
 }
 
-/// All waiting requests at once would fail as well if it isn't well yet.
+/// If the upstream has not recovered, all waiting requests sent at once would fail as well.
 #[test]
 fn a_failing_upstream_is_unavailable_and_then_tried_with_one_request() {
     let mut pool = pool(8);
--- a/tests/proxy_placement.rs
+++ b/tests/proxy_placement.rs
@@ -246,7 +246,7 @@
     assert!(millis(1_000) < wait, "prefill without a pause must count as load");
 }
 
-/// An engine whose memory is full would reject the request.
+/// An engine whose memory is taken by running prompts has no room for another.
 #[test]
 fn a_full_engine_is_not_chosen() {
     let mut registry = registry(1);
--- a/tests/proxy_plain.rs
+++ b/tests/proxy_plain.rs
@@ -375,8 +375,9 @@
     assert!(350 <= served[0], "{served:?}");
 }
 
-/// All boxes have been killed and restart. While owners change, one is told of requests whose ends
-/// are reported to others. Eighteen of them blocked all callers for twenty seconds.
+/// All boxes have been killed and restart. While owners change, one box receives the starts of
+/// requests whose ends are reported to others. Eighteen of them blocked all callers for twenty
+/// seconds.
 #[test]
 fn requests_whose_end_is_never_reported_expire() {
     let zone = ZoneName::from("a");
