--- a/src/dispatch/pool/mod.rs
+++ b/src/dispatch/pool/mod.rs
@@ -13,16 +13,16 @@
 
 use rustc_hash::FxHashMap;
 
-pub use crate::dispatch::pool::decision::Action;
-pub use crate::dispatch::pool::decision::Decision;
-pub use crate::dispatch::pool::decision::SelectionReason;
-pub use crate::dispatch::pool::decision::WaitReason;
 use crate::config;
 use crate::config::CatalogRevision;
 use crate::dispatch::ledger::Ledger;
 use crate::dispatch::ledger::PARTS_PER_UNIT;
 use crate::dispatch::ledger::ReplicaId;
 use crate::dispatch::ledger::VirtualTime;
+pub use crate::dispatch::pool::decision::Action;
+pub use crate::dispatch::pool::decision::Decision;
+pub use crate::dispatch::pool::decision::SelectionReason;
+pub use crate::dispatch::pool::decision::WaitReason;
 use crate::dispatch::pool::order::NextWork;
 use crate::dispatch::queue::Queue;
 use crate::dispatch::remote_zones::RemoteZones;
--- a/src/node/receive.rs
+++ b/src/node/receive.rs
@@ -14,15 +14,15 @@
 use crate::node::Node;
 use crate::node::Output;
 use crate::node::RunningRequest;
-use crate::peer::message::PullRequest;
-use crate::peer::message::HeartbeatEntry;
-use crate::peer::message::GrantDigest;
+use crate::peer::message::CompletionReport;
+use crate::peer::message::DispatcherReport;
 use crate::peer::message::Ending;
 use crate::peer::message::Grant;
+use crate::peer::message::GrantDigest;
 use crate::peer::message::GrantId;
+use crate::peer::message::HeartbeatEntry;
 use crate::peer::message::Message;
-use crate::peer::message::DispatcherReport;
-use crate::peer::message::CompletionReport;
+use crate::peer::message::PullRequest;
 use crate::peer::message::Ticket;
 
 impl Node {
--- a/src/router/hub.rs
+++ b/src/router/hub.rs
@@ -16,10 +16,10 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
+use crate::claims::ClaimOp;
+use crate::claims::ClaimRequest;
 use crate::claims::ClaimTransport;
 use crate::claims::Claims;
-use crate::claims::ClaimRequest;
-use crate::claims::ClaimOp;
 use crate::config::CatalogRevision;
 use crate::dispatch::pool::Decision;
 use crate::dispatch::pool::PoolDispatcher;
@@ -32,14 +32,14 @@
 use crate::node::Node;
 use crate::node::Output;
 use crate::node::Refusal;
-use crate::peer::server::CallResponse;
-use crate::peer::server::CallHandler;
+use crate::peer::connection::ConnectionHandler;
+use crate::peer::connection::PeerConnections;
 use crate::peer::message::Ending;
 use crate::peer::message::Message;
 use crate::peer::message::Ticket;
 use crate::peer::message::TicketId;
-use crate::peer::connection::PeerConnections;
-use crate::peer::connection::ConnectionHandler;
+use crate::peer::server::CallHandler;
+use crate::peer::server::CallResponse;
 use crate::platform::ObjectStore;
 use crate::router::request_history::RequestHistory;
 use crate::status::Explanation;
@@ -87,7 +87,12 @@
 
 impl Hub {
     /// Creates a hub for `node`.
-    pub fn new(node: Node, connections: PeerConnections, metrics: Metrics, log: Logger) -> Arc<Hub> {
+    pub fn new(
+        node: Node,
+        connections: PeerConnections,
+        metrics: Metrics,
+        log: Logger,
+    ) -> Arc<Hub> {
         Arc::new_cyclic(|this| Hub {
             inner: Mutex::new(Inner {
                 node,
--- a/src/router/listener.rs
+++ b/src/router/listener.rs
@@ -23,8 +23,8 @@
 use crate::router::refusal::Body;
 use crate::router::refusal::RequestError;
 use crate::router::request_handler;
-use crate::router::request_handler::RouterContext;
 use crate::router::request_handler::RequestTrace;
+use crate::router::request_handler::RouterContext;
 use crate::router::service_request;
 use crate::web;
 
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -30,8 +30,8 @@
 use crate::metrics::Metrics;
 use crate::node::Identity;
 use crate::node::Node;
-use crate::peer::member::GossipSettings;
 use crate::peer::connection::PeerConnections;
+use crate::peer::member::GossipSettings;
 use crate::peer::server;
 use crate::peer::traffic::Traffic;
 use crate::platform;
@@ -148,7 +148,9 @@
             }
         },
         PlatformUpdate::Boxes(list) => hub.update(|node, now| node.set_box_list(&list, now)),
-        PlatformUpdate::Reachability(Some(e)) => warn!(hub.log(), "platform unreachable"; "error" => %e),
+        PlatformUpdate::Reachability(Some(e)) => {
+            warn!(hub.log(), "platform unreachable"; "error" => %e)
+        }
         PlatformUpdate::Reachability(None) => info!(hub.log(), "platform reachable again"),
     }
 }
--- a/src/router/response_body.rs
+++ b/src/router/response_body.rs
@@ -20,14 +20,14 @@
 use crate::peer::message::TicketId;
 use crate::router::cost_meter;
 use crate::router::cost_meter::CostMeter;
-use crate::router::hub::Hub;
 use crate::router::hub::Assignment;
+use crate::router::hub::Hub;
 use crate::router::refusal::Outcome;
 use crate::router::request_handler::RequestTrace;
 use crate::router::service_request::ServiceRequest;
 use crate::router::stream_resume::StreamResume;
-use crate::router::upstream_sender::ResponseReceiver;
 use crate::router::upstream_sender::ResponseEvent;
+use crate::router::upstream_sender::ResponseReceiver;
 
 /// A request that has a grant. If dropped before its end, it is reported as cancelled.
 pub struct PlacedRequest {
--- a/src/router/stream_resume.rs
+++ b/src/router/stream_resume.rs
@@ -11,14 +11,14 @@
 use http::Method;
 use http::StatusCode;
 
-use crate::config::catalog::REQUEST_PLACEHOLDER;
 use crate::config::catalog::FROM_PLACEHOLDER;
+use crate::config::catalog::REQUEST_PLACEHOLDER;
 use crate::names::PoolName;
 use crate::names::WorkspaceName;
 use crate::router::refusal::REQUEST_ID;
 use crate::router::request_handler::RouterContext;
-use crate::router::upstream_sender::UpstreamRequest;
 use crate::router::upstream_sender::ResponseReceiver;
+use crate::router::upstream_sender::UpstreamRequest;
 
 /// How often one response may be resumed.
 const RESUMES_MAX: u32 = 3;
