--- a/tests/proxy_view.rs
+++ b/tests/proxy_view.rs
@@ -92,10 +92,10 @@
 #[test]
 fn a_watcher_that_was_cut_off_does_not_restore_removed_upstreams() {
     let now = millis(20_000);
-    let (mut watcher, mut box_, mut late) = (view(), view(), view());
+    let (mut watcher, mut box_, mut cut_off) = (view(), view(), view());
     watcher.complete_up_to(Revision::new(1, 5));
     box_.complete_up_to(Revision::new(1, 5));
-    late.complete_up_to(Revision::new(1, 5));
+    cut_off.complete_up_to(Revision::new(1, 5));
     box_.store_left_to_others();
     watcher.entry_removed(&UpstreamName::from("a"), now);
     watcher.complete_up_to(Revision::new(1, 7));
@@ -104,12 +104,12 @@
         now,
     );
     assert!(!is_open(&box_, "a"));
-    late.store_lost();
-    late.store_regained(now);
-    late.set_upstream(UpstreamListing { slots: 2, ..upstream("a") }, now);
-    late.entry_removed(&UpstreamName::from("a"), now);
-    late.complete_up_to(Revision::new(1, 8));
-    let response = late.changes_since(0, box_.revision(), now).expect("it is known");
+    cut_off.store_lost();
+    cut_off.store_regained(now);
+    cut_off.set_upstream(UpstreamListing { slots: 2, ..upstream("a") }, now);
+    cut_off.entry_removed(&UpstreamName::from("a"), now);
+    cut_off.complete_up_to(Revision::new(1, 8));
+    let response = cut_off.changes_since(0, box_.revision(), now).expect("it is known");
     assert_eq!(
         response.upstreams,
         [],
@@ -118,12 +118,12 @@
     box_.apply_snapshot(response, now);
     assert!(!is_open(&box_, "a"));
     let (version, digests) = (box_.version(), box_.digests(now));
-    box_.apply_snapshot(late.difference(version, &digests, now), now);
+    box_.apply_snapshot(cut_off.difference(version, &digests, now), now);
     assert!(!is_open(&box_, "a"), "nor by a difference");
     // A watcher that lists it again doesn't restore it either.
-    late.set_upstream(UpstreamListing { slots: 2, ..upstream("a") }, now);
-    late.complete_up_to(Revision::new(1, 9));
-    box_.apply_snapshot(late.changes_since(0, box_.revision(), now).expect("it is known"), now);
+    cut_off.set_upstream(UpstreamListing { slots: 2, ..upstream("a") }, now);
+    cut_off.complete_up_to(Revision::new(1, 9));
+    box_.apply_snapshot(cut_off.changes_since(0, box_.revision(), now).expect("it is known"), now);
     assert!(!is_open(&box_, "a"));
 }
 
