--- a/benches/operations.rs
+++ b/benches/operations.rs
@@ -14,13 +14,13 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use bound_check::BoundCheck;
 use fleet::Fleet;
 use fleet::Setup;
 use frostdyke::operator::intent::Intent;
 use frostdyke::operator::plan;
 use frostdyke::platform::client::Client;
 use frostdyke_standin::engine;
-use bound_check::BoundCheck;
 use nix::sys::signal::Signal;
 use serde_json::json;
 
