--- a/src/fleet/draining.rs
+++ b/src/fleet/draining.rs
@@ -25,8 +25,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainNotice {
     pub upstream: UpstreamName,
-    /// When the instance that the request was sent to started, in milliseconds since 1970 by its own
-    /// clock; `None` if unknown.
+    /// When the instance that the request was sent to started, in milliseconds since 1970 by its
+    /// own clock; `None` if unknown.
     #[serde(rename = "born")]
     pub started_at_ms: Option<u64>,
     /// When it responded, in milliseconds since 1970 by the clock of the box that sent the request.
@@ -85,8 +85,8 @@
         true
     }
 
-    /// Returns until when an instance that is newer than the one the request was sent to is assumed to
-    /// be the one that responded; `None` if it isn't newer.
+    /// Returns until when an instance that is newer than the one the request was sent to is assumed
+    /// to be the one that responded; `None` if it isn't newer.
     pub fn uncertain_until(
         &self,
         name: &UpstreamName,
@@ -123,6 +123,6 @@
         self.notice
             .started_at_ms
             .zip(started_at_ms)
-            .is_some_and(|(asked, started_at_ms)| asked < started_at_ms)
+            .is_some_and(|(noticed, listed)| noticed < listed)
     }
 }
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -81,7 +81,7 @@
             tokio::task::yield_now().await;
         }
         let Some(admitted) = limiter.try_admit(hub.unsent(), hub.now()) else {
-            hub.count_turned_away();
+            hub.count_rejected();
             rejecter.reject(stream);
             continue;
         };
