--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -63,7 +63,7 @@
 pub enum Output {
     /// Send a message to another box.
     Send { to: BoxName, message: Message },
-    /// Send a waiting request to this upstream; `cover` of its cost is charged already.
+    /// Send a waiting request to this upstream. Part of its cost is charged already.
     Start { ticket: TicketId, upstream: UpstreamName, cover: u64 },
     /// Refuse a waiting request that cannot be served within its deadline.
     Refuse { ticket: TicketId, refusal: Refusal },
--- a/src/router/request_handler.rs
+++ b/src/router/request_handler.rs
@@ -294,7 +294,7 @@
         let echoed = headers.get(REQUEST_ID).map(HeaderValue::as_bytes);
         if echoed.is_some_and(|id| id != self.trace.request_id.as_bytes()) {
             placed.finish(Ending::Failed);
-            return self.handle_failure(true, "the response belongs to another request".to_owned());
+            return self.handle_failure(true, "the answer belongs to another request".to_owned());
         }
         if status == StatusCode::SERVICE_UNAVAILABLE
             && let Some(backoff) = retry_after::read(&headers, SystemTime::now())
