--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -17,6 +17,7 @@
 use rand::rngs::SmallRng;
 use rustc_hash::FxHashMap;
 
+pub use crate::node::admission::Refusal;
 use crate::config::CatalogRevision;
 use crate::dispatch::pool::Action;
 use crate::dispatch::pool::Decision;
@@ -28,7 +29,6 @@
 use crate::names::UpstreamName;
 use crate::names::ZoneName;
 use crate::node::admission::Admission;
-pub use crate::node::admission::Refusal;
 use crate::node::waiting::UndeliveredMessage;
 use crate::node::waiting::WaitingRequest;
 use crate::peer::member::GossipSettings;
@@ -62,7 +62,7 @@
 pub enum Output {
     /// Send a message to another box.
     Send { to: BoxName, message: Message },
-    /// Send a waiting request to this upstream; `cover` of its cost is charged already.
+    /// Send a waiting request to this upstream. Part of its cost is charged already.
     Start { ticket: TicketId, upstream: UpstreamName, charged_cost: u64 },
     /// Refuse a waiting request that cannot be served within its deadline.
     Refuse { ticket: TicketId, refusal: Refusal },
