--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -17,7 +17,6 @@
 use rand::rngs::SmallRng;
 use rustc_hash::FxHashMap;
 
-pub use crate::node::admission::Refusal;
 use crate::config::CatalogRevision;
 use crate::dispatch::pool::Action;
 use crate::dispatch::pool::Decision;
@@ -29,6 +28,7 @@
 use crate::names::UpstreamName;
 use crate::names::ZoneName;
 use crate::node::admission::Admission;
+pub use crate::node::admission::Refusal;
 use crate::node::waiting::UndeliveredMessage;
 use crate::node::waiting::WaitingRequest;
 use crate::peer::member::GossipSettings;
--- a/src/router/request_handler.rs
+++ b/src/router/request_handler.rs
@@ -17,9 +17,9 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
+use crate::claims::ClaimOutcome;
 use crate::claims::Claims;
 use crate::claims::IdempotencyKey;
-use crate::claims::ClaimOutcome;
 use crate::config::settings::Limits;
 use crate::names::BoxName;
 use crate::names::ServiceName;
--- a/src/router/service_request.rs
+++ b/src/router/service_request.rs
@@ -13,8 +13,8 @@
 use subtle::ConstantTimeEq;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::claims::KeyError;
 use crate::claims::IdempotencyKey;
+use crate::claims::KeyError;
 use crate::config::CatalogRevision;
 use crate::config::Unit;
 use crate::config::settings::Limits;
