--- a/benches/fairness.rs
+++ b/benches/fairness.rs
@@ -70,7 +70,7 @@
     let p99 = |workspaces: Vec<Traffic>| {
         let mut rig = Rig::new(Setup { workspaces, ..base.clone() });
         rig.run_for(60 * fleet::SECOND);
-        let mut waits = rig.outcome.waits[0].clone();
+        let mut waits = rig.outcome.waits_s[0].clone();
         waits.sort_by(f64::total_cmp);
         waits[waits.len() * 99 / 100] * 1e3
     };
@@ -81,14 +81,14 @@
     println!("urgent.wait-ms.p99.normal-class-beside-flood {normal:.1}");
     println!("urgent.wait-ms.p99.beside-flood {urgent:.1}");
     // Slots end at random; without a reserve, the wait for one is what a flood costs.
-    let turn = base.token.as_secs_f64() * 1e3 * LARGEST as f64;
+    let turn = base.token_interval.as_secs_f64() * 1e3 * LARGEST as f64;
     judge.at_most("urgent.wait-p99/longest-request", urgent / turn, URGENT_WAIT);
 }
 
 /// Twice the largest request, and what the fleet serves in one exchange interval.
 fn bound(setup: &Setup) -> f64 {
     let slots = f64::from(setup.slots) * (setup.zones * setup.engines) as f64;
-    let rate = slots / setup.token.as_secs_f64();
+    let rate = slots / setup.token_interval.as_secs_f64();
     2.0 * LARGEST as f64 + rate * setup.tuning.exchange_interval.as_secs_f64()
 }
 
--- a/benches/fleet/mod.rs
+++ b/benches/fleet/mod.rs
@@ -103,9 +103,9 @@
     rig.run_for(12 * SECOND);
     match scene {
         Scene::Cut if policy == Policy::Fleet => {
-            rig.net.cut_zones.insert(1);
+            rig.network.isolated_zones.insert(1);
             rig.run_for(10 * SECOND);
-            rig.net.cut_zones.clear();
+            rig.network.isolated_zones.clear();
         }
         Scene::Killed => {
             let i = if policy == Policy::Fleet { rig.dispatcher(0) } else { 1 };
@@ -121,7 +121,7 @@
     let routers = (setup.zones * setup.boxes) as f64;
     let (who, counted) = ([0, 1, 2], if scene == Scene::Cut { AFTER_CUT } else { COUNTED });
     Figures {
-        gap: outcome.gap(&setup, &who, counted.clone()),
+        gap: outcome.service_gap_max(&setup, &who, counted.clone()),
         least_share: outcome.least_share(&who, counted),
         utilisation: outcome.utilisation(COUNTED),
         bytes_per_request: outcome.bytes as f64 / outcome.requests as f64,
--- a/benches/operations.rs
+++ b/benches/operations.rs
@@ -49,7 +49,7 @@
 const LOOK: Duration = Duration::from_millis(2);
 
 fn main() {
-    let setup = Setup { zones: vec![3, 3, 3], token: TOKEN, ..Setup::default() };
+    let setup = Setup { zones: vec![3, 3, 3], token_interval: TOKEN, ..Setup::default() };
     let mut fleet = Fleet::start(&setup);
     let mut judge = Judge { failed: false };
     stops(&mut fleet, &mut judge);
@@ -90,10 +90,10 @@
     let report = || fleet.platform.get("frostdyke/engines/zone-0").is_some();
     fleet::wait_until("the engines are looked at", report);
     let pid = fleet.controllers[0].id();
-    let before = fleet::processor_time(pid);
+    let before = fleet::cpu_time(pid);
     thread::sleep(CONTROLLER_SPAN);
-    let used = fleet::processor_time(pid) - before;
-    (100.0 * used.as_secs_f64() / CONTROLLER_SPAN.as_secs_f64(), fleet::resident(pid))
+    let used = fleet::cpu_time(pid) - before;
+    (100.0 * used.as_secs_f64() / CONTROLLER_SPAN.as_secs_f64(), fleet::resident_bytes(pid))
 }
 
 /// What callers saw while something was done to the fleet.
@@ -122,7 +122,7 @@
 
 /// Sends one request after the other; goes to the next router when one is gone or stops.
 fn call_on(urls: &[String], first: usize, seen: &Seen) {
-    let agent = fleet::http();
+    let agent = fleet::http_client();
     let body = format!("{{\"max_tokens\":{TOKENS}}}");
     let mut router = first;
     while !seen.over.load(Ordering::Relaxed) {
@@ -159,7 +159,7 @@
         for i in 0..fleet.routers.len() {
             let begun = Instant::now();
             fleet.routers[i].signal(Signal::SIGTERM);
-            fleet.routers[i].wait();
+            fleet.routers[i].wait_for_exit();
             times.push(begun.elapsed());
             fleet.start_router(i);
             fleet.routers[i].wait_ready();
--- a/benches/utilisation.rs
+++ b/benches/utilisation.rs
@@ -63,7 +63,7 @@
         boxes: BOXES,
         engines: 30,
         slots: 32,
-        token: Duration::from_micros(7000),
+        token_interval: Duration::from_micros(7000),
         workspaces,
         ..Setup::default()
     };
@@ -81,7 +81,7 @@
         boxes: BOXES,
         engines: 30,
         slots: 1000,
-        token: Duration::from_millis(45),
+        token_interval: Duration::from_millis(45),
         workspaces: vec![light; 50],
         ..Setup::default()
     };
@@ -99,13 +99,13 @@
     // While the boxes find each other, grants change hands; that is no steady state.
     rig.run_for(fleet::SECOND * settle);
     let (bytes, requests) = (rig.outcome.bytes, rig.outcome.requests);
-    let (kinds, suspicions) = (rig.outcome.kinds.clone(), rig.outcome.suspicions);
+    let (kinds, suspicions) = (rig.outcome.bytes_by_kind.clone(), rig.outcome.suspicions);
     rig.run_for(fleet::SECOND * 10);
     let o = &rig.outcome;
     let per_router = |n: u64| n as f64 / BOXES as f64 / 10.0;
     let rate = per_router(o.requests - requests);
     println!("{name}.requests-per-router-second {rate:.1}");
-    for (kind, n) in &o.kinds {
+    for (kind, n) in &o.bytes_by_kind {
         let n = n - kinds.get(kind).copied().unwrap_or(0);
         println!("{name}.bytes-per-router-second.{kind} {:.0}", per_router(n));
     }
--- a/tests/holds_answers.rs
+++ b/tests/holds_answers.rs
@@ -25,7 +25,7 @@
     fleet
 }
 
-fn ask(fleet: &Fleet, tokens: u64) -> util::fleet::Reply {
+fn ask(fleet: &Fleet, tokens: u64) -> util::fleet::Response {
     fleet.routers[0].send("assist", &format!("{{\"max_tokens\":{tokens}}}"), &[])
 }
 
@@ -54,7 +54,7 @@
                     let tokens = 1 + (caller * 7 + n * 3) % 40;
                     let body = format!("{{\"max_tokens\":{tokens}}}");
                     let reply = fleet.routers[(caller % 3) as usize].send("assist", &body, &[]);
-                    assert_eq!((reply.status, reply.whole), (200, true), "{reply:?}");
+                    assert_eq!((reply.status, reply.is_complete), (200, true), "{reply:?}");
                     // The number of tokens names the request.
                     let usage = format!("\"total_tokens\":{tokens}}}");
                     assert!(reply.body.contains(&usage), "{reply:?}");
@@ -69,7 +69,7 @@
 fn an_answer_cut_by_the_upstream_is_cut_visibly() {
     let fleet = engine_faults(engine::Faults { cut_after: Some(5), ..Default::default() });
     let reply = ask(&fleet, 20);
-    assert_eq!((reply.status, reply.whole), (200, false), "{reply:?}");
+    assert_eq!((reply.status, reply.is_complete), (200, false), "{reply:?}");
 }
 
 /// A fleet whose engine can go on with an answer.
@@ -77,7 +77,7 @@
     let mut fleet = engine_faults(faults);
     fleet.configuration["services"][0]["resume"] = "/resume/{request}?from={from}".into();
     fleet.configure();
-    fleet.wait_in_force(2);
+    fleet.wait_for_revision(2);
     fleet
 }
 
@@ -85,7 +85,7 @@
 fn an_answer_that_is_cut_goes_on_where_the_engine_can() {
     let mut fleet = resuming(engine::Faults { cut_after: Some(5), ..Default::default() });
     let reply = ask(&fleet, 20);
-    assert_eq!((reply.status, reply.whole), (200, true), "{reply:?}");
+    assert_eq!((reply.status, reply.is_complete), (200, true), "{reply:?}");
     let tokens = (0..20).map(|n| format!("data: {{\"token\":{n}}}\n\n"));
     assert!(reply.body.starts_with(&tokens.collect::<String>()), "{reply:?}");
     assert!(reply.body.ends_with("data: [DONE]\n\n"), "{reply:?}");
@@ -93,7 +93,7 @@
     assert_eq!(fleet.engines[0].run_counts().values().sum::<u64>(), 1);
     assert_eq!(fleet.engines[0].resumed_count(), 1);
     let operator = fleet.start_operator();
-    let why = fleet.ctl(operator, &["explain", &reply.request]);
+    let why = fleet.run_ctl(operator, &["explain", &reply.request_id]);
     let why = String::from_utf8_lossy(&why.stdout).into_owned();
     assert!(why.contains("answered, resumed 1 times"), "{why}");
     wait_until("the slot is free again", || fleet.engines[0].running() == 0);
@@ -104,13 +104,13 @@
     let faults = engine::Faults { cut_after: Some(5), cut_again: true, ..Default::default() };
     let fleet = resuming(faults);
     let reply = ask(&fleet, 20);
-    assert_eq!((reply.status, reply.whole), (200, false), "{reply:?}");
+    assert_eq!((reply.status, reply.is_complete), (200, false), "{reply:?}");
     assert!(reply.body.is_empty() || reply.body.ends_with("\n\n"), "half an event: {reply:?}");
     assert_eq!(fleet.engines[0].resumed_count(), 3);
 }
 
 proptest! {
-    #![proptest_config(util::seeded(300))]
+    #![proptest_config(util::seeded_config(300))]
 
     /// However a stream is split and wherever it is cut, what was passed on and what comes from
     /// the counted event on make it whole.
@@ -149,7 +149,7 @@
     let fleet = Fleet::start(&Setup::default());
     fleet.services[0].set_faults(service::Faults { short: true, ..Default::default() });
     let reply = fleet.routers[0].send("balance", "{}", &[]);
-    assert!(!reply.whole, "{reply:?}");
+    assert!(!reply.is_complete, "{reply:?}");
 }
 
 /// An upstream that begins to answer and is gone in the same moment.
@@ -181,11 +181,11 @@
         })
         .collect();
     fleet.configure();
-    fleet.wait_in_force(2);
+    fleet.wait_for_revision(2);
     for _ in 0..100 {
         let reply = fleet.routers[0].send("transfer", "{}", &[]);
         assert_eq!((reply.status, reply.outcome.as_str()), (200, "ran"), "{reply:?}");
-        assert!(!reply.whole, "{reply:?}");
+        assert!(!reply.is_complete, "{reply:?}");
     }
 }
 
@@ -202,17 +202,17 @@
 
 #[test]
 fn an_answer_that_never_ends_is_given_up_on() {
-    let setup = Setup { extra: "idle-timeout-ms = 300".to_owned(), ..Setup::default() };
+    let setup = Setup { extra_settings: "idle-timeout-ms = 300".to_owned(), ..Setup::default() };
     let fleet = Fleet::start(&setup);
     fleet.engines[0].set_faults(engine::Faults { endless: true, ..Default::default() });
     let reply = ask(&fleet, 3);
-    assert_eq!((reply.status, reply.whole), (200, false), "{reply:?}");
+    assert_eq!((reply.status, reply.is_complete), (200, false), "{reply:?}");
     wait_until("the slot is free again", || fleet.engines[0].running() == 0);
 }
 
 #[test]
 fn when_the_caller_leaves_the_upstream_stops_and_the_slot_is_free() {
-    let setup = Setup { slots: 1, token: Duration::from_millis(20), ..Setup::default() };
+    let setup = Setup { slots: 1, token_interval: Duration::from_millis(20), ..Setup::default() };
     let fleet = Fleet::start(&setup);
     let caller = begin(&fleet, 5000);
     wait_until("it runs", || fleet.engines[0].running() == 1);
@@ -225,7 +225,7 @@
 /// The pieces that wait for a slow caller are few; the upstream has to wait.
 #[test]
 fn a_slow_caller_holds_back_only_its_own_answer() {
-    let setup = Setup { token: Duration::ZERO, ..Setup::default() };
+    let setup = Setup { token_interval: Duration::ZERO, ..Setup::default() };
     let fleet = Fleet::start(&setup);
     let mut caller = begin(&fleet, 2000000);
     let mut first = [0; 64];
@@ -239,8 +239,10 @@
 
 #[test]
 fn bad_requests_are_told_so_at_once() {
-    let fleet =
-        Fleet::start(&Setup { extra: "max-body-bytes = 1000".to_owned(), ..Setup::default() });
+    let fleet = Fleet::start(&Setup {
+        extra_settings: "max-body-bytes = 1000".to_owned(),
+        ..Setup::default()
+    });
     let router = &fleet.routers[0];
     let code = |service: &str, body: &str, headers: &[(&str, &str)]| {
         let reply = router.send(service, body, headers);
--- a/tests/holds_at_most_once.rs
+++ b/tests/holds_at_most_once.rs
@@ -15,7 +15,7 @@
 use frostdyke_standin::service;
 use nix::sys::signal::Signal;
 use util::fleet::Fleet;
-use util::fleet::Reply;
+use util::fleet::Response;
 use util::fleet::Setup;
 use util::fleet::wait_until;
 use uuid::Uuid;
@@ -28,7 +28,7 @@
     Fleet::start(&Setup { zones: vec![2, 1, 1], ..Setup::default() })
 }
 
-fn transfer(fleet: &Fleet, router: usize, key: &str) -> Reply {
+fn transfer(fleet: &Fleet, router: usize, key: &str) -> Response {
     let headers = [("idempotency-key", key), ("frostdyke-attempt", "first")];
     fleet.routers[router].send("transfer", "{}", &headers)
 }
@@ -38,7 +38,7 @@
     let fleet = three_zones();
     for _ in 0..10 {
         let key = new_key();
-        let replies: Vec<Reply> = thread::scope(|scope| {
+        let replies: Vec<Response> = thread::scope(|scope| {
             let send = |i| {
                 scope.spawn({
                     let (fleet, key) = (&fleet, &key);
@@ -48,7 +48,7 @@
             let sent: Vec<_> = (0..4).map(send).collect();
             sent.into_iter().map(|s| s.join().expect("no panic")).collect()
         });
-        assert_eq!(fleet.ran(&key), 1, "{replies:?}");
+        assert_eq!(fleet.run_count(&key), 1, "{replies:?}");
         assert_eq!(replies.iter().filter(|r| r.status == 200).count(), 1, "{replies:?}");
         let others = replies.iter().filter(|r| r.status != 200);
         assert!(others.clone().all(|r| r.status == 409 && r.outcome != "not-run"), "{replies:?}");
@@ -67,7 +67,7 @@
             reply.outcome == "ran"
         })
     });
-    assert_eq!(fleet.ran(&key), 1);
+    assert_eq!(fleet.run_count(&key), 1);
 }
 
 #[test]
@@ -91,7 +91,7 @@
     for i in 0..4 {
         assert_eq!(transfer(&fleet, i, &key).outcome, "unknown");
     }
-    assert_eq!(fleet.ran(&key), 1);
+    assert_eq!(fleet.run_count(&key), 1);
 }
 
 /// The store takes the claim, but the writer doesn't hear of it.
@@ -104,7 +104,7 @@
         let key = new_key();
         assert_eq!(transfer(&fleet, i % 4, &key).outcome, "ran");
         assert_eq!(transfer(&fleet, (i + 1) % 4, &key).status, 409);
-        assert_eq!(fleet.ran(&key), 1);
+        assert_eq!(fleet.run_count(&key), 1);
     }
 }
 
@@ -120,12 +120,12 @@
     let again = fleet.routers[1].send("transfer", "{}", &[("idempotency-key", &key)]);
     assert_eq!((again.status, again.outcome.as_str()), (503, "unknown"));
     assert_eq!(fleet.routers[0].send("balance", "{}", &[]).outcome, "ran");
-    assert_eq!(fleet.ran(&key), 0);
+    assert_eq!(fleet.run_count(&key), 0);
     fleet.platform.set_faults(platform::Faults::default());
     wait_until("the key can be used once the store is back", || {
         transfer(&fleet, 0, &key).outcome == "ran"
     });
-    assert_eq!(fleet.ran(&key), 1);
+    assert_eq!(fleet.run_count(&key), 1);
 }
 
 /// A request that was claimed and did not run gives its key back.
@@ -144,7 +144,7 @@
     fleet.configuration["upstreams"][1]["draining"] = false.into();
     fleet.configure();
     wait_until("it can run later", || transfer(&fleet, 0, &key).outcome == "ran");
-    assert_eq!(fleet.ran(&key), 1);
+    assert_eq!(fleet.run_count(&key), 1);
 }
 
 /// Routers are killed and frozen at any moment while callers send each key again and again.
@@ -152,7 +152,7 @@
 fn keys_run_at_most_once_though_routers_die_and_freeze() {
     let mut fleet = Fleet::start(&Setup {
         zones: vec![2, 2],
-        delay: Duration::from_millis(5),
+        service_delay: Duration::from_millis(5),
         ..Setup::default()
     });
     let keys: Vec<String> = (0..60).map(|_| new_key()).collect();
@@ -187,9 +187,9 @@
         }
     });
     for key in &keys {
-        assert!(fleet.ran(key) <= 1, "{key} ran {} times", fleet.ran(key));
+        assert!(fleet.run_count(key) <= 1, "{key} ran {} times", fleet.run_count(key));
     }
-    let ran: u64 = keys.iter().map(|k| fleet.ran(k)).sum();
+    let ran: u64 = keys.iter().map(|k| fleet.run_count(k)).sum();
     assert!(30 <= ran, "only {ran} of 60 ran at all, the test tells nothing");
 }
 
@@ -258,7 +258,7 @@
     for router in [0, 1] {
         again(&fleet, router, &key);
     }
-    let ran = fleet.ran(&key);
+    let ran = fleet.run_count(&key);
     assert!(ran <= 1, "{step:?}, killed {killed}, written in {writer}: ran {ran} times");
     // A service may give up what it hasn't begun when its caller is gone.
     let surely = matches!(step, Step::Ran) || matches!(step, Step::Sent) && !killed;
@@ -276,7 +276,7 @@
 }
 
 /// Sends a key that may have been sent before.
-fn again(fleet: &Fleet, router: usize, key: &str) -> Reply {
+fn again(fleet: &Fleet, router: usize, key: &str) -> Response {
     fleet.routers[router].send("transfer", "{}", &[("idempotency-key", key)])
 }
 
--- a/tests/holds_configuration.rs
+++ b/tests/holds_configuration.rs
@@ -22,7 +22,7 @@
 use util::fleet::Fleet;
 use util::fleet::Setup;
 use util::fleet::any_port;
-use util::fleet::http;
+use util::fleet::http_client;
 use util::rig;
 use util::rig::Rig;
 
@@ -42,19 +42,19 @@
 fn an_intent_is_planned_confirmed_and_in_force_everywhere() {
     let mut fleet = three_zones();
     let operator = fleet.start_operator();
-    let dry = fleet.ctl(operator, &["--dry-run", "drain", "engine-0"]);
+    let dry = fleet.run_ctl(operator, &["--dry-run", "drain", "engine-0"]);
     let text = String::from_utf8_lossy(&dry.stdout);
     assert!(text.contains("upstreams.engine-0.draining: false -> true"), "{text}");
-    fleet.wait_in_force(1);
-    let asked = fleet.ctl(operator, &["drain", "engine-0"]);
+    fleet.wait_for_revision(1);
+    let asked = fleet.run_ctl(operator, &["drain", "engine-0"]);
     assert_eq!(asked.status.code(), Some(3), "nobody confirmed");
-    let done = fleet.ctl(operator, &["--yes", "drain", "engine-0"]);
+    let done = fleet.run_ctl(operator, &["--yes", "drain", "engine-0"]);
     assert!(done.status.success(), "{}", String::from_utf8_lossy(&done.stderr));
-    fleet.wait_in_force(2);
+    fleet.wait_for_revision(2);
     let (_, value) = fleet.platform.get("frostdyke/configuration").expect("it is there");
     let value: Value = serde_json::from_slice(&value).expect("JSON");
     assert_eq!(value["applied"][0]["by"], "jo");
-    let unknown = fleet.ctl(operator, &["--yes", "drain", "engine-9"]);
+    let unknown = fleet.run_ctl(operator, &["--yes", "drain", "engine-9"]);
     assert_eq!(unknown.status.code(), Some(2));
     assert!(String::from_utf8_lossy(&unknown.stderr).contains("there is no 'engine-9'"));
 }
@@ -64,7 +64,7 @@
     let mut fleet = Fleet::start(&Setup::default());
     fleet.configuration["workspaces"][0]["services"] = serde_json::json!(["balance"]);
     fleet.configure();
-    fleet.wait_in_force(2);
+    fleet.wait_for_revision(2);
     assert_eq!(fleet.routers[0].send("balance", "{}", &[]).outcome, "ran");
     let reply = fleet.routers[0].send("assist", "{}", &[]);
     assert_eq!((reply.status, reply.outcome.as_str()), (403, "not-run"), "{reply:?}");
@@ -83,7 +83,8 @@
     let operator = fleet.start_operator();
     let url = format!("http://{operator}/v1/configuration");
     for token in ["", "Bearer ", "Bearer wrong"] {
-        let resp = http().get(&url).header("authorization", token).call().expect("an answer");
+        let resp =
+            http_client().get(&url).header("authorization", token).call().expect("an answer");
         assert_eq!(resp.status(), 401, "{resp:?}");
     }
 }
@@ -93,13 +94,13 @@
     let mut fleet = three_zones();
     let operator = fleet.start_operator();
     let reply = fleet.routers[0].send("assist", "{}", &[]);
-    let told = fleet.ctl(operator, &["explain", &reply.request]);
+    let told = fleet.run_ctl(operator, &["explain", &reply.request_id]);
     let text = String::from_utf8_lossy(&told.stdout);
     assert!(text.contains("workspace alpha service assist ran"), "{text}");
     assert!(text.contains("because furthest-behind"), "{text}");
-    let gone = fleet.ctl(operator, &["explain", "box-0-0-0000000000000001"]);
+    let gone = fleet.run_ctl(operator, &["explain", "box-0-0-0000000000000001"]);
     assert!(String::from_utf8_lossy(&gone.stdout).contains("no box remembers it"));
-    let status = fleet.ctl(operator, &["status"]);
+    let status = fleet.run_ctl(operator, &["status"]);
     let text = String::from_utf8_lossy(&status.stdout);
     assert_eq!(text.matches("revision 1").count(), 4, "{text}");
 }
@@ -121,7 +122,7 @@
     for i in 1..4 {
         fleet.routers[i].signal(nix::sys::signal::Signal::SIGCONT);
     }
-    fleet.wait_in_force(2);
+    fleet.wait_for_revision(2);
     fleet.routers[2].kill();
     fleet.start_router(2);
     fleet.routers[2].wait_ready();
@@ -132,7 +133,7 @@
 fn one_that_cannot_be_read_leaves_the_old_one_in_force() {
     let fleet = three_zones();
     fleet.platform.put("frostdyke/configuration", "{\"workspaces\": 7}");
-    util::fleet::wait_until("it is told", || fleet.log_of(0).contains("configuration refused"));
+    util::fleet::wait_until("it is told", || fleet.router_log(0).contains("configuration refused"));
     assert_eq!(fleet.routers[0].metric("frostdyke_revision"), Some(1.0));
     assert_eq!(fleet.routers[0].send("balance", "{}", &[]).outcome, "ran");
 }
@@ -233,14 +234,14 @@
 fn a_zone_that_was_cut_off_hears_of_it_when_it_rejoins() {
     let mut rig = Rig::new(rig::Setup::default());
     rig.run_for(5 * SECOND);
-    rig.net.cut_zones.insert(1);
+    rig.network.isolated_zones.insert(1);
     rig.configure(0, 2);
     rig.run_for(10 * SECOND);
     let revisions =
         |rig: &Rig| -> Vec<u64> { (0..9).map(|i| rig.node(i).configuration().number).collect() };
     // The zone that is cut off goes on with what it has.
     assert_eq!(revisions(&rig), [2, 2, 2, 1, 1, 1, 2, 2, 2]);
-    rig.net.cut_zones.clear();
+    rig.network.isolated_zones.clear();
     rig.run_for(10 * SECOND);
     assert_eq!(revisions(&rig), [2; 9]);
 }
@@ -250,5 +251,5 @@
     let fleet = three_zones();
     fleet.platform.set_faults(Faults { slow_ms: 300, ..Faults::default() });
     fleet.configure();
-    fleet.wait_in_force(2);
+    fleet.wait_for_revision(2);
 }
--- a/tests/holds_leases.rs
+++ b/tests/holds_leases.rs
@@ -163,7 +163,7 @@
 }
 
 proptest! {
-    #![proptest_config(util::seeded(200))]
+    #![proptest_config(util::seeded_config(200))]
 
     /// Whatever happens to the processes and their calls, no two believe at the same time that they
     /// hold the lease, and each later holder's fence is greater.
@@ -336,7 +336,8 @@
 /// The controller that drained it is gone, and what it was drained for, too.
 #[test]
 fn a_later_controller_gives_an_engine_its_work_back() {
-    let fleet = Fleet::start(&Setup { token: Duration::from_millis(50), ..Setup::default() });
+    let fleet =
+        Fleet::start(&Setup { token_interval: Duration::from_millis(50), ..Setup::default() });
     std::thread::scope(|scope| {
         let router = &fleet.routers[0];
         let long = scope.spawn(|| router.send("assist", "{\"max_tokens\":100}", &[]));
@@ -345,17 +346,17 @@
         let put = |c: &serde_json::Value| fleet.platform.put(CONFIGURATION_OBJECT, c.to_string());
         configuration["upstreams"][0]["engine"] = serde_json::json!({"model": "m", "version": "1"});
         put(&configuration);
-        let mut first = fleet.controller(0, 0);
+        let mut first = fleet.spawn_controller(0, 0);
         wait_until("it is drained", || fleet.engines[0].orders().is_drained());
         wait_until("that is reported", || fleet.platform.get("frostdyke/engines/zone-0").is_some());
         first.kill().expect("it is ours");
         first.wait().expect("it is ours");
         put(&fleet.configuration);
-        let mut second = fleet.controller(0, 1);
+        let mut second = fleet.spawn_controller(0, 1);
         wait_until("it takes work", || !fleet.engines[0].orders().is_drained());
         second.kill().expect("it is ours");
         second.wait().expect("it is ours");
-        assert!(long.join().expect("no panic").whole);
+        assert!(long.join().expect("no panic").is_complete);
     });
 }
 
@@ -394,7 +395,8 @@
 /// Callers stream all the while: nothing of theirs is cut, and the model changes.
 #[test]
 fn a_model_is_changed_without_cutting_a_request() {
-    let mut fleet = Fleet::start(&Setup { token: Duration::from_millis(5), ..Setup::default() });
+    let mut fleet =
+        Fleet::start(&Setup { token_interval: Duration::from_millis(5), ..Setup::default() });
     fleet.start_controller(0);
     want(&mut fleet, "1");
     std::thread::scope(|scope| {
@@ -404,7 +406,7 @@
                 scope.spawn(move || {
                     for _ in 0..12 {
                         let reply = router.send("assist", "{\"max_tokens\":40}", &[]);
-                        assert_eq!((reply.status, reply.whole), (200, true), "{reply:?}");
+                        assert_eq!((reply.status, reply.is_complete), (200, true), "{reply:?}");
                     }
                 })
             })
--- a/tests/holds_leaving.rs
+++ b/tests/holds_leaving.rs
@@ -12,12 +12,12 @@
 use serde_json::json;
 use util::fleet::Fleet;
 use util::fleet::Setup;
-use util::fleet::http;
+use util::fleet::http_client;
 use util::fleet::wait_until;
 
 fn two_zones() -> Fleet {
-    let token = Duration::from_millis(5);
-    Fleet::start(&Setup { zones: vec![2, 1], token, ..Setup::default() })
+    let token_interval = Duration::from_millis(5);
+    Fleet::start(&Setup { zones: vec![2, 1], token_interval, ..Setup::default() })
 }
 
 /// Has a long request run on the first engine, makes it leave by `leave`, and checks that new ones
@@ -26,7 +26,7 @@
     let callers = fleet.routers[0].callers;
     let long = thread::spawn(move || {
         let url = format!("http://{callers}/v1/services/assist");
-        let req = http().post(url).header("frostdyke-workspace", "alpha");
+        let req = http_client().post(url).header("frostdyke-workspace", "alpha");
         req.send("{\"max_tokens\":600}").expect("it runs").body_mut().read_to_string()
     });
     wait_until("it runs", || fleet.engines[0].running() == 1);
--- a/tests/holds_no_starvation.rs
+++ b/tests/holds_no_starvation.rs
@@ -16,7 +16,7 @@
 
 /// The longest wait of a workspace's requests, in seconds.
 fn longest_wait(rig: &Rig, w: usize) -> f64 {
-    rig.outcome.waits[w].iter().copied().fold(0.0, f64::max)
+    rig.outcome.waits_s[w].iter().copied().fold(0.0, f64::max)
 }
 
 #[test]
@@ -25,7 +25,7 @@
     let workspaces = vec![backlogged(&[], 100), backlogged(&[], 100), small];
     let mut rig = Rig::new(Setup { workspaces, ..Setup::default() });
     rig.run_for(30 * SECOND);
-    assert!(100 < rig.outcome.waits[2].len());
+    assert!(100 < rig.outcome.waits_s[2].len());
     // A slot is free every few milliseconds, and it goes to the one furthest behind.
     let wait = longest_wait(&rig, 2);
     assert!(wait <= 2.0, "it waited {wait} s");
@@ -71,9 +71,9 @@
     let workspaces = vec![backlogged(&[0, 1], 40), backlogged(&[3, 4, 5], 30), backlogged(&[], 15)];
     let mut rig = Rig::new(Setup { workspaces, debt_cap: 200_000, ..Setup::default() });
     rig.run_for(12 * SECOND);
-    rig.net.cut_zones.insert(1);
+    rig.network.isolated_zones.insert(1);
     rig.run_for(20 * SECOND);
-    rig.net.cut_zones.clear();
+    rig.network.isolated_zones.clear();
     rig.run_for(20 * SECOND);
     let share = rig.outcome.least_share(&[0, 1, 2], 340..520);
     assert!(0.05 <= share, "the least share is {share}");
@@ -97,8 +97,8 @@
 fn one_workspace_cannot_have_all_threads_of_a_router() {
     let setup = fleet::Setup {
         slots: 64,
-        token: Duration::from_millis(20),
-        extra: "max-running = 8".to_owned(),
+        token_interval: Duration::from_millis(20),
+        extra_settings: "max-running = 8".to_owned(),
         ..fleet::Setup::default()
     };
     let fleet = Fleet::start(&setup);
@@ -108,7 +108,7 @@
         let sent: Vec<_> = (0..12).map(|_| scope.spawn(long)).collect();
         fleet::wait_until("half of the threads run", || fleet.engines[0].running() == 4);
         let other = [("frostdyke-workspace", "beta")];
-        let reply = router.send_as("assist", "{\"max_tokens\":1}", &other);
+        let reply = router.send_with_headers("assist", "{\"max_tokens\":1}", &other);
         assert_eq!(reply.status, 200, "{reply:?}");
         let replies: Vec<_> = sent.into_iter().map(|s| s.join().expect("no panic")).collect();
         let refused: Vec<_> = replies.iter().filter(|r| r.status == 503).collect();
--- a/tests/holds_not_run.rs
+++ b/tests/holds_not_run.rs
@@ -13,13 +13,13 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use util::fleet::Fleet;
-use util::fleet::Reply;
+use util::fleet::Response;
 use util::fleet::Setup;
 use util::fleet::wait_until;
 
 /// Checks what a caller was told against what the services counted.
-fn judge(fleet: &Fleet, reply: &Reply) {
-    let ran = fleet.ran(&reply.request);
+fn judge(fleet: &Fleet, reply: &Response) {
+    let ran = fleet.run_count(&reply.request_id);
     match reply.outcome.as_str() {
         "not-run" => assert_eq!(ran, 0, "{reply:?}"),
         "ran" => assert!(1 <= ran, "{reply:?}"),
@@ -115,7 +115,7 @@
         fleet.routers[0].metric("frostdyke_revision") == Some(2.0)
     });
     fleet.services[0].set_faults(service::Faults { slow_ms: 300, ..Default::default() });
-    let replies: Vec<Reply> = thread::scope(|scope| {
+    let replies: Vec<Response> = thread::scope(|scope| {
         let send = |_| scope.spawn(|| fleet.routers[0].send("balance", "{}", &[]));
         let sent: Vec<_> = (0..8).map(send).collect();
         sent.into_iter().map(|s| s.join().expect("no panic")).collect()
--- a/tests/holds_planned_stop.rs
+++ b/tests/holds_planned_stop.rs
@@ -11,15 +11,19 @@
 use nix::sys::signal::Signal;
 use util::fleet::Fleet;
 use util::fleet::Setup;
-use util::fleet::http;
+use util::fleet::http_client;
 use util::fleet::wait_until;
 
 /// Router after router is stopped and started while callers stream. A caller that is told that its
 /// request did not run, or whose connection is refused, goes to the next router.
 #[test]
 fn router_after_router_under_load() {
-    let setup =
-        Setup { zones: vec![2, 1], slots: 8, token: Duration::from_millis(5), ..Setup::default() };
+    let setup = Setup {
+        zones: vec![2, 1],
+        slots: 8,
+        token_interval: Duration::from_millis(5),
+        ..Setup::default()
+    };
     let mut fleet = Fleet::start(&setup);
     let urls: Vec<String> =
         fleet.routers.iter().map(|r| format!("http://{}/v1/services/assist", r.callers)).collect();
@@ -29,7 +33,7 @@
         for caller in 0..16 {
             let (urls, over, whole, moved) = (&urls, &over, &whole, &moved);
             scope.spawn(move || {
-                let agent = http();
+                let agent = http_client();
                 let mut router = caller;
                 while !over.load(Ordering::Relaxed) {
                     let url = &urls[router % urls.len()];
@@ -54,7 +58,7 @@
             let before = whole.load(Ordering::Relaxed);
             wait_until("callers are served", || before + 30 < whole.load(Ordering::Relaxed));
             fleet.routers[i].signal(Signal::SIGTERM);
-            assert!(fleet.routers[i].wait(), "it ended by itself, and well");
+            assert!(fleet.routers[i].wait_for_exit(), "it ended by itself, and well");
             fleet.start_router(i);
             fleet.routers[i].wait_ready();
         }
@@ -69,7 +73,7 @@
 /// A request that waits when its router stops is told at once that it did not run.
 #[test]
 fn who_waits_is_told_at_once() {
-    let setup = Setup { slots: 1, token: Duration::from_millis(10), ..Setup::default() };
+    let setup = Setup { slots: 1, token_interval: Duration::from_millis(10), ..Setup::default() };
     let mut fleet = Fleet::start(&setup);
     let (ran, waited) = thread::scope(|scope| {
         let router = &fleet.routers[0];
@@ -84,15 +88,15 @@
         assert_eq!(fleet.engines[0].running(), 1, "the first still runs");
         (ran.join().expect("no panic"), waited)
     });
-    assert_eq!((ran.status, ran.whole), (200, true), "{ran:?}");
+    assert_eq!((ran.status, ran.is_complete), (200, true), "{ran:?}");
     assert_eq!((waited.status, waited.outcome.as_str()), (503, "not-run"), "{waited:?}");
     assert!(waited.retry_after.is_some());
-    assert!(fleet.routers[0].wait());
+    assert!(fleet.routers[0].wait_for_exit());
 }
 
 #[test]
 fn a_second_signal_ends_it_at_once() {
-    let setup = Setup { token: Duration::from_millis(50), ..Setup::default() };
+    let setup = Setup { token_interval: Duration::from_millis(50), ..Setup::default() };
     let mut fleet = Fleet::start(&setup);
     thread::scope(|scope| {
         let router = &fleet.routers[0];
@@ -100,10 +104,10 @@
         wait_until("it runs", || fleet.engines[0].running() == 1);
         router.signal(Signal::SIGTERM);
         wait_until("it stops", || {
-            let ready = http().get(format!("http://{}/readyz", router.callers)).call();
+            let ready = http_client().get(format!("http://{}/readyz", router.callers)).call();
             ready.is_ok_and(|r| r.status() == 503)
         });
         router.signal(Signal::SIGTERM);
     });
-    assert!(!fleet.routers[0].wait(), "it was cut short");
+    assert!(!fleet.routers[0].wait_for_exit(), "it was cut short");
 }
--- a/tests/holds_utilisation.rs
+++ b/tests/holds_utilisation.rs
@@ -7,7 +7,7 @@
 use util::rig::Rig;
 use util::rig::Setup;
 use util::rig::Traffic;
-use util::uneven;
+use util::uneven_load;
 
 fn assert_used(rig: &Rig, from: usize, least: f64) {
     let used = rig.outcome.utilisation(from..rig.outcome.slots.len());
@@ -35,7 +35,7 @@
 
 #[test]
 fn a_killed_dispatcher_leaves_no_slot_idle_for_long() {
-    let mut rig = Rig::new(uneven());
+    let mut rig = Rig::new(uneven_load());
     rig.run_for(10 * SECOND);
     let dispatcher = rig.dispatcher(0);
     rig.kill(dispatcher);
@@ -47,7 +47,7 @@
 /// Grants of a router that is gone for good are freed in the other zones, too.
 #[test]
 fn a_dead_router_holds_no_slots_elsewhere() {
-    let mut rig = Rig::new(uneven());
+    let mut rig = Rig::new(uneven_load());
     rig.run_for(10 * SECOND);
     rig.kill(0);
     rig.run_for(30 * SECOND);
@@ -57,7 +57,7 @@
 /// The other zones hear at once that a router is gone, and don't wait for their next check.
 #[test]
 fn a_killed_routers_slots_elsewhere_are_soon_free() {
-    let mut rig = Rig::new(uneven());
+    let mut rig = Rig::new(uneven_load());
     rig.run_for(12 * SECOND);
     let dispatcher = rig.dispatcher(0);
     rig.kill(dispatcher);
@@ -68,12 +68,12 @@
 
 #[test]
 fn lost_messages_leak_no_slots() {
-    let mut rig = Rig::new(uneven());
+    let mut rig = Rig::new(uneven_load());
     // Each lost call takes two seconds to be noticed, four times as long as a request runs.
-    rig.net.lose = 0.01;
+    rig.network.loss_rate = 0.01;
     rig.run_for(40 * SECOND);
     assert_used(&rig, 30, 0.9);
-    rig.net.lose = 0.0;
+    rig.network.loss_rate = 0.0;
     rig.run_for(20 * SECOND);
     assert_used(&rig, 520, 0.98);
 }
@@ -85,7 +85,7 @@
     let workspaces = vec![backlogged(&[0, 1], 60), backlogged(&[], 10)];
     let mut rig = Rig::new(Setup { workspaces, ..Setup::default() });
     rig.run_for(10 * SECOND);
-    rig.net.cut_zones.insert(1);
+    rig.network.isolated_zones.insert(1);
     rig.run_for(10 * SECOND);
     let two_thirds = 48;
     for &(used, _, _) in &rig.outcome.slots[115..200] {
--- a/tests/links.rs
+++ b/tests/links.rs
@@ -113,7 +113,7 @@
 }
 
 proptest! {
-    #![proptest_config(util::seeded(500))]
+    #![proptest_config(util::seeded_config(500))]
 
     /// Whatever text comes as a message, reading it gives an error or a message that reads back.
     #[test]
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -29,7 +29,7 @@
 #[test]
 fn a_lost_call_rarely_causes_a_suspicion() {
     let mut rig = one_zone();
-    rig.net.lose = 0.01;
+    rig.network.loss_rate = 0.01;
     rig.run_for(60 * SECOND);
     // Each pair of boxes probes a few times in a minute; one in a hundred probes is lost.
     assert!(rig.outcome.suspicions <= 10, "{} suspicions", rig.outcome.suspicions);
--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -9,7 +9,7 @@
 use util::fleet::Fleet;
 use util::fleet::Setup;
 use util::fleet::TOKEN;
-use util::fleet::raw;
+use util::fleet::send_raw;
 
 /// Idle connections, some with half a request head, more than there are threads.
 fn hold_open(addr: SocketAddr) -> Vec<TcpStream> {
@@ -36,7 +36,7 @@
     let mut fleet = Fleet::start(&Setup::default());
     let operator = fleet.start_operator();
     let held = hold_open(operator);
-    let out = fleet.ctl(operator, &["show"]);
+    let out = fleet.run_ctl(operator, &["show"]);
     assert!(out.status.success(), "{out:?}");
     drop(held);
 }
@@ -50,7 +50,7 @@
             "POST /v1/plans HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {token}\r\n\
              content-length: 3000000\r\n\r\n"
         );
-        raw(operator, head.as_bytes())
+        send_raw(operator, head.as_bytes())
     };
     assert!(send(TOKEN).starts_with("HTTP/1.1 413"));
     // Nobody waits for the body of a stranger.
--- a/tests/strangers.rs
+++ b/tests/strangers.rs
@@ -31,7 +31,7 @@
 use proptest::prelude::*;
 use util::fleet::Fleet;
 use util::fleet::Setup;
-use util::fleet::raw;
+use util::fleet::send_raw;
 
 /// Names from a small set, known ones and others, so that messages meet.
 fn name(known: &'static str) -> impl Strategy<Value = String> {
@@ -246,7 +246,7 @@
     let id = Identity { name: "box-0".into(), zone: "zone-0".into(), incarnation: 1 };
     let mut node = Node::new(id, Tuning::default(), GossipSettings::default());
     let catalog = util::rig::configuration(&setup);
-    node.set_box_list(&util::rig::listed(&setup), Duration::ZERO);
+    node.set_box_list(&util::rig::box_list(&setup), Duration::ZERO);
     node.configure(
         CatalogRevision::new(1, catalog).expect("a valid configuration"),
         Duration::ZERO,
@@ -255,7 +255,7 @@
 }
 
 proptest! {
-    #![proptest_config(util::seeded(300))]
+    #![proptest_config(util::seeded_config(300))]
 
     /// Whatever peers say, in any order, a node goes on; and it still serves its own request.
     #[test]
@@ -318,14 +318,14 @@
 #[test]
 fn any_heads_of_callers_are_answered_or_refused() {
     let extra = "head-timeout-ms = 50\ndefault-deadline-ms = 1000";
-    let setup = Setup { extra: extra.to_owned(), ..Setup::default() };
+    let setup = Setup { extra_settings: extra.to_owned(), ..Setup::default() };
     let fleet = Fleet::start(&setup);
     let router = &fleet.routers[0];
-    let config = util::seeded(400);
+    let config = util::seeded_config(400);
     let mut runner = proptest::test_runner::TestRunner::new(config);
     let strategy = prop_oneof![head(), prop::collection::vec(any::<u8>(), 0..300)];
     let checked = runner.run(&strategy, |bytes| {
-        let answer = raw(router.callers, &bytes);
+        let answer = send_raw(router.callers, &bytes);
         let status = answer.strip_prefix("HTTP/1.1 ").and_then(|s| s.get(..3));
         let clear = status.is_none_or(|s| s.starts_with(['2', '4']) || s == "503");
         prop_assert!(clear, "{answer}");
@@ -333,7 +333,7 @@
     });
     assert_eq!(checked, Ok(()));
     assert_eq!(router.send("balance", "{}", &[]).outcome, "ran");
-    assert!(router.resident() < RESIDENT_MAX, "{} bytes", router.resident());
+    assert!(router.resident_bytes() < RESIDENT_MAX, "{} bytes", router.resident_bytes());
 }
 
 /// Bytes that an idle router may hold after all that; it starts with a fifth of it.
--- a/tests/util/fleet.rs
+++ b/tests/util/fleet.rs
@@ -54,11 +54,11 @@
     /// Boxes per zone.
     pub zones: Vec<usize>,
     pub slots: u32,
-    pub token: Duration,
-    pub delay: Duration,
+    pub token_interval: Duration,
+    pub service_delay: Duration,
     /// Whether the engines check the fences of orders.
     pub checks_fence: bool,
-    pub extra: String,
+    pub extra_settings: String,
 }
 
 impl Default for Setup {
@@ -66,10 +66,10 @@
         Setup {
             zones: vec![1],
             slots: 8,
-            token: Duration::from_millis(2),
-            delay: Duration::from_millis(1),
+            token_interval: Duration::from_millis(2),
+            service_delay: Duration::from_millis(1),
             checks_fence: true,
-            extra: String::new(),
+            extra_settings: String::new(),
         }
     }
 }
@@ -100,14 +100,14 @@
 
 /// What a caller got.
 #[derive(Clone, Debug, Default)]
-pub struct Reply {
+pub struct Response {
     pub status: u16,
     pub outcome: String,
-    pub request: String,
+    pub request_id: String,
     pub retry_after: Option<u64>,
     pub body: String,
     /// Whether the body came whole.
-    pub whole: bool,
+    pub is_complete: bool,
 }
 
 impl Fleet {
@@ -146,12 +146,13 @@
         for zone in 0..setup.zones.len() {
             let settings = engine::Settings {
                 slots: setup.slots as usize,
-                token_interval: setup.token,
+                token_interval: setup.token_interval,
                 checks_fence: setup.checks_fence,
                 ..engine::Settings::default()
             };
             let engine = Engine::start(any_port(), settings).expect("an engine starts");
-            let service = Service::start(any_port(), setup.delay).expect("a service starts");
+            let service =
+                Service::start(any_port(), setup.service_delay).expect("a service starts");
             let (slots, zone_name) = (setup.slots, format!("zone-{zone}"));
             upstreams.push(json!({"name": format!("engine-{zone}"), "pool": "llm",
                 "zone": zone_name, "address": engine.addr, "slots": slots}));
@@ -214,7 +215,13 @@
                 "[box]\nname = {}\nzone = {}\n\n[listen]\ncallers = {}\npeers = {}\nmetrics = {}\n\n\
                  [platform]\naddress = {}\n\n[peers]\nsecret-file = peer-secret\nseeds = {seeds}\n\n\
                  [callers]\ntrust-workspace-header = true\n{}\n",
-                r.name, r.zone, r.callers, r.peers, r.metrics, self.platform.addr, setup.extra
+                r.name,
+                r.zone,
+                r.callers,
+                r.peers,
+                r.metrics,
+                self.platform.addr,
+                setup.extra_settings
             );
             std::fs::write(&r.settings, text).expect("settings");
         }
@@ -250,12 +257,12 @@
 
     /// Starts a controller for a zone; it ends with the fleet.
     pub fn start_controller(&mut self, zone: usize) {
-        let child = self.controller(zone, self.controllers.len());
+        let child = self.spawn_controller(zone, self.controllers.len());
         self.controllers.push(child);
     }
 
     /// Starts a controller for a zone, the `number`th.
-    pub fn controller(&self, zone: usize, number: usize) -> Child {
+    pub fn spawn_controller(&self, zone: usize, number: usize) -> Child {
         let guard = one_at_a_time();
         let metrics = free_port(self.number, &mut Vec::new());
         drop(guard);
@@ -276,7 +283,7 @@
     }
 
     /// Runs `frostdykectl`.
-    pub fn ctl(&self, operator: SocketAddr, args: &[&str]) -> Output {
+    pub fn run_ctl(&self, operator: SocketAddr, args: &[&str]) -> Output {
         Command::new(env!("CARGO_BIN_EXE_frostdykectl"))
             .args(["--operator", &operator.to_string(), "--token-file"])
             .arg(self.dir.join("token"))
@@ -290,7 +297,7 @@
     }
 
     /// Waits until a revision is in force on every router.
-    pub fn wait_in_force(&self, revision: u64) {
+    pub fn wait_for_revision(&self, revision: u64) {
         for router in &self.routers {
             wait_until("the revision is in force", || {
                 router.metric("frostdyke_revision") == Some(revision as f64)
@@ -320,13 +327,13 @@
         }
     }
 
-    pub fn log_of(&self, i: usize) -> String {
+    pub fn router_log(&self, i: usize) -> String {
         let path = self.routers[i].settings.with_extension("log");
         std::fs::read_to_string(path).unwrap_or_default()
     }
 
     /// How often each request of the services ran, over all zones.
-    pub fn ran(&self, key: &str) -> u64 {
+    pub fn run_count(&self, key: &str) -> u64 {
         self.services.iter().filter_map(|s| s.run_counts().get(key).copied()).sum()
     }
 }
@@ -353,8 +360,8 @@
     }
 
     /// Bytes of memory that the process holds.
-    pub fn resident(&self) -> u64 {
-        resident(self.child.as_ref().expect("it runs").id())
+    pub fn resident_bytes(&self) -> u64 {
+        resident_bytes(self.child.as_ref().expect("it runs").id())
     }
 
     pub fn kill(&mut self) {
@@ -365,7 +372,7 @@
     }
 
     /// Waits until the process has ended by itself; gives whether it ended well.
-    pub fn wait(&mut self) -> bool {
+    pub fn wait_for_exit(&mut self) -> bool {
         let mut child = self.child.take().expect("it runs");
         let mut status = None;
         wait_until("the router ends", || {
@@ -377,40 +384,45 @@
 
     pub fn wait_ready(&self) {
         let url = format!("http://{}/readyz", self.callers);
-        let ready = || http().get(&url).call().is_ok_and(|r| r.status() == 200);
+        let ready = || http_client().get(&url).call().is_ok_and(|r| r.status() == 200);
         wait_until("the router is ready", ready);
     }
 
     /// The first figure of this name on the metrics page.
     pub fn metric(&self, name: &str) -> Option<f64> {
-        let mut resp = http().get(format!("http://{}/metrics", self.metrics)).call().ok()?;
+        let mut resp = http_client().get(format!("http://{}/metrics", self.metrics)).call().ok()?;
         let page = resp.body_mut().read_to_string().ok()?;
         let line = page.lines().find(|l| l.starts_with(name))?;
         line.rsplit_once(' ')?.1.parse().ok()
     }
 
     /// Sends a request of workspace `alpha` and reads its answer to the end.
-    pub fn send(&self, service: &str, body: &str, headers: &[(&str, &str)]) -> Reply {
+    pub fn send(&self, service: &str, body: &str, headers: &[(&str, &str)]) -> Response {
         let alpha = [("frostdyke-workspace", "alpha")];
-        self.send_as(service, body, &[&alpha, headers].concat())
+        self.send_with_headers(service, body, &[&alpha, headers].concat())
     }
 
     /// Sends a request with just these headers.
-    pub fn send_as(&self, service: &str, body: &str, headers: &[(&str, &str)]) -> Reply {
+    pub fn send_with_headers(
+        &self,
+        service: &str,
+        body: &str,
+        headers: &[(&str, &str)],
+    ) -> Response {
         let url = format!("http://{}/v1/services/{service}", self.callers);
-        let mut req = http().post(url);
+        let mut req = http_client().post(url);
         for (name, value) in headers {
             req = req.header(*name, *value);
         }
         match req.send(body) {
-            Ok(resp) => read(resp),
-            Err(e) => Reply { body: e.to_string(), ..Reply::default() },
+            Ok(resp) => read_response(resp),
+            Err(e) => Response { body: e.to_string(), ..Response::default() },
         }
     }
 }
 
 /// Bytes of memory that a process holds.
-pub fn resident(pid: u32) -> u64 {
+pub fn resident_bytes(pid: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("it runs");
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).expect("a figure");
     let kib = line.trim().trim_end_matches(" kB").parse::<u64>().expect("a number");
@@ -418,7 +430,7 @@
 }
 
 /// Processor time that a process has used, to the hundredth of a second.
-pub fn processor_time(pid: u32) -> Duration {
+pub fn cpu_time(pid: u32) -> Duration {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("it runs");
     let (_, fields) = stat.rsplit_once(')').expect("the name is in brackets");
     let ticks: u64 =
@@ -427,7 +439,7 @@
 }
 
 /// Sends these bytes as they are, and gives the beginning of what comes back.
-pub fn raw(addr: SocketAddr, bytes: &[u8]) -> String {
+pub fn send_raw(addr: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(addr).expect("it listens");
     stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
     // Who is refused early may not have been read to the end.
@@ -438,7 +450,7 @@
 }
 
 /// A client that gives up where a test would wait for ever.
-pub fn http() -> ureq::Agent {
+pub fn http_client() -> ureq::Agent {
     let config = ureq::Agent::config_builder()
         .http_status_as_error(false)
         .timeout_global(Some(PATIENCE))
@@ -446,20 +458,20 @@
     config.into()
 }
 
-fn read(resp: ureq::http::Response<ureq::Body>) -> Reply {
+fn read_response(resp: ureq::http::Response<ureq::Body>) -> Response {
     let text = |name: &str| {
         let value = resp.headers().get(name).and_then(|v| v.to_str().ok());
         value.unwrap_or("").to_owned()
     };
-    let mut reply = Reply {
+    let mut reply = Response {
         status: resp.status().as_u16(),
         outcome: text("frostdyke-outcome"),
-        request: text("frostdyke-request-id"),
+        request_id: text("frostdyke-request-id"),
         retry_after: text("retry-after").parse().ok(),
-        ..Reply::default()
+        ..Response::default()
     };
     let mut bytes = Vec::new();
-    reply.whole = resp.into_body().into_reader().read_to_end(&mut bytes).is_ok();
+    reply.is_complete = resp.into_body().into_reader().read_to_end(&mut bytes).is_ok();
     reply.body = String::from_utf8_lossy(&bytes).into_owned();
     reply
 }
--- a/tests/util/mod.rs
+++ b/tests/util/mod.rs
@@ -15,10 +15,10 @@
 pub const SECOND: Duration = Duration::from_secs(1);
 
 /// Cost of the largest request.
-pub const LARGEST: f64 = 200.0;
+pub const REQUEST_COST_MAX: f64 = 200.0;
 
 /// So many cases of a property, the same in every run.
-pub fn seeded(cases: u32) -> Config {
+pub fn seeded_config(cases: u32) -> Config {
     Config { cases, rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..Config::default() }
 }
 
@@ -28,19 +28,20 @@
 }
 
 /// Three workspaces: on two boxes of one zone, on all of another, on all boxes.
-pub fn uneven() -> Setup {
+pub fn uneven_load() -> Setup {
     let workspaces = vec![backlogged(&[0, 1], 40), backlogged(&[3, 4, 5], 30), backlogged(&[], 15)];
     Setup { workspaces, ..Setup::default() }
 }
 
 /// Tokens that the whole fleet produces in a second.
-pub fn rate(setup: &Setup) -> f64 {
+pub fn fleet_tokens_per_s(setup: &Setup) -> f64 {
     let slots = f64::from(setup.slots) * (setup.zones * setup.engines) as f64;
-    slots / setup.token.as_secs_f64()
+    slots / setup.token_interval.as_secs_f64()
 }
 
 /// The bound of docs/DESIGN.md: twice the largest request, and what the fleet serves in one
 /// exchange interval.
-pub fn bound(setup: &Setup) -> f64 {
-    2.0 * LARGEST + rate(setup) * setup.tuning.exchange_interval.as_secs_f64()
+pub fn service_gap_bound(setup: &Setup) -> f64 {
+    2.0 * REQUEST_COST_MAX
+        + fleet_tokens_per_s(setup) * setup.tuning.exchange_interval.as_secs_f64()
 }
--- a/tests/util/rig.rs
+++ b/tests/util/rig.rs
@@ -59,12 +59,12 @@
     pub boxes: usize,
     pub engines: usize,
     pub slots: u32,
-    pub token: Duration,
+    pub token_interval: Duration,
     pub workspaces: Vec<Traffic>,
     pub tuning: Tuning,
     pub gossip: GossipSettings,
-    pub in_zone: Duration,
-    pub across: Duration,
+    pub zone_latency: Duration,
+    pub cross_zone_latency: Duration,
     /// First come, first served: the dispatchers don't learn whose a ticket is.
     pub fifo: bool,
     pub seed: u64,
@@ -78,12 +78,12 @@
             boxes: 3,
             engines: 3,
             slots: 8,
-            token: Duration::from_millis(5),
+            token_interval: Duration::from_millis(5),
             workspaces: Vec::new(),
             tuning: Tuning::default(),
             gossip: GossipSettings::default(),
-            in_zone: Duration::from_micros(200),
-            across: Duration::from_micros(500),
+            zone_latency: Duration::from_micros(200),
+            cross_zone_latency: Duration::from_micros(500),
             fifo: false,
             seed: 1,
             debt_cap: 20_000,
@@ -123,13 +123,13 @@
 
 /// Faults of the network.
 #[derive(Clone, Debug, Default)]
-pub struct Net {
+pub struct NetworkFaults {
     /// Zones that are cut off from all others.
-    pub cut_zones: BTreeSet<usize>,
+    pub isolated_zones: BTreeSet<usize>,
     /// Share of the calls that are lost, doubled, or delayed past later ones.
-    pub lose: f64,
-    pub double: f64,
-    pub delay: f64,
+    pub loss_rate: f64,
+    pub duplicate_rate: f64,
+    pub delay_rate: f64,
 }
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -192,21 +192,21 @@
     /// At each sample: slots in use, slots, tickets waiting.
     pub slots: Vec<(u32, u32, usize)>,
     /// Seconds from arrival to start, by workspace.
-    pub waits: Vec<Vec<f64>>,
+    pub waits_s: Vec<Vec<f64>>,
     pub requests: u64,
     pub calls: u64,
     pub bytes: u64,
     /// Bytes by kind of message.
-    pub kinds: BTreeMap<String, u64>,
+    pub bytes_by_kind: BTreeMap<String, u64>,
     /// Most requests that an engine held beyond its slots.
-    pub overcommitted: u32,
+    pub overcommitted_max: u32,
     /// Times that a box came to believe another dead.
     pub suspicions: u64,
 }
 
 pub struct Rig {
     pub setup: Setup,
-    pub net: Net,
+    pub network: NetworkFaults,
     pub now: Duration,
     pub outcome: Outcome,
     members: Vec<Member>,
@@ -228,11 +228,11 @@
         let revision = CatalogRevision::new(1, configuration(&setup))
             .expect("the rig's configuration is valid");
         let mut rig = Rig {
-            net: Net::default(),
+            network: NetworkFaults::default(),
             now: Duration::ZERO,
             outcome: Outcome {
                 service: vec![Vec::new(); setup.workspaces.len()],
-                waits: vec![Vec::new(); setup.workspaces.len()],
+                waits_s: vec![Vec::new(); setup.workspaces.len()],
                 ..Outcome::default()
             },
             members: Vec::new(),
@@ -310,7 +310,7 @@
         };
         let mut node = Node::new(id, self.setup.tuning, self.setup.gossip);
         let now = Duration::ZERO;
-        node.set_box_list(&listed(&self.setup), now);
+        node.set_box_list(&box_list(&self.setup), now);
         node.configure(self.revision.clone(), now);
         let member = &mut self.members[i];
         member.node = Some(node);
@@ -540,7 +540,8 @@
             } else if !self.answers_held_call(i, to) {
                 self.outcome.calls += 1;
                 self.outcome.bytes += CALL_BYTES as u64;
-                *self.outcome.kinds.entry("calls".to_owned()).or_default() += CALL_BYTES as u64;
+                *self.outcome.bytes_by_kind.entry("calls".to_owned()).or_default() +=
+                    CALL_BYTES as u64;
             }
             self.call(i, to, messages);
         }
@@ -557,19 +558,23 @@
     fn call(&mut self, from: usize, to: usize, messages: Vec<Message>) {
         self.count(&messages);
         let zones = (from / self.setup.boxes, to / self.setup.boxes);
-        let cut = |z| self.net.cut_zones.contains(&z);
+        let cut = |z| self.network.isolated_zones.contains(&z);
         let cut = zones.0 != zones.1 && (cut(zones.0) || cut(zones.1));
-        if cut || self.rng.random_bool(self.net.lose) {
+        if cut || self.rng.random_bool(self.network.loss_rate) {
             let call = self.calls.len();
             self.calls.push(Some(messages));
             self.at(self.now + CALL_TIMEOUT, Event::Lose { from, to, call });
             return;
         }
-        let latency = if zones.0 == zones.1 { self.setup.in_zone } else { self.setup.across };
-        if self.rng.random_bool(self.net.double) {
+        let latency = if zones.0 == zones.1 {
+            self.setup.zone_latency
+        } else {
+            self.setup.cross_zone_latency
+        };
+        if self.rng.random_bool(self.network.duplicate_rate) {
             self.post(from, to, messages.clone(), latency * 3);
         }
-        let slow = if self.rng.random_bool(self.net.delay) { 50 } else { 1 };
+        let slow = if self.rng.random_bool(self.network.delay_rate) { 50 } else { 1 };
         self.post(from, to, messages, latency * slow);
     }
 
@@ -585,7 +590,7 @@
             let kind = value.as_object().and_then(|o| o.keys().next()).expect("a tagged message");
             let size = value.to_string().len() as u64;
             self.outcome.bytes += size;
-            *self.outcome.kinds.entry(kind.clone()).or_default() += size;
+            *self.outcome.bytes_by_kind.entry(kind.clone()).or_default() += size;
         }
     }
 
@@ -594,7 +599,7 @@
         assert!(self.started.insert(ticket), "a ticket started twice");
         let request = self.requests.remove(&ticket).expect("a started ticket was asked for");
         let waited = (self.now - request.arrived).as_secs_f64();
-        self.outcome.waits[request.workspace].push(waited);
+        self.outcome.waits_s[request.workspace].push(waited);
         let engine = self.engines.iter().position(|e| e.name == *upstream).expect("it exists");
         let run = self.runs.len();
         self.runs.push(Run {
@@ -623,12 +628,12 @@
             }
             self.engines[engine].running += 1;
             self.runs[run].begun = Some(self.now);
-            let end = self.now + self.setup.token * self.runs[run].cost as u32;
+            let end = self.now + self.setup.token_interval * self.runs[run].cost as u32;
             self.at(end, Event::Finish { run });
             self.at(self.now + PROGRESS, Event::Progress { run });
         }
         let waiting = self.engines[engine].waiting.len() as u32;
-        self.outcome.overcommitted = self.outcome.overcommitted.max(waiting);
+        self.outcome.overcommitted_max = self.outcome.overcommitted_max.max(waiting);
         let running = self.engines[engine].running + waiting;
         self.engines[engine].history.push_back((self.now, running));
     }
@@ -639,7 +644,8 @@
         if r.over {
             return;
         }
-        let produced = ((self.now - begun).as_nanos() / self.setup.token.as_nanos()) as u64;
+        let produced =
+            ((self.now - begun).as_nanos() / self.setup.token_interval.as_nanos()) as u64;
         let (router, ticket) = (r.router, r.ticket);
         let member = &mut self.members[router];
         if let Some(node) = member.node.as_mut() {
@@ -689,7 +695,8 @@
     /// Adds what a run has produced since it was last counted.
     fn count_service(&mut self, run: usize) {
         let Some(begun) = self.runs[run].begun else { return };
-        let produced = ((self.now - begun).as_nanos() / self.setup.token.as_nanos()) as u64;
+        let produced =
+            ((self.now - begun).as_nanos() / self.setup.token_interval.as_nanos()) as u64;
         let produced = produced.min(self.runs[run].cost);
         let more = produced - self.runs[run].counted;
         self.runs[run].counted = produced;
@@ -747,7 +754,12 @@
 impl Outcome {
     /// The largest gap of service by weight that opened between two of these workspaces over any
     /// stretch between two samples.
-    pub fn gap(&self, setup: &Setup, who: &[usize], samples: std::ops::Range<usize>) -> f64 {
+    pub fn service_gap_max(
+        &self,
+        setup: &Setup,
+        who: &[usize],
+        samples: std::ops::Range<usize>,
+    ) -> f64 {
         let sums = |w: usize| {
             let weight = f64::from(setup.workspaces[w].weight);
             self.service[w][samples.clone()].iter().map(move |&s| s as f64 / weight)
@@ -789,7 +801,7 @@
 }
 
 /// The box list of a fleet.
-pub fn listed(setup: &Setup) -> Vec<ListedBox> {
+pub fn box_list(setup: &Setup) -> Vec<ListedBox> {
     let listed = |i: usize| ListedBox {
         name: box_name(i),
         zone: (&*zone_name(i / setup.boxes)).into(),
