--- a/tests/util/catalog.rs
+++ b/tests/util/catalog.rs
@@ -1,4 +1,4 @@
-//! Configurations of one pool and one service, with limits that nobody meets.
+//! Configurations of one pool and one service, with limits that no test reaches.
 #![allow(dead_code)]
 
 use frostdyke::config::Catalog;
@@ -9,7 +9,7 @@
 pub const POOL: &str = "llm";
 pub const SERVICE: &str = "assist";
 
-/// More than any test or bench has waiting or running.
+/// More requests than any test or bench has waiting or running.
 const LIMIT: u32 = 1 << 20;
 
 pub fn workspace(name: &str, weight: u32) -> Workspace {
@@ -35,9 +35,9 @@
     }
 }
 
-/// All that isn't given is as it is by default.
+/// A catalog with these workspaces and upstreams, one service, one pool, and defaults elsewhere.
 pub fn catalog(workspaces: Vec<Workspace>, upstreams: Vec<Upstream>) -> Catalog {
-    let rest = json!({
+    let base = json!({
         "workspaces": [],
         "services": [
             {"name": SERVICE, "pool": POOL, "path": "/v1/generate", "default_cost": 100},
@@ -45,6 +45,6 @@
         "pools": [{"name": POOL, "unit": "tokens"}],
         "upstreams": [],
     });
-    let rest: Catalog = serde_json::from_value(rest).expect("a configuration");
-    Catalog { workspaces, upstreams, ..rest }
+    let base: Catalog = serde_json::from_value(base).expect("a configuration");
+    Catalog { workspaces, upstreams, ..base }
 }
--- a/tests/util/fleet.rs
+++ b/tests/util/fleet.rs
@@ -1,5 +1,5 @@
-//! Real router processes over in-process stand-ins. All ports are free ones, all waiting is on
-//! conditions, and whatever was started ends with the fleet.
+//! Fleets of real router processes over in-process stand-ins. Ports are picked among free ones,
+//! waits poll a condition, and every process ends when its [`Fleet`] is dropped.
 #![allow(dead_code)]
 
 use std::io::Read;
@@ -36,19 +36,19 @@
 /// The token of the operator `jo`.
 pub const TOKEN: &str = "test token";
 
-/// How long anything may take that a test waits for.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Limit for every condition or response that a test waits for.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How often a condition is looked at.
-const LOOK: Duration = Duration::from_millis(10);
+/// How often a condition is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-static FLEETS: AtomicU64 = AtomicU64::new(0);
+static FLEET_COUNT: AtomicU64 = AtomicU64::new(0);
 
-/// Held while ports are drawn and while a process is started. A child that is being started has a
-/// copy of every open socket for a moment, and a port that was drawn stays taken as long.
-static PORTS_OR_CHILDREN: Mutex<()> = Mutex::new(());
+/// Held while free ports are picked and while a process is spawned. Between fork and exec a child
+/// has a copy of every open socket, which would keep a picked port in use.
+static PORT_OR_SPAWN_LOCK: Mutex<()> = Mutex::new(());
 
-/// What to start.
+/// The processes and stand-ins to start.
 #[derive(Clone, Debug)]
 pub struct Setup {
     /// Boxes per zone.
@@ -56,7 +56,7 @@
     pub slots: u32,
     pub token_interval: Duration,
     pub service_delay: Duration,
-    /// Whether the engines check the fences of orders.
+    /// Whether the engines reject orders with an outdated fence.
     pub checks_fence: bool,
     pub extra_settings: String,
 }
@@ -83,7 +83,7 @@
     pub configuration: Value,
     operators: Vec<Child>,
     pub controllers: Vec<Child>,
-    number: u64,
+    index: u64,
     dir: PathBuf,
 }
 
@@ -98,7 +98,7 @@
     child: Option<Child>,
 }
 
-/// What a caller got.
+/// The response that a caller received.
 #[derive(Clone, Debug, Default)]
 pub struct Response {
     pub status: u16,
@@ -106,16 +106,16 @@
     pub request_id: String,
     pub retry_after: Option<u64>,
     pub body: String,
-    /// Whether the body came whole.
+    /// Whether the body arrived complete.
     pub is_complete: bool,
 }
 
 impl Fleet {
     pub fn start(setup: &Setup) -> Fleet {
-        let number = FLEETS.fetch_add(1, Ordering::Relaxed);
-        let name = format!("frostdyke-test-{}-{number}", std::process::id());
+        let index = FLEET_COUNT.fetch_add(1, Ordering::Relaxed);
+        let name = format!("frostdyke-test-{}-{index}", std::process::id());
         let dir = std::env::temp_dir().join(name);
-        std::fs::create_dir_all(&dir).expect("a directory for settings");
+        std::fs::create_dir_all(&dir).expect("the settings directory is created");
         let platform = Platform::start(any_port()).expect("the platform starts");
         let mut fleet = Fleet {
             platform,
@@ -125,7 +125,7 @@
             configuration: Value::Null,
             operators: Vec::new(),
             controllers: Vec::new(),
-            number,
+            index,
             dir,
         };
         fleet.start_upstreams(setup);
@@ -137,7 +137,7 @@
         for router in &fleet.routers {
             router.wait_ready();
         }
-        fleet.wait_joined();
+        fleet.wait_for_peers();
         fleet
     }
 
@@ -175,31 +175,31 @@
         });
     }
 
-    /// Writes the configuration as it is now; gives its revision.
+    /// Writes the current configuration to the platform; returns its revision.
     pub fn configure(&self) -> u64 {
         self.platform.put("frostdyke/configuration", self.configuration.to_string())
     }
 
     fn write_settings(&mut self, setup: &Setup) {
-        std::fs::write(self.dir.join("peer-secret"), "test secret").expect("a secret");
-        let guard = one_at_a_time();
-        let mut held = Vec::new();
+        std::fs::write(self.dir.join("peer-secret"), "test secret").expect("the secret is written");
+        let guard = lock_ports_and_spawns();
+        let mut listeners = Vec::new();
         for (zone, &boxes) in setup.zones.iter().enumerate() {
             for i in 0..boxes {
                 let name = format!("box-{zone}-{i}");
                 let settings = self.dir.join(format!("{name}.ini"));
                 self.routers.push(Router {
                     zone: format!("zone-{zone}"),
-                    callers: free_port(self.number, &mut held),
-                    peers: free_port(self.number, &mut held),
-                    metrics: free_port(self.number, &mut held),
+                    callers: free_port(self.index, &mut listeners),
+                    peers: free_port(self.index, &mut listeners),
+                    metrics: free_port(self.index, &mut listeners),
                     settings,
                     child: None,
                     name,
                 });
             }
         }
-        drop(held);
+        drop(listeners);
         drop(guard);
         let listed: Vec<Value> = self
             .routers
@@ -223,18 +223,19 @@
                 self.platform.addr,
                 setup.extra_settings
             );
-            std::fs::write(&r.settings, text).expect("settings");
+            std::fs::write(&r.settings, text).expect("the settings are written");
         }
     }
 
-    /// Starts an operator process; gives its port.
+    /// Starts an operator process; returns its address.
     pub fn start_operator(&mut self) -> SocketAddr {
-        let guard = one_at_a_time();
-        let addr = free_port(self.number, &mut Vec::new());
+        let guard = lock_ports_and_spawns();
+        let addr = free_port(self.index, &mut Vec::new());
         drop(guard);
         let digest = hex::encode(Sha256::digest(TOKEN));
-        std::fs::write(self.dir.join("tokens"), format!("jo {digest}\n")).expect("tokens");
-        std::fs::write(self.dir.join("token"), TOKEN).expect("a token");
+        std::fs::write(self.dir.join("tokens"), format!("jo {digest}\n"))
+            .expect("the tokens file is written");
+        std::fs::write(self.dir.join("token"), TOKEN).expect("the token is written");
         let text = format!(
             "[box]\nname = box-0-0\nzone = zone-0\n\n[listen]\noperators = {addr}\n\n\
              [platform]\naddress = {}\n\n[peers]\nsecret-file = peer-secret\n\n\
@@ -242,29 +243,29 @@
             self.platform.addr
         );
         let settings = self.dir.join("operator.ini");
-        std::fs::write(&settings, text).expect("settings");
-        let log = std::fs::File::create(self.dir.join("operator.log")).expect("a log");
+        std::fs::write(&settings, text).expect("the settings are written");
+        let log = std::fs::File::create(self.dir.join("operator.log")).expect("the log file opens");
         let child = Command::new(env!("CARGO_BIN_EXE_frostdyke-operator"))
             .arg(&settings)
-            .stdout(log.try_clone().expect("a log"))
+            .stdout(log.try_clone().expect("the log file opens"))
             .stderr(log)
-            .spawn_alone()
+            .spawn_locked()
             .expect("the operator process starts");
         self.operators.push(child);
-        wait_until("operators are served", || TcpStream::connect(addr).is_ok());
+        wait_until("the operator process listens", || TcpStream::connect(addr).is_ok());
         addr
     }
 
-    /// Starts a controller for a zone; it ends with the fleet.
+    /// Starts a controller for a zone that ends with the fleet.
     pub fn start_controller(&mut self, zone: usize) {
         let child = self.spawn_controller(zone, self.controllers.len());
         self.controllers.push(child);
     }
 
-    /// Starts a controller for a zone, the `number`th.
+    /// Starts a controller for a zone under the name `controller-{number}`.
     pub fn spawn_controller(&self, zone: usize, number: usize) -> Child {
-        let guard = one_at_a_time();
-        let metrics = free_port(self.number, &mut Vec::new());
+        let guard = lock_ports_and_spawns();
+        let metrics = free_port(self.index, &mut Vec::new());
         drop(guard);
         let text = format!(
             "[box]\nname = controller-{number}\nzone = zone-{zone}\n\n\
@@ -272,13 +273,14 @@
             self.platform.addr
         );
         let settings = self.dir.join(format!("controller-{number}.ini"));
-        std::fs::write(&settings, text).expect("settings");
-        let log = std::fs::File::create(settings.with_extension("log")).expect("a log");
+        std::fs::write(&settings, text).expect("the settings are written");
+        let log =
+            std::fs::File::create(settings.with_extension("log")).expect("the log file opens");
         Command::new(env!("CARGO_BIN_EXE_frostdyke-controller"))
             .arg(&settings)
-            .stdout(log.try_clone().expect("a log"))
+            .stdout(log.try_clone().expect("the log file opens"))
             .stderr(log)
-            .spawn_alone()
+            .spawn_locked()
             .expect("the controller starts")
     }
 
@@ -291,15 +293,15 @@
             .stdin(Stdio::null())
             .stdout(Stdio::piped())
             .stderr(Stdio::piped())
-            .spawn_alone()
+            .spawn_locked()
             .and_then(Child::wait_with_output)
-            .expect("it runs")
+            .expect("frostdykectl runs")
     }
 
-    /// Waits until a revision is in force on every router.
+    /// Waits until every router uses this revision of the configuration.
     pub fn wait_for_revision(&self, revision: u64) {
         for router in &self.routers {
-            wait_until("the revision is in force", || {
+            wait_until("the router uses the revision", || {
                 router.metric("frostdyke_revision") == Some(revision as f64)
             });
         }
@@ -307,21 +309,22 @@
 
     pub fn start_router(&mut self, i: usize) {
         let router = &mut self.routers[i];
-        let log = std::fs::File::create(router.settings.with_extension("log")).expect("a log");
+        let log = std::fs::File::create(router.settings.with_extension("log"))
+            .expect("the log file opens");
         let child = Command::new(env!("CARGO_BIN_EXE_frostdyke-router"))
             .arg(&router.settings)
-            .stdout(log.try_clone().expect("a log"))
+            .stdout(log.try_clone().expect("the log file opens"))
             .stderr(log)
-            .spawn_alone()
+            .spawn_locked()
             .expect("the router starts");
         router.child = Some(child);
     }
 
-    /// Waits until every router has told another that it lives.
-    fn wait_joined(&self) {
+    /// Waits until every router knows all live boxes of its zone.
+    fn wait_for_peers(&self) {
         for router in &self.routers {
             let peers = self.routers.iter().filter(|r| r.zone == router.zone).count();
-            wait_until("the boxes know each other", || {
+            wait_until("the boxes of a zone know each other", || {
                 router.metric("frostdyke_live_boxes") == Some(peers as f64)
             });
         }
@@ -332,7 +335,7 @@
         std::fs::read_to_string(path).unwrap_or_default()
     }
 
-    /// How often each request of the services ran, over all zones.
+    /// How often the services of all zones ran the request with this key.
     pub fn run_count(&self, key: &str) -> u64 {
         self.services.iter().filter_map(|s| s.run_counts().get(key).copied()).sum()
     }
@@ -355,13 +358,13 @@
 
 impl Router {
     pub fn signal(&self, signal: Signal) {
-        let child = self.child.as_ref().expect("it runs");
-        kill(Pid::from_raw(child.id() as i32), signal).expect("the process is ours");
+        let child = self.child.as_ref().expect("the router runs");
+        kill(Pid::from_raw(child.id() as i32), signal).expect("the signal is sent");
     }
 
-    /// Bytes of memory that the process holds.
+    /// Resident memory of the process, in bytes.
     pub fn resident_bytes(&self) -> u64 {
-        resident_bytes(self.child.as_ref().expect("it runs").id())
+        resident_bytes(self.child.as_ref().expect("the router runs").id())
     }
 
     pub fn kill(&mut self) {
@@ -371,12 +374,12 @@
         }
     }
 
-    /// Waits until the process has ended by itself; gives whether it ended well.
+    /// Waits until the process exits by itself; returns whether it exited with success.
     pub fn wait_for_exit(&mut self) -> bool {
-        let mut child = self.child.take().expect("it runs");
+        let mut child = self.child.take().expect("the router runs");
         let mut status = None;
-        wait_until("the router ends", || {
-            status = child.try_wait().expect("it is ours");
+        wait_until("the router exits", || {
+            status = child.try_wait().expect("it is a child process");
             status.is_some()
         });
         status.is_some_and(|s| s.success())
@@ -388,7 +391,7 @@
         wait_until("the router is ready", ready);
     }
 
-    /// The first figure of this name on the metrics page.
+    /// The first value on the metrics page whose line starts with `name`.
     pub fn metric(&self, name: &str) -> Option<f64> {
         let mut resp = http_client().get(format!("http://{}/metrics", self.metrics)).call().ok()?;
         let page = resp.body_mut().read_to_string().ok()?;
@@ -396,13 +399,13 @@
         line.rsplit_once(' ')?.1.parse().ok()
     }
 
-    /// Sends a request of workspace `alpha` and reads its answer to the end.
+    /// Sends a request of workspace `alpha` and reads the response to its end.
     pub fn send(&self, service: &str, body: &str, headers: &[(&str, &str)]) -> Response {
         let alpha = [("frostdyke-workspace", "alpha")];
         self.send_with_headers(service, body, &[&alpha, headers].concat())
     }
 
-    /// Sends a request with just these headers.
+    /// Sends a request with only these headers.
     pub fn send_with_headers(
         &self,
         service: &str,
@@ -421,39 +424,39 @@
     }
 }
 
-/// Bytes of memory that a process holds.
+/// Resident memory of a process, in bytes.
 pub fn resident_bytes(pid: u32) -> u64 {
-    let status = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("it runs");
-    let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).expect("a figure");
+    let status = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("the process runs");
+    let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).expect("a VmRSS line");
     let kib = line.trim().trim_end_matches(" kB").parse::<u64>().expect("a number");
     kib << 10
 }
 
-/// Processor time that a process has used, to the hundredth of a second.
+/// CPU time that a process has used, to the hundredth of a second.
 pub fn cpu_time(pid: u32) -> Duration {
-    let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("it runs");
-    let (_, fields) = stat.rsplit_once(')').expect("the name is in brackets");
+    let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("the process runs");
+    let (_, fields) = stat.rsplit_once(')').expect("the name is in parentheses");
     let ticks: u64 =
         fields.split_whitespace().skip(11).take(2).map(|t| t.parse::<u64>().expect("ticks")).sum();
     Duration::from_millis(ticks * 10)
 }
 
-/// Sends these bytes as they are, and gives the beginning of what comes back.
+/// Sends these bytes unchanged and returns the beginning of the response.
 pub fn send_raw(addr: SocketAddr, bytes: &[u8]) -> String {
-    let mut stream = TcpStream::connect(addr).expect("it listens");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
-    // Who is refused early may not have been read to the end.
+    let mut stream = TcpStream::connect(addr).expect("the server listens");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a timeout");
+    // The server may reject the request, and close, before it has read all of it.
     let _ = stream.write_all(bytes);
     let mut buf = [0; 4096];
     let n = stream.read(&mut buf).unwrap_or(0);
     String::from_utf8_lossy(&buf[..n]).into_owned()
 }
 
-/// A client that gives up where a test would wait for ever.
+/// An HTTP client with a time-out, so that a test can't wait forever.
 pub fn http_client() -> ureq::Agent {
     let config = ureq::Agent::config_builder()
         .http_status_as_error(false)
-        .timeout_global(Some(PATIENCE))
+        .timeout_global(Some(WAIT_TIMEOUT))
         .build();
     config.into()
 }
@@ -476,28 +479,28 @@
     reply
 }
 
-fn one_at_a_time() -> MutexGuard<'static, ()> {
-    PORTS_OR_CHILDREN.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock_ports_and_spawns() -> MutexGuard<'static, ()> {
+    PORT_OR_SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Starts a process while no ports are drawn.
-trait SpawnAlone {
-    fn spawn_alone(&mut self) -> std::io::Result<Child>;
+/// Spawns a process while no ports are being picked.
+trait SpawnLocked {
+    fn spawn_locked(&mut self) -> std::io::Result<Child>;
 }
 
-impl SpawnAlone for Command {
-    fn spawn_alone(&mut self) -> std::io::Result<Child> {
-        let _guard = one_at_a_time();
+impl SpawnLocked for Command {
+    fn spawn_locked(&mut self) -> std::io::Result<Child> {
+        let _guard = lock_ports_and_spawns();
         self.spawn()
     }
 }
 
 /// Waits for a condition, or fails the test.
 pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + WAIT_TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < until, "waited in vain: {what}");
-        thread::sleep(LOOK);
+        assert!(Instant::now() < until, "timed out waiting until {what}");
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -505,14 +508,15 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// A port that was free just now, on an address that no other fleet uses: a port that is free
-/// on an address which all share may be gone before the router takes it. It is held until `held`
-/// is dropped, lest the next one is the same.
-fn free_port(fleet: u64, held: &mut Vec<TcpListener>) -> SocketAddr {
+/// Picks a free port on an address that no other fleet uses: on a shared address another process
+/// could take the port before the router binds it. The port stays bound until `listeners` is
+/// dropped, so that the next call picks another one.
+fn free_port(fleet_index: u64, listeners: &mut Vec<TcpListener>) -> SocketAddr {
     let pid = std::process::id();
-    let ip = [127, (1 + pid % 250) as u8, (1 + pid / 250 % 250) as u8, (1 + fleet % 250) as u8];
+    let ip =
+        [127, (1 + pid % 250) as u8, (1 + pid / 250 % 250) as u8, (1 + fleet_index % 250) as u8];
     let listener = TcpListener::bind(SocketAddr::from((ip, 0))).expect("a port is free");
-    let addr = listener.local_addr().expect("it is bound");
-    held.push(listener);
+    let addr = listener.local_addr().expect("the listener is bound");
+    listeners.push(listener);
     addr
 }
--- a/tests/util/mod.rs
+++ b/tests/util/mod.rs
@@ -1,4 +1,4 @@
-//! What several test files share.
+//! Helpers shared by several test files.
 #![allow(dead_code)]
 
 pub mod catalog;
@@ -17,30 +17,31 @@
 /// Cost of the largest request.
 pub const REQUEST_COST_MAX: f64 = 200.0;
 
-/// So many cases of a property, the same in every run.
+/// Runs this many cases of a property, the same ones in every run.
 pub fn seeded_config(cases: u32) -> Config {
     Config { cases, rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..Config::default() }
 }
 
-/// A workspace that keeps `backlog` requests under way at each of these boxes (at all: none named).
+/// A workspace that keeps `backlog` requests in flight at each of these boxes; at all boxes if none
+/// is given.
 pub fn backlogged(boxes: &[usize], backlog: usize) -> Traffic {
     Traffic { boxes: boxes.to_vec(), backlog, ..Traffic::default() }
 }
 
-/// Three workspaces: on two boxes of one zone, on all of another, on all boxes.
+/// Three workspaces that send to two boxes of one zone, to all boxes of another, and to all boxes.
 pub fn uneven_load() -> Setup {
     let workspaces = vec![backlogged(&[0, 1], 40), backlogged(&[3, 4, 5], 30), backlogged(&[], 15)];
     Setup { workspaces, ..Setup::default() }
 }
 
-/// Tokens that the whole fleet produces in a second.
+/// Tokens that the whole fleet produces per second.
 pub fn fleet_tokens_per_s(setup: &Setup) -> f64 {
     let slots = f64::from(setup.slots) * (setup.zones * setup.engines) as f64;
     slots / setup.token_interval.as_secs_f64()
 }
 
-/// The bound of docs/DESIGN.md: twice the largest request, and what the fleet serves in one
-/// exchange interval.
+/// The bound on service differences of docs/DESIGN.md: twice the cost of the largest request, plus
+/// the tokens that the fleet serves in one exchange interval.
 pub fn service_gap_bound(setup: &Setup) -> f64 {
     2.0 * REQUEST_COST_MAX
         + fleet_tokens_per_s(setup) * setup.tuning.exchange_interval.as_secs_f64()
--- a/tests/util/rig.rs
+++ b/tests/util/rig.rs
@@ -1,5 +1,5 @@
-//! Many nodes over a fake network, with fake engines and callers, on a clock of its own. The nodes
-//! are the real ones; everything is seeded, so a run is the same every time.
+//! Discrete-event simulation of a fleet: real [`Node`]s over a simulated network, with simulated
+//! engines, callers and time. All randomness is seeded, so every run is the same.
 //!
 //! Shared by the tests and the benches.
 #![allow(dead_code)]
@@ -40,19 +40,19 @@
 use super::catalog::POOL;
 use super::catalog::SERVICE;
 
-const TICK: Duration = Duration::from_millis(10);
-const SAMPLE: Duration = Duration::from_millis(100);
-const PROGRESS: Duration = Duration::from_millis(200);
-const REPORT: Duration = Duration::from_millis(500);
-const DEADLINE: Duration = Duration::from_secs(600);
-/// How long the answer to a call that registers a ticket is held back.
-const HOLD: Duration = Duration::from_secs(1);
-/// How long a router waits for the answer to a call.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(200);
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
+const REQUEST_DEADLINE: Duration = Duration::from_secs(600);
+/// How long the response to a call that registers a ticket is held back (long polling).
+const RESPONSE_HOLD_TIME: Duration = Duration::from_secs(1);
+/// How long a router waits for the response to a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// What one call between routers costs beside its messages: framing and the answer.
-const CALL_BYTES: usize = 115;
+/// Bytes of one call between routers beside its messages: framing and the response.
+const CALL_OVERHEAD_BYTES: usize = 115;
 
-/// A fleet to run.
+/// The fleet to simulate. `boxes` and `engines` are counts per zone, `slots` per engine.
 #[derive(Clone, Debug)]
 pub struct Setup {
     pub zones: usize,
@@ -65,7 +65,8 @@
     pub gossip: GossipSettings,
     pub zone_latency: Duration,
     pub cross_zone_latency: Duration,
-    /// First come, first served: the dispatchers don't learn whose a ticket is.
+    /// First come, first served: all tickets carry the same workspace, so the dispatchers can't
+    /// tell the workspaces apart.
     pub fifo: bool,
     pub seed: u64,
     pub debt_cap: u32,
@@ -91,19 +92,19 @@
     }
 }
 
-/// What one workspace sends.
+/// Requests that one workspace sends.
 #[derive(Clone, Debug)]
 pub struct Traffic {
     pub weight: u32,
-    /// Requests kept under way at each of these boxes; all boxes when empty.
+    /// Boxes that receive the requests; all boxes when empty.
     pub boxes: Vec<usize>,
-    /// Requests always under way, per box; 0 for a workspace with a rate.
+    /// Requests kept in flight per box; 0 for a workspace with a rate.
     pub backlog: usize,
-    /// Requests a second, over all its boxes; 0 for a backlogged one.
+    /// Requests per second over all its boxes; 0 for a backlogged workspace.
     pub rate: f64,
     pub tokens: (u64, u64),
     pub class: Class,
-    /// When it begins and ends to send.
+    /// When it starts and stops sending.
     pub active: (Duration, Duration),
 }
 
@@ -124,9 +125,9 @@
 /// Faults of the network.
 #[derive(Clone, Debug, Default)]
 pub struct NetworkFaults {
-    /// Zones that are cut off from all others.
+    /// Zones without a connection to any other zone.
     pub isolated_zones: BTreeSet<usize>,
-    /// Share of the calls that are lost, doubled, or delayed past later ones.
+    /// Share of the calls that are lost, duplicated, or delayed past later ones.
     pub loss_rate: f64,
     pub duplicate_rate: f64,
     pub delay_rate: f64,
@@ -136,21 +137,21 @@
 enum Event {
     Tick(usize),
     Deliver { from: usize, to: usize, call: usize },
-    Lose { from: usize, to: usize, call: usize },
-    Arrive { workspace: usize, place: usize },
+    TimeOut { from: usize, to: usize, call: usize },
+    Arrive { workspace: usize, position: usize },
     Finish { run: usize },
     Progress { run: usize },
     UpstreamReport(usize),
     Sample,
 }
 
-struct Member {
+struct SimulatedBox {
     node: Option<Node>,
     incarnation: u64,
     frozen: bool,
-    /// Events that came while it was frozen.
-    held: Vec<Event>,
-    started: Duration,
+    /// Events that became due while it was frozen.
+    deferred: Vec<Event>,
+    started_at: Duration,
     outbox: BTreeMap<usize, Vec<Message>>,
 }
 
@@ -167,40 +168,40 @@
     incarnation: u64,
     ticket: TicketId,
     workspace: usize,
-    place: usize,
+    position: usize,
     engine: usize,
     cost: u64,
-    begun: Option<Duration>,
-    counted: u64,
-    over: bool,
+    started_at: Option<Duration>,
+    counted_tokens: u64,
+    has_ended: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Request {
     router: usize,
     workspace: usize,
-    place: usize,
+    position: usize,
     cost: u64,
-    arrived: Duration,
+    arrived_at: Duration,
 }
 
-/// What came of a run.
+/// Measurements of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
     /// Tokens received by each workspace, at each sample.
     pub service: Vec<Vec<u64>>,
-    /// At each sample: slots in use, slots, tickets waiting.
+    /// At each sample: slots in use, all slots, tickets waiting.
     pub slots: Vec<(u32, u32, usize)>,
-    /// Seconds from arrival to start, by workspace.
+    /// Seconds from arrival to the start of each request, by workspace.
     pub waits_s: Vec<Vec<f64>>,
     pub requests: u64,
     pub calls: u64,
     pub bytes: u64,
-    /// Bytes by kind of message.
+    /// Bytes by kind of message, and under `calls` the bytes of calls beside their messages.
     pub bytes_by_kind: BTreeMap<String, u64>,
-    /// Most requests that an engine held beyond its slots.
+    /// Largest number of requests that waited inside an engine, beyond its slots.
     pub overcommitted_max: u32,
-    /// Times that a box came to believe another dead.
+    /// How often a box came to consider another one dead.
     pub suspicions: u64,
 }
 
@@ -209,15 +210,15 @@
     pub network: NetworkFaults,
     pub now: Duration,
     pub outcome: Outcome,
-    members: Vec<Member>,
+    boxes: Vec<SimulatedBox>,
     engines: Vec<Engine>,
     runs: Vec<Run>,
     requests: FxHashMap<TicketId, Request>,
-    started: FxHashSet<TicketId>,
+    started_tickets: FxHashSet<TicketId>,
     queue: BinaryHeap<Reverse<(Duration, u64, Event)>>,
     calls: Vec<Option<Vec<Message>>>,
-    /// Calls held back by one box for another, and until when.
-    held: FxHashMap<(usize, usize), VecDeque<Duration>>,
+    /// Until when each call held back by one box for another stays open, by (holder, caller).
+    held_calls: FxHashMap<(usize, usize), VecDeque<Duration>>,
     sequence: u64,
     rng: SmallRng,
     revision: CatalogRevision,
@@ -235,60 +236,60 @@
                 waits_s: vec![Vec::new(); setup.workspaces.len()],
                 ..Outcome::default()
             },
-            members: Vec::new(),
-            engines: engines(&setup),
+            boxes: Vec::new(),
+            engines: idle_engines(&setup),
             runs: Vec::new(),
             requests: FxHashMap::default(),
-            started: FxHashSet::default(),
+            started_tickets: FxHashSet::default(),
             queue: BinaryHeap::new(),
             calls: Vec::new(),
-            held: FxHashMap::default(),
+            held_calls: FxHashMap::default(),
             sequence: 0,
             rng: SmallRng::seed_from_u64(setup.seed),
             revision,
             setup,
         };
         for i in 0..rig.setup.zones * rig.setup.boxes {
-            rig.members.push(Member {
+            rig.boxes.push(SimulatedBox {
                 node: None,
                 incarnation: 0,
                 frozen: false,
-                held: Vec::new(),
-                started: Duration::ZERO,
+                deferred: Vec::new(),
+                started_at: Duration::ZERO,
                 outbox: BTreeMap::new(),
             });
             rig.start(i);
         }
-        rig.at(Duration::ZERO, Event::Sample);
+        rig.schedule(Duration::ZERO, Event::Sample);
         for w in 0..rig.setup.workspaces.len() {
-            rig.begin_traffic(w);
+            rig.start_traffic(w);
         }
         rig
     }
 
-    /// Lets time pass.
+    /// Advances the simulated time.
     pub fn run_for(&mut self, span: Duration) {
         let until = self.now + span;
         while let Some(Reverse((at, ..))) = self.queue.peek() {
             if until < *at {
                 break;
             }
-            let Reverse((at, _, event)) = self.queue.pop().expect("just seen");
+            let Reverse((at, _, event)) = self.queue.pop().expect("just peeked");
             self.now = at;
             self.handle(event);
         }
         self.now = until;
     }
 
-    /// Kills a box: its memory and its connections are gone.
+    /// Kills a box: it loses its state and its connections.
     pub fn kill(&mut self, i: usize) {
-        self.members[i].node = None;
-        self.members[i].held.clear();
-        self.members[i].frozen = false;
+        self.boxes[i].node = None;
+        self.boxes[i].deferred.clear();
+        self.boxes[i].frozen = false;
         for run in 0..self.runs.len() {
-            if self.runs[run].router == i && !self.runs[run].over {
+            if self.runs[run].router == i && !self.runs[run].has_ended {
                 self.end_run(run);
-                self.again(run);
+                self.send_next(run);
             }
         }
         let held = self.requests.iter().filter(|(_, r)| r.router == i);
@@ -296,11 +297,11 @@
         lost.sort();
         for ticket in lost {
             let request = self.requests.remove(&ticket).expect("just listed");
-            self.arrive_later(request.workspace, request.place);
+            self.replace_lost_request(request.workspace, request.position);
         }
     }
 
-    /// Starts a box that was killed, with no memory.
+    /// Starts a box that was killed, with an empty state.
     pub fn start(&mut self, i: usize) {
         let incarnation = self.now.as_millis() as u64 + 1 + i as u64;
         let id = Identity {
@@ -312,95 +313,95 @@
         let now = Duration::ZERO;
         node.set_box_list(&box_list(&self.setup), now);
         node.configure(self.revision.clone(), now);
-        let member = &mut self.members[i];
-        member.node = Some(node);
-        member.incarnation = incarnation;
-        member.started = self.now;
-        // Boxes don't start, and so don't tick, at the same moment.
+        let sim_box = &mut self.boxes[i];
+        sim_box.node = Some(node);
+        sim_box.incarnation = incarnation;
+        sim_box.started_at = self.now;
+        // Boxes start, and therefore tick, at different times.
         let offset = Duration::from_micros(self.rng.random_range(0..10_000));
-        self.at(self.now + offset, Event::Tick(i));
-        self.at(self.now + REPORT + offset, Event::UpstreamReport(i));
+        self.schedule(self.now + offset, Event::Tick(i));
+        self.schedule(self.now + REPORT_INTERVAL + offset, Event::UpstreamReport(i));
         self.flush(i);
     }
 
-    /// Gives one box the next revision of the configuration, as if its watch had brought it.
+    /// Delivers a revision of the configuration to one box, as its watch of the store does.
     pub fn configure(&mut self, i: usize, number: u64) {
         let catalog = configuration(&self.setup);
         let revision =
             CatalogRevision::new(number, catalog).expect("the rig's configuration is valid");
-        let member = &mut self.members[i];
-        let node = member.node.as_mut().expect("the box is up");
-        node.configure(revision, self.now - member.started);
+        let sim_box = &mut self.boxes[i];
+        let node = sim_box.node.as_mut().expect("the box is up");
+        node.configure(revision, self.now - sim_box.started_at);
         self.flush(i);
     }
 
-    /// Stops a box for a while without its noticing, or lets it go on.
+    /// Suspends a box, as SIGSTOP does, or resumes it.
     pub fn freeze(&mut self, i: usize, frozen: bool) {
-        self.members[i].frozen = frozen;
+        self.boxes[i].frozen = frozen;
         if !frozen {
-            for event in std::mem::take(&mut self.members[i].held) {
-                self.at(self.now, event);
+            for event in std::mem::take(&mut self.boxes[i].deferred) {
+                self.schedule(self.now, event);
             }
         }
     }
 
-    /// The box that dispatches in a zone, as another of its boxes believes.
+    /// The dispatcher of a zone, as the first running box of the zone knows it.
     pub fn dispatcher(&self, zone: usize) -> usize {
         let boxes = zone * self.setup.boxes..(zone + 1) * self.setup.boxes;
         let alive = boxes.clone().filter(|&i| self.is_up(i));
-        let nodes = alive.filter_map(|i| self.members[i].node.as_ref());
+        let nodes = alive.filter_map(|i| self.boxes[i].node.as_ref());
         let owner = nodes.filter_map(|n| n.dispatcher_of(POOL)).next().expect("a box is up");
         boxes.into_iter().find(|&i| box_name(i) == *owner).expect("the owner is in the zone")
     }
 
     pub fn node(&self, i: usize) -> &Node {
-        self.members[i].node.as_ref().expect("the box is up")
+        self.boxes[i].node.as_ref().expect("the box is up")
     }
 
-    /// Tokens that a workspace has received so far.
+    /// Tokens received by a workspace up to the last sample.
     pub fn service(&self, w: usize) -> u64 {
         self.outcome.service[w].last().copied().unwrap_or(0)
     }
 
     pub fn is_down(&self, i: usize) -> bool {
-        self.members[i].node.is_none()
+        self.boxes[i].node.is_none()
     }
 
     fn is_up(&self, i: usize) -> bool {
-        self.members[i].node.is_some() && !self.members[i].frozen
+        self.boxes[i].node.is_some() && !self.boxes[i].frozen
     }
 
     fn handle(&mut self, event: Event) {
         let target = match &event {
             Event::Tick(i) | Event::UpstreamReport(i) => Some(*i),
-            Event::Deliver { to: i, .. } | Event::Lose { from: i, .. } => Some(*i),
+            Event::Deliver { to: i, .. } | Event::TimeOut { from: i, .. } => Some(*i),
             Event::Finish { run } | Event::Progress { run } => Some(self.runs[*run].router),
             Event::Arrive { .. } | Event::Sample => None,
         };
         if let Some(i) = target
-            && self.members[i].frozen
+            && self.boxes[i].frozen
         {
-            self.members[i].held.push(event);
+            self.boxes[i].deferred.push(event);
             return;
         }
         match event {
             Event::Tick(i) => self.tick(i),
             Event::Deliver { from, to, call } => self.deliver(from, to, call),
-            Event::Lose { from, to, call } => self.lose(from, to, call),
-            Event::Arrive { workspace, place } => self.arrive(workspace, place),
+            Event::TimeOut { from, to, call } => self.time_out_call(from, to, call),
+            Event::Arrive { workspace, position } => self.submit_request(workspace, position),
             Event::Finish { run } => self.finish(run),
             Event::Progress { run } => self.progress(run),
-            Event::UpstreamReport(i) => self.report(i),
+            Event::UpstreamReport(i) => self.report_upstreams(i),
             Event::Sample => self.sample(),
         }
     }
 
     fn tick(&mut self, i: usize) {
         let now = self.now;
-        let member = &mut self.members[i];
-        if let Some(node) = member.node.as_mut() {
-            node.tick(now - member.started);
-            self.at(now + TICK, Event::Tick(i));
+        let sim_box = &mut self.boxes[i];
+        if let Some(node) = sim_box.node.as_mut() {
+            node.tick(now - sim_box.started_at);
+            self.schedule(now + TICK_INTERVAL, Event::Tick(i));
             self.flush(i);
         }
     }
@@ -409,34 +410,34 @@
         let Some(messages) = self.calls[call].take() else { return };
         let now = self.now;
         if messages.iter().any(|m| matches!(m, Message::Ticket(_))) {
-            self.held.entry((to, from)).or_default().push_back(now + HOLD);
+            self.held_calls.entry((to, from)).or_default().push_back(now + RESPONSE_HOLD_TIME);
         }
-        let member = &mut self.members[to];
-        if let Some(node) = member.node.as_mut() {
-            node.receive(&box_name(from), messages, now - member.started);
-            self.flush_to(to, Some(from));
+        let sim_box = &mut self.boxes[to];
+        if let Some(node) = sim_box.node.as_mut() {
+            node.receive(&box_name(from), messages, now - sim_box.started_at);
+            self.flush_with_response(to, Some(from));
             return;
         }
-        let member = &mut self.members[from];
-        if let Some(node) = member.node.as_mut() {
-            // The connection is refused, which the sender's link tells with what it couldn't send.
-            node.messages_lost(&box_name(to), messages, now - member.started);
-            node.mark_unreachable(&box_name(to), now - member.started);
+        let sim_box = &mut self.boxes[from];
+        if let Some(node) = sim_box.node.as_mut() {
+            // The connection is refused; the sender gets back the messages that it couldn't send.
+            node.messages_lost(&box_name(to), messages, now - sim_box.started_at);
+            node.mark_unreachable(&box_name(to), now - sim_box.started_at);
             self.flush(from);
         }
     }
 
-    /// The sender notices that a call wasn't answered.
-    fn lose(&mut self, from: usize, to: usize, call: usize) {
+    /// Reports to the sender that a call timed out.
+    fn time_out_call(&mut self, from: usize, to: usize, call: usize) {
         let Some(messages) = self.calls[call].take() else { return };
         let now = self.now;
-        let member = &mut self.members[from];
-        if let Some(node) = member.node.as_mut() {
-            node.messages_lost(&box_name(to), messages, now - member.started);
+        let sim_box = &mut self.boxes[from];
+        if let Some(node) = sim_box.node.as_mut() {
+            node.messages_lost(&box_name(to), messages, now - sim_box.started_at);
         }
     }
 
-    fn arrive(&mut self, workspace: usize, place: usize) {
+    fn submit_request(&mut self, workspace: usize, position: usize) {
         let traffic = self.setup.workspaces[workspace].clone();
         if traffic.active.1 <= self.now {
             return;
@@ -444,16 +445,16 @@
         if traffic.rate != 0.0 {
             let u: f64 = self.rng.random_range(f64::EPSILON..1.0);
             let next = self.now + Duration::from_secs_f64(-u.ln() / traffic.rate);
-            self.at(next, Event::Arrive { workspace, place });
+            self.schedule(next, Event::Arrive { workspace, position });
         }
         let cost = self.rng.random_range(traffic.tokens.0..=traffic.tokens.1);
-        let Some(router) = self.router_for(&traffic, place) else {
-            self.arrive_later(workspace, place);
+        let Some(router) = self.router_for(&traffic, position) else {
+            self.replace_lost_request(workspace, position);
             return;
         };
         let now = self.now;
-        let member = &mut self.members[router];
-        let node = member.node.as_mut().expect("chosen among those up");
+        let sim_box = &mut self.boxes[router];
+        let node = sim_box.node.as_mut().expect("a running box was chosen");
         let id = node.new_ticket_id();
         let name = if self.setup.fifo { "all".to_owned() } else { workspace_name(workspace) };
         let ticket = Ticket {
@@ -463,67 +464,67 @@
             service: SERVICE.into(),
             pool: POOL.into(),
             class: traffic.class,
-            deadline_ms: DEADLINE.as_millis() as u64,
+            deadline_ms: REQUEST_DEADLINE.as_millis() as u64,
             prefix: 0,
             avoid: None,
             forwarded: false,
         };
-        self.requests.insert(id, Request { router, workspace, place, cost, arrived: now });
-        node.submit(ticket, now - member.started).expect("the rig's limits are wide");
+        self.requests.insert(id, Request { router, workspace, position, cost, arrived_at: now });
+        node.submit(ticket, now - sim_box.started_at).expect("the rig's limits are wide");
         self.flush(router);
     }
 
-    /// A router that is up: the one at this place, or for a place that is down the next one.
-    fn router_for(&mut self, traffic: &Traffic, place: usize) -> Option<usize> {
+    /// The running router at this position of the workspace's boxes, or the next running one.
+    fn router_for(&mut self, traffic: &Traffic, position: usize) -> Option<usize> {
         let all: Vec<usize> = match traffic.boxes.is_empty() {
-            true => (0..self.members.len()).collect(),
+            true => (0..self.boxes.len()).collect(),
             false => traffic.boxes.clone(),
         };
-        let place = match traffic.rate != 0.0 {
+        let position = match traffic.rate != 0.0 {
             true => self.rng.random_range(0..all.len()),
-            false => place,
+            false => position,
         };
-        let mut tries = (0..all.len()).map(|k| all[(place + k) % all.len()]);
-        tries.find(|&i| self.members[i].node.is_some())
+        let mut tries = (0..all.len()).map(|k| all[(position + k) % all.len()]);
+        tries.find(|&i| self.boxes[i].node.is_some())
     }
 
-    fn begin_traffic(&mut self, workspace: usize) {
+    fn start_traffic(&mut self, workspace: usize) {
         let traffic = self.setup.workspaces[workspace].clone();
-        let places = match traffic.boxes.is_empty() {
-            true => self.members.len(),
+        let positions = match traffic.boxes.is_empty() {
+            true => self.boxes.len(),
             false => traffic.boxes.len(),
         };
         if traffic.rate != 0.0 {
-            self.at(traffic.active.0, Event::Arrive { workspace, place: 0 });
+            self.schedule(traffic.active.0, Event::Arrive { workspace, position: 0 });
         }
-        for place in 0..places {
+        for position in 0..positions {
             for _ in 0..traffic.backlog {
-                self.at(traffic.active.0, Event::Arrive { workspace, place });
+                self.schedule(traffic.active.0, Event::Arrive { workspace, position });
             }
         }
     }
 
-    /// The caller of a request that was lost sends it again after a while.
-    fn arrive_later(&mut self, workspace: usize, place: usize) {
+    /// Schedules the request that a backlogged workspace sends in place of a lost one.
+    fn replace_lost_request(&mut self, workspace: usize, position: usize) {
         if self.setup.workspaces[workspace].rate == 0.0 {
-            self.at(self.now + TICK, Event::Arrive { workspace, place });
+            self.schedule(self.now + TICK_INTERVAL, Event::Arrive { workspace, position });
         }
     }
 
     fn flush(&mut self, i: usize) {
-        self.flush_to(i, None);
+        self.flush_with_response(i, None);
     }
 
-    /// Does what a node wants done. What it has for its caller goes back with the call's answer.
-    fn flush_to(&mut self, i: usize, caller: Option<usize>) {
-        let Some(node) = self.members[i].node.as_mut() else { return };
+    /// Applies a node's output. Messages for `caller` go back in the response to its call.
+    fn flush_with_response(&mut self, i: usize, caller: Option<usize>) {
+        let Some(node) = self.boxes[i].node.as_mut() else { return };
         for output in node.take_output() {
             match output {
                 Output::Send { to, message } => {
                     let to = box_index(&to);
-                    self.members[i].outbox.entry(to).or_default().push(message);
+                    self.boxes[i].outbox.entry(to).or_default().push(message);
                 }
-                Output::Start { ticket, upstream, .. } => self.begin(i, ticket, &upstream),
+                Output::Start { ticket, upstream, .. } => self.start_request(i, ticket, &upstream),
                 Output::LogChange(Change::Member { live: false, .. }) => {
                     self.outcome.suspicions += 1;
                 }
@@ -533,37 +534,38 @@
                 Output::RecordDecision(_) | Output::LogChange(_) => {}
             }
         }
-        for (to, messages) in std::mem::take(&mut self.members[i].outbox) {
-            // Of a call that is answered at once nothing is held back.
+        for (to, messages) in std::mem::take(&mut self.boxes[i].outbox) {
+            // A call that is answered at once is not held back.
             if caller == Some(to) {
-                self.answers_held_call(i, to);
-            } else if !self.answers_held_call(i, to) {
+                self.take_held_call(i, to);
+            } else if !self.take_held_call(i, to) {
                 self.outcome.calls += 1;
-                self.outcome.bytes += CALL_BYTES as u64;
+                self.outcome.bytes += CALL_OVERHEAD_BYTES as u64;
                 *self.outcome.bytes_by_kind.entry("calls".to_owned()).or_default() +=
-                    CALL_BYTES as u64;
+                    CALL_OVERHEAD_BYTES as u64;
             }
-            self.call(i, to, messages);
+            self.send_call(i, to, messages);
         }
     }
 
-    /// Whether a message can go in the answer to a call that was held back.
-    fn answers_held_call(&mut self, i: usize, to: usize) -> bool {
+    /// Takes a call from `to` that box `i` held back, if one is open: its response carries messages
+    /// at no extra cost.
+    fn take_held_call(&mut self, i: usize, to: usize) -> bool {
         let now = self.now;
-        let Some(held) = self.held.get_mut(&(i, to)) else { return false };
+        let Some(held) = self.held_calls.get_mut(&(i, to)) else { return false };
         held.retain(|until| now < *until);
         held.pop_front().is_some()
     }
 
-    fn call(&mut self, from: usize, to: usize, messages: Vec<Message>) {
-        self.count(&messages);
+    fn send_call(&mut self, from: usize, to: usize, messages: Vec<Message>) {
+        self.count_bytes(&messages);
         let zones = (from / self.setup.boxes, to / self.setup.boxes);
         let cut = |z| self.network.isolated_zones.contains(&z);
         let cut = zones.0 != zones.1 && (cut(zones.0) || cut(zones.1));
         if cut || self.rng.random_bool(self.network.loss_rate) {
             let call = self.calls.len();
             self.calls.push(Some(messages));
-            self.at(self.now + CALL_TIMEOUT, Event::Lose { from, to, call });
+            self.schedule(self.now + CALL_TIMEOUT, Event::TimeOut { from, to, call });
             return;
         }
         let latency = if zones.0 == zones.1 {
@@ -572,19 +574,25 @@
             self.setup.cross_zone_latency
         };
         if self.rng.random_bool(self.network.duplicate_rate) {
-            self.post(from, to, messages.clone(), latency * 3);
+            self.schedule_delivery(from, to, messages.clone(), latency * 3);
         }
         let slow = if self.rng.random_bool(self.network.delay_rate) { 50 } else { 1 };
-        self.post(from, to, messages, latency * slow);
+        self.schedule_delivery(from, to, messages, latency * slow);
     }
 
-    fn post(&mut self, from: usize, to: usize, messages: Vec<Message>, after: Duration) {
+    fn schedule_delivery(
+        &mut self,
+        from: usize,
+        to: usize,
+        messages: Vec<Message>,
+        after: Duration,
+    ) {
         let call = self.calls.len();
         self.calls.push(Some(messages));
-        self.at(self.now + after, Event::Deliver { from, to, call });
+        self.schedule(self.now + after, Event::Deliver { from, to, call });
     }
 
-    fn count(&mut self, messages: &[Message]) {
+    fn count_bytes(&mut self, messages: &[Message]) {
         for message in messages {
             let value = serde_json::to_value(message).expect("messages serialize");
             let kind = value.as_object().and_then(|o| o.keys().next()).expect("a tagged message");
@@ -594,43 +602,44 @@
         }
     }
 
-    /// A router sends a request to an engine.
-    fn begin(&mut self, router: usize, ticket: TicketId, upstream: &UpstreamName) {
-        assert!(self.started.insert(ticket), "a ticket started twice");
-        let request = self.requests.remove(&ticket).expect("a started ticket was asked for");
-        let waited = (self.now - request.arrived).as_secs_f64();
+    /// Sends a request from its router to an engine.
+    fn start_request(&mut self, router: usize, ticket: TicketId, upstream: &UpstreamName) {
+        assert!(self.started_tickets.insert(ticket), "a ticket started twice");
+        let request = self.requests.remove(&ticket).expect("a started ticket was submitted");
+        let waited = (self.now - request.arrived_at).as_secs_f64();
         self.outcome.waits_s[request.workspace].push(waited);
-        let engine = self.engines.iter().position(|e| e.name == *upstream).expect("it exists");
+        let engine =
+            self.engines.iter().position(|e| e.name == *upstream).expect("the engine exists");
         let run = self.runs.len();
         self.runs.push(Run {
             router,
-            incarnation: self.members[router].incarnation,
+            incarnation: self.boxes[router].incarnation,
             ticket,
             workspace: request.workspace,
-            place: request.place,
+            position: request.position,
             engine,
             cost: request.cost,
-            begun: None,
-            counted: 0,
-            over: false,
+            started_at: None,
+            counted_tokens: 0,
+            has_ended: false,
         });
         self.engines[engine].waiting.push_back(run);
-        self.feed(engine);
+        self.start_waiting(engine);
     }
 
-    /// Starts what waits inside an engine, as far as its slots go.
-    fn feed(&mut self, engine: usize) {
+    /// Starts requests that wait inside an engine while it has free slots.
+    fn start_waiting(&mut self, engine: usize) {
         let slots = self.setup.slots;
         while self.engines[engine].running < slots {
             let Some(run) = self.engines[engine].waiting.pop_front() else { break };
-            if self.runs[run].over {
+            if self.runs[run].has_ended {
                 continue;
             }
             self.engines[engine].running += 1;
-            self.runs[run].begun = Some(self.now);
+            self.runs[run].started_at = Some(self.now);
             let end = self.now + self.setup.token_interval * self.runs[run].cost as u32;
-            self.at(end, Event::Finish { run });
-            self.at(self.now + PROGRESS, Event::Progress { run });
+            self.schedule(end, Event::Finish { run });
+            self.schedule(self.now + PROGRESS_INTERVAL, Event::Progress { run });
         }
         let waiting = self.engines[engine].waiting.len() as u32;
         self.outcome.overcommitted_max = self.outcome.overcommitted_max.max(waiting);
@@ -640,23 +649,23 @@
 
     fn progress(&mut self, run: usize) {
         let r = &self.runs[run];
-        let Some(begun) = r.begun else { return };
-        if r.over {
+        let Some(started_at) = r.started_at else { return };
+        if r.has_ended {
             return;
         }
         let produced =
-            ((self.now - begun).as_nanos() / self.setup.token_interval.as_nanos()) as u64;
+            ((self.now - started_at).as_nanos() / self.setup.token_interval.as_nanos()) as u64;
         let (router, ticket) = (r.router, r.ticket);
-        let member = &mut self.members[router];
-        if let Some(node) = member.node.as_mut() {
-            node.record_progress(ticket, produced, self.now - member.started);
+        let sim_box = &mut self.boxes[router];
+        if let Some(node) = sim_box.node.as_mut() {
+            node.record_progress(ticket, produced, self.now - sim_box.started_at);
             self.flush(router);
         }
-        self.at(self.now + PROGRESS, Event::Progress { run });
+        self.schedule(self.now + PROGRESS_INTERVAL, Event::Progress { run });
     }
 
     fn finish(&mut self, run: usize) {
-        if self.runs[run].over {
+        if self.runs[run].has_ended {
             return;
         }
         self.end_run(run);
@@ -664,42 +673,42 @@
         let r = &self.runs[run];
         let (router, ticket, cost) = (r.router, r.ticket, r.cost);
         let incarnation = r.incarnation;
-        let member = &mut self.members[router];
-        if member.incarnation == incarnation
-            && let Some(node) = member.node.as_mut()
+        let sim_box = &mut self.boxes[router];
+        if sim_box.incarnation == incarnation
+            && let Some(node) = sim_box.node.as_mut()
         {
-            node.finish(ticket, cost, Ending::Answered, self.now - member.started);
+            node.finish(ticket, cost, Ending::Answered, self.now - sim_box.started_at);
             self.flush(router);
         }
-        self.again(run);
+        self.send_next(run);
     }
 
-    /// A backlogged workspace sends its next request.
-    fn again(&mut self, run: usize) {
-        let (workspace, place) = (self.runs[run].workspace, self.runs[run].place);
+    /// Schedules the next request of a backlogged workspace.
+    fn send_next(&mut self, run: usize) {
+        let (workspace, position) = (self.runs[run].workspace, self.runs[run].position);
         if self.setup.workspaces[workspace].rate == 0.0 {
-            self.at(self.now, Event::Arrive { workspace, place });
+            self.schedule(self.now, Event::Arrive { workspace, position });
         }
     }
 
     fn end_run(&mut self, run: usize) {
-        self.runs[run].over = true;
-        if self.runs[run].begun.is_some() {
+        self.runs[run].has_ended = true;
+        if self.runs[run].started_at.is_some() {
             self.count_service(run);
             let engine = self.runs[run].engine;
             self.engines[engine].running -= 1;
-            self.feed(engine);
+            self.start_waiting(engine);
         }
     }
 
-    /// Adds what a run has produced since it was last counted.
+    /// Adds the tokens that a run has produced since it was last counted.
     fn count_service(&mut self, run: usize) {
-        let Some(begun) = self.runs[run].begun else { return };
+        let Some(started_at) = self.runs[run].started_at else { return };
         let produced =
-            ((self.now - begun).as_nanos() / self.setup.token_interval.as_nanos()) as u64;
+            ((self.now - started_at).as_nanos() / self.setup.token_interval.as_nanos()) as u64;
         let produced = produced.min(self.runs[run].cost);
-        let more = produced - self.runs[run].counted;
-        self.runs[run].counted = produced;
+        let more = produced - self.runs[run].counted_tokens;
+        self.runs[run].counted_tokens = produced;
         let sums = &mut self.outcome.service[self.runs[run].workspace];
         match sums.last_mut() {
             Some(sum) => *sum += more,
@@ -707,30 +716,31 @@
         }
     }
 
-    fn report(&mut self, i: usize) {
+    fn report_upstreams(&mut self, i: usize) {
         let (zone, now) = (i / self.setup.boxes, self.now);
         let mut reports = Vec::new();
         for engine in self.engines.iter_mut().filter(|e| e.zone == zone) {
-            let due = |h: &VecDeque<(Duration, u32)>| 1 < h.len() && h[1].0 + REPORT <= now;
+            let due =
+                |h: &VecDeque<(Duration, u32)>| 1 < h.len() && h[1].0 + REPORT_INTERVAL <= now;
             while due(&engine.history) {
                 engine.history.pop_front();
             }
             let running = engine.history.front().map_or(0, |h| h.1);
             reports.push((engine.name.clone(), UpstreamReport { running, leaving: false }));
         }
-        let member = &mut self.members[i];
-        if let Some(node) = member.node.as_mut() {
+        let sim_box = &mut self.boxes[i];
+        if let Some(node) = sim_box.node.as_mut() {
             for (name, report) in reports {
-                node.record_upstream_report(&POOL.into(), &name, report, now - member.started);
+                node.record_upstream_report(&POOL.into(), &name, report, now - sim_box.started_at);
             }
             self.flush(i);
-            self.at(now + REPORT, Event::UpstreamReport(i));
+            self.schedule(now + REPORT_INTERVAL, Event::UpstreamReport(i));
         }
     }
 
     fn sample(&mut self) {
         for run in 0..self.runs.len() {
-            if !self.runs[run].over {
+            if !self.runs[run].has_ended {
                 self.count_service(run);
             }
         }
@@ -742,18 +752,18 @@
         let slots = self.setup.slots * self.engines.len() as u32;
         let waiting = self.requests.len();
         self.outcome.slots.push((used, slots, waiting));
-        self.at(self.now + SAMPLE, Event::Sample);
+        self.schedule(self.now + SAMPLE_INTERVAL, Event::Sample);
     }
 
-    fn at(&mut self, at: Duration, event: Event) {
+    fn schedule(&mut self, at: Duration, event: Event) {
         self.sequence += 1;
         self.queue.push(Reverse((at, self.sequence, event)));
     }
 }
 
 impl Outcome {
-    /// The largest gap of service by weight that opened between two of these workspaces over any
-    /// stretch between two samples.
+    /// The largest difference in service per weight that arose between two of these workspaces over
+    /// any interval between two samples.
     pub fn service_gap_max(
         &self,
         setup: &Setup,
@@ -776,8 +786,8 @@
         largest
     }
 
-    /// The least that one of these workspaces got in any two seconds, as a share of what each would
-    /// have got of all that they received then.
+    /// The smallest service of one of these workspaces in any two seconds, relative to an equal
+    /// share of what all of them received in that time.
     pub fn least_share(&self, who: &[usize], samples: std::ops::Range<usize>) -> f64 {
         const WINDOW: usize = 20;
         let mut least = f64::MAX;
@@ -791,7 +801,7 @@
         least
     }
 
-    /// The share of slots in use at the samples at which work waited.
+    /// The share of slots in use, over the samples at which tickets waited.
     pub fn utilisation(&self, samples: std::ops::Range<usize>) -> f64 {
         let waiting = self.slots[samples].iter().filter(|s| s.2 != 0);
         let (used, all) =
@@ -802,13 +812,13 @@
 
 /// The box list of a fleet.
 pub fn box_list(setup: &Setup) -> Vec<ListedBox> {
-    let listed = |i: usize| ListedBox {
+    let listed_box = |i: usize| ListedBox {
         name: box_name(i),
         zone: (&*zone_name(i / setup.boxes)).into(),
         peer: ([127, 0, 0, 1], 1).into(),
         leaving: false,
     };
-    (0..setup.zones * setup.boxes).map(listed).collect()
+    (0..setup.zones * setup.boxes).map(listed_box).collect()
 }
 
 /// The configuration of a fleet.
@@ -818,13 +828,13 @@
         named.map(|(w, t)| catalog::workspace(&workspace_name(w), t.weight)).collect();
     workspaces.push(catalog::workspace("all", 1));
     let upstream = |e: Engine| catalog::upstream(&e.name, &zone_name(e.zone), setup.slots);
-    let upstreams = engines(setup).into_iter().map(upstream).collect();
+    let upstreams = idle_engines(setup).into_iter().map(upstream).collect();
     let mut configuration = catalog::catalog(workspaces, upstreams);
     configuration.pools[0].debt_cap = setup.debt_cap;
     configuration
 }
 
-fn engines(setup: &Setup) -> Vec<Engine> {
+fn idle_engines(setup: &Setup) -> Vec<Engine> {
     let engine = |i: usize| Engine {
         name: UpstreamName::from(&*format!("engine-{i}")),
         zone: i / setup.engines,
