--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -77,7 +77,8 @@
     (started, refused)
 }
 
-/// Guards against requests that wait until their deadline though the queue is too long to reach them.
+/// Guards against requests that wait until their deadline though the queue is too long to reach
+/// them.
 #[test]
 fn requests_that_cannot_meet_their_deadline_are_refused_early() {
     let mut node = node();
@@ -114,8 +115,8 @@
     assert!(refused.iter().all(|(id, _)| *id != urgent));
 }
 
-/// Guards against refusing requests on an unfounded estimate: while none is served, the service rate
-/// is unknown.
+/// Guards against refusing requests on an unfounded estimate: while none is served, the service
+/// rate is unknown.
 #[test]
 fn no_request_is_refused_while_the_service_rate_is_unknown() {
     let mut node = node();
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -229,7 +229,8 @@
     assert!(!claims.is_store_down());
 }
 
-/// Guards against accepting a key whose age is unknown or outside the limits: its record may be gone.
+/// Guards against accepting a key whose age is unknown or outside the limits: its record may be
+/// gone.
 #[test]
 fn invalid_keys_are_rejected() {
     let now = SystemTime::now();
@@ -264,7 +265,8 @@
         ClaimOutcome::HeldByOther
     );
     // The object is reused for keys made `OBJECTS_PER_SHARD` minutes later. Even from a caller
-    // whose clock is ahead by the allowed skew, those arrive after every router rejects the old key.
+    // whose clock is ahead by the allowed skew, those arrive after every router rejects the old
+    // key.
     let minute = made_at_s / 60;
     let next = ClaimRequest {
         key: "def".to_owned(),
--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -54,7 +54,8 @@
     assert_eq!((clock.now(), meter.suspended()), (9 * SECOND, Some(2 * SECOND)));
 }
 
-/// Guards against a timer that runs for its full remaining time after a suspension past its deadline.
+/// Guards against a timer that runs for its full remaining time after a suspension past its
+/// deadline.
 #[tokio::test(start_paused = true)]
 async fn a_deadline_that_passes_during_a_suspension_fires_on_wake() {
     let time_source = SuspendableClock::new();
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// A report of another zone's dispatcher with these counters and no unmerged changes of ours.
+/// A report of another zone's dispatcher with these counters, which has merged none of ours.
 fn report(version: u64, entries: Vec<CounterEntry>) -> DispatcherReport {
     DispatcherReport {
         pool: "llm".into(),
@@ -206,7 +206,8 @@
     pool.submit(ticket(2, "a", Class::Normal), NOW, &mut out);
     pool.submit(ticket(3, "b", Class::Normal), NOW, &mut out);
     pool.submit(ticket(4, "a", Class::Normal), NOW, &mut out);
-    // The estimate of 100 was far too high: the charge goes down here, as does the one assumed there.
+    // The estimate of 100 was far too high: the charge goes down here, as does the one assumed
+    // there.
     let grant = grants(&out)[0].id;
     complete(&mut pool, grant, 1, Ending::Answered);
     let mut other = report(1, vec![CounterEntry("b".into(), 5_000_000, 0, 4)]);
@@ -376,7 +377,8 @@
     out.into_iter().filter_map(check).collect()
 }
 
-/// Guards against slots lost with a grant that never reached its router or whose completion was lost.
+/// Guards against slots lost with a grant that never reached its router or whose completion was
+/// lost.
 #[test]
 fn grants_are_checked_by_digest_and_unused_ones_are_freed() {
     let mut pool = pool(8);
--- a/tests/holds_at_most_once.rs
+++ b/tests/holds_at_most_once.rs
@@ -56,7 +56,8 @@
     }
 }
 
-/// Guards against running a key again, or not knowing that it ran, after its first attempt completed.
+/// Guards against running a key again, or not knowing that it ran, after its first attempt
+/// completed.
 #[test]
 fn a_later_attempt_gets_outcome_ran() {
     let fleet = three_zones();
--- a/tests/holds_configuration.rs
+++ b/tests/holds_configuration.rs
@@ -191,7 +191,8 @@
     );
 }
 
-/// Guards against a false failure, or a second write, when the response to a confirmed write is lost.
+/// Guards against a false failure, or a second write, when the response to a confirmed write is
+/// lost.
 #[test]
 fn a_lost_response_to_an_update_is_resolved() {
     let (platform, store) = start_store();
--- a/tests/holds_leases.rs
+++ b/tests/holds_leases.rs
@@ -263,7 +263,8 @@
     }
 }
 
-/// Guards against too many engines out of service at once, and against loading under running requests.
+/// Guards against too many engines out of service at once, and against loading under running
+/// requests.
 #[test]
 fn engines_change_one_at_a_time_and_accept_requests_afterwards() {
     let (cfg, mut observed) = four_engines();
