--- a/tests/holds_answers.rs
+++ b/tests/holds_answers.rs
@@ -233,7 +233,7 @@
     let setup = Setup { slots: 1, token_interval: Duration::from_millis(20), ..Setup::default() };
     let fleet = Fleet::start(&setup);
     let caller = send_without_reading(&fleet, 5000);
-    wait_until("it runs", || fleet.engines[0].running() == 1);
+    wait_until("the request runs", || fleet.engines[0].running() == 1);
     drop(caller);
     wait_until("the engine stops", || fleet.engines[0].cancelled_count() == 1);
     // The next request gets the only slot.
--- a/tests/holds_at_most_once.rs
+++ b/tests/holds_at_most_once.rs
@@ -149,7 +149,7 @@
     assert_eq!(response.outcome, "not-run");
     fleet.configuration["upstreams"][1]["draining"] = false.into();
     fleet.configure();
-    wait_until("it can run later", || transfer(&fleet, 0, &key).outcome == "ran");
+    wait_until("the request runs later", || transfer(&fleet, 0, &key).outcome == "ran");
     assert_eq!(fleet.run_count(&key), 1);
 }
 
--- a/tests/holds_configuration.rs
+++ b/tests/holds_configuration.rs
@@ -116,7 +116,7 @@
     }
     fleet.configuration["workspaces"][0]["weight"] = 5.into();
     fleet.configure();
-    util::fleet::wait_until("one router has it", || {
+    util::fleet::wait_until("one router has the revision", || {
         fleet.routers[0].metric("frostdyke_revision") == Some(2.0)
     });
     fleet.platform.set_faults(Faults { down: true, ..Faults::default() });
@@ -179,7 +179,7 @@
     let (_platform, store) = start_store();
     let mine = plan::create(&store, put_workspace("mine")).expect("a plan");
     let theirs = plan::create(&store, put_workspace("theirs")).expect("a plan");
-    plan::confirm(&store, &theirs, "them").expect("it is applied");
+    plan::confirm(&store, &theirs, "them").expect("the plan is applied");
     let Err(Problem::Stale { plan }) = plan::confirm(&store, &mine, "me") else {
         panic!("a stale plan was applied");
     };
@@ -198,11 +198,11 @@
     let (platform, store) = start_store();
     let wanted = plan::create(&store, put_workspace("mine")).expect("a plan");
     platform.set_faults(Faults { lose_answers: 1, ..Faults::default() });
-    let confirmed = plan::confirm(&store, &wanted, "me").expect("it is applied");
+    let confirmed = plan::confirm(&store, &wanted, "me").expect("the plan is applied");
     assert_eq!(confirmed.revision, 1);
     assert_eq!(platform.calls().writes, 1, "it is written once");
     // A repeated confirmation returns the same revision.
-    assert_eq!(plan::confirm(&store, &wanted, "me").expect("it was").revision, 1);
+    assert_eq!(plan::confirm(&store, &wanted, "me").expect("the plan is applied").revision, 1);
 }
 
 /// Guards against confirming a change other than the one that the operator was shown.
--- a/tests/holds_leases.rs
+++ b/tests/holds_leases.rs
@@ -358,7 +358,7 @@
         configuration["upstreams"][0]["engine"] = serde_json::json!({"model": "m", "version": "1"});
         put(&configuration);
         let mut first = fleet.spawn_controller(0, 0);
-        wait_until("it is drained", || fleet.engines[0].orders().is_drained());
+        wait_until("the engine is drained", || fleet.engines[0].orders().is_drained());
         wait_until("the drain is reported", || {
             fleet.platform.get("frostdyke/engines/zone-0").is_some()
         });
@@ -366,7 +366,7 @@
         first.wait().expect("it is a child process");
         put(&fleet.configuration);
         let mut second = fleet.spawn_controller(0, 1);
-        wait_until("it takes work", || !fleet.engines[0].orders().is_drained());
+        wait_until("the engine accepts requests", || !fleet.engines[0].orders().is_drained());
         second.kill().expect("it is a child process");
         second.wait().expect("it is a child process");
         assert!(long.join().expect("no panic").is_complete);
--- a/tests/holds_leaving.rs
+++ b/tests/holds_leaving.rs
@@ -33,7 +33,7 @@
         let req = http_client().post(url).header("frostdyke-workspace", "alpha");
         req.send("{\"max_tokens\":600}").expect("it runs").body_mut().read_to_string()
     });
-    wait_until("it runs", || fleet.engines[0].running() == 1);
+    wait_until("the long request runs", || fleet.engines[0].running() == 1);
     leave(fleet);
     wait_until("the routers know that the engine leaves", || is_noticed(fleet));
     let before = fleet.engines[0].run_counts().len();
--- a/tests/holds_planned_stop.rs
+++ b/tests/holds_planned_stop.rs
@@ -104,9 +104,9 @@
     thread::scope(|scope| {
         let router = &fleet.routers[0];
         scope.spawn(|| router.send("assist", "{\"max_tokens\":10000}", &[]));
-        wait_until("it runs", || fleet.engines[0].running() == 1);
+        wait_until("the request runs", || fleet.engines[0].running() == 1);
         router.signal(Signal::SIGTERM);
-        wait_until("it stops", || {
+        wait_until("the router is not ready", || {
             let ready = http_client().get(format!("http://{}/readyz", router.callers)).call();
             ready.is_ok_and(|r| r.status() == 503)
         });
