--- a/benches/fleet/mod.rs
+++ b/benches/fleet/mod.rs
@@ -103,9 +103,9 @@
     rig.run_for(12 * SECOND);
     match scenario {
         Scenario::Cut if policy == Policy::Fleet => {
-            rig.net.cut_zones.insert(1);
+            rig.network.isolated_zones.insert(1);
             rig.run_for(10 * SECOND);
-            rig.net.cut_zones.clear();
+            rig.network.isolated_zones.clear();
         }
         Scenario::Killed => {
             let i = if policy == Policy::Fleet { rig.dispatcher(0) } else { 1 };
@@ -122,7 +122,7 @@
     let (who, evaluated) =
         ([0, 1, 2], if scenario == Scenario::Cut { AFTER_CUT } else { EVALUATED });
     Metrics {
-        gap: outcome.gap(&setup, &who, evaluated.clone()),
+        gap: outcome.service_gap_max(&setup, &who, evaluated.clone()),
         least_share: outcome.least_share(&who, evaluated),
         utilisation: outcome.utilisation(EVALUATED),
         bytes_per_request: outcome.bytes as f64 / outcome.requests as f64,
--- a/benches/operations.rs
+++ b/benches/operations.rs
@@ -49,7 +49,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 fn main() {
-    let setup = Setup { zones: vec![3, 3, 3], token: TOKEN, ..Setup::default() };
+    let setup = Setup { zones: vec![3, 3, 3], token_interval: TOKEN, ..Setup::default() };
     let mut fleet = Fleet::start(&setup);
     let mut check = BoundCheck { failed: false };
     measure_stops(&mut fleet, &mut check);
@@ -90,10 +90,10 @@
     let report = || fleet.platform.get("frostdyke/engines/zone-0").is_some();
     fleet::wait_until("the controller reports the engines", report);
     let pid = fleet.controllers[0].id();
-    let before = fleet::processor_time(pid);
+    let before = fleet::cpu_time(pid);
     thread::sleep(CONTROLLER_DURATION);
-    let used = fleet::processor_time(pid) - before;
-    (100.0 * used.as_secs_f64() / CONTROLLER_DURATION.as_secs_f64(), fleet::resident(pid))
+    let used = fleet::cpu_time(pid) - before;
+    (100.0 * used.as_secs_f64() / CONTROLLER_DURATION.as_secs_f64(), fleet::resident_bytes(pid))
 }
 
 /// Responses that callers received during an operation.
@@ -122,7 +122,7 @@
 
 /// Sends one request after the other; switches to the next router when one is down or stops.
 fn run_caller(urls: &[String], first: usize, stats: &CallerStats) {
-    let agent = fleet::http();
+    let agent = fleet::http_client();
     let body = format!("{{\"max_tokens\":{TOKENS}}}");
     let mut router = first;
     while !stats.is_over.load(Ordering::Relaxed) {
@@ -159,7 +159,7 @@
         for i in 0..fleet.routers.len() {
             let started = Instant::now();
             fleet.routers[i].signal(Signal::SIGTERM);
-            fleet.routers[i].wait();
+            fleet.routers[i].wait_for_exit();
             times.push(started.elapsed());
             fleet.start_router(i);
             fleet.routers[i].wait_ready();
--- a/benches/utilisation.rs
+++ b/benches/utilisation.rs
@@ -63,7 +63,7 @@
         boxes: BOXES,
         engines: 30,
         slots: 32,
-        token: Duration::from_micros(7000),
+        token_interval: Duration::from_micros(7000),
         workspaces,
         ..Setup::default()
     };
@@ -81,7 +81,7 @@
         boxes: BOXES,
         engines: 30,
         slots: 1000,
-        token: Duration::from_millis(45),
+        token_interval: Duration::from_millis(45),
         workspaces: vec![light; 50],
         ..Setup::default()
     };
@@ -99,13 +99,13 @@
     // Grants change routers until all boxes know each other, which is no steady state.
     rig.run_for(fleet::SECOND * settle_s);
     let (bytes, requests) = (rig.outcome.bytes, rig.outcome.requests);
-    let (kinds, suspicions) = (rig.outcome.kinds.clone(), rig.outcome.suspicions);
+    let (kinds, suspicions) = (rig.outcome.bytes_by_kind.clone(), rig.outcome.suspicions);
     rig.run_for(fleet::SECOND * 10);
     let outcome = &rig.outcome;
     let per_router = |n: u64| n as f64 / BOXES as f64 / 10.0;
     let rate = per_router(outcome.requests - requests);
     println!("{name}.requests-per-router-second {rate:.1}");
-    for (kind, n) in &outcome.kinds {
+    for (kind, n) in &outcome.bytes_by_kind {
         let n = n - kinds.get(kind).copied().unwrap_or(0);
         println!("{name}.bytes-per-router-second.{kind} {:.0}", per_router(n));
     }
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission at a router: a request that can't be served before its deadline is refused early.
+//! A router refuses waiting requests early that it can't serve before their deadline.
 
 mod util;
 
@@ -21,13 +21,16 @@
 
 const DEADLINE: Duration = Duration::from_secs(10);
 
-/// A single box in its zone, with an engine of one slot.
+/// The only box of a zone, with an engine that has one slot.
 fn node() -> Node {
     let id = Identity { name: "box-1".into(), zone: "here".into(), incarnation: 1 };
     let mut node = Node::new(id, Tuning::default(), GossipSettings::default());
     let engine = catalog::upstream("e1", "here", 1);
     let cfg = catalog::catalog(vec![catalog::workspace("a", 1)], vec![engine]);
-    node.configure(CatalogRevision::new(1, cfg).expect("it is valid"), Duration::ZERO);
+    node.configure(
+        CatalogRevision::new(1, cfg).expect("the configuration is valid"),
+        Duration::ZERO,
+    );
     node
 }
 
@@ -46,7 +49,8 @@
     }
 }
 
-/// Serves one request a second for `span`. Returns what was started, and what was refused and when.
+/// Serves one request per second for `span`. Returns the tickets that were started, and those that
+/// were refused with the time of the refusal.
 fn serve(node: &mut Node, span: Duration) -> (Vec<TicketId>, Vec<(TicketId, Duration)>) {
     let (mut started, mut refused, mut running) = (Vec::new(), Vec::new(), None);
     let mut now = Duration::ZERO;
@@ -73,9 +77,10 @@
     (started, refused)
 }
 
-/// A caller that waits until its deadline before the refusal has no time left to try elsewhere.
+/// Guards against requests that wait until their deadline though the queue is too long to reach
+/// them.
 #[test]
-fn requests_that_cannot_be_served_in_time_are_refused_early() {
+fn requests_that_cannot_meet_their_deadline_are_refused_early() {
     let mut node = node();
     let ids: Vec<TicketId> = (0..40).map(|_| node.new_ticket_id()).collect();
     for &id in &ids {
@@ -83,11 +88,11 @@
     }
     let (started, refused) = serve(&mut node, DEADLINE);
     assert!(10 <= refused.len(), "{refused:?}");
-    // Most are refused in the first half of their time.
+    // Most are refused in the first half of their time to the deadline.
     let early = refused.iter().filter(|(_, at)| *at < DEADLINE / 2).count();
     assert!(refused.len() / 2 <= early, "{refused:?}");
-    // Those at the end of the queue are refused, and none that was served.
-    let last_started = started.iter().max().expect("some were");
+    // The refused ones are at the end of the queue, behind all that were served.
+    let last_started = started.iter().max().expect("some were started");
     assert!(refused.iter().all(|(id, _)| last_started < id), "{started:?} {refused:?}");
     let all: BTreeSet<TicketId> =
         started.iter().copied().chain(refused.iter().map(|(id, _)| *id)).collect();
@@ -95,9 +100,9 @@
     assert_eq!(node.waiting_count(), ids.len() - all.len());
 }
 
-/// An urgent request must not be refused for requests that wait behind it.
+/// Guards against refusing an urgent request because of the normal ones that wait behind it.
 #[test]
-fn urgent_requests_are_judged_by_the_queue_ahead_of_them_only() {
+fn an_urgent_request_counts_only_requests_ahead_of_it() {
     let mut node = node();
     for _ in 0..40 {
         let id = node.new_ticket_id();
@@ -110,13 +115,17 @@
     assert!(refused.iter().all(|(id, _)| *id != urgent));
 }
 
-/// Until a request has been served there is no estimate of how long the others will wait.
+/// Guards against refusing requests on an unfounded estimate: while none is served, the service
+/// rate is unknown.
 #[test]
 fn no_request_is_refused_while_the_service_rate_is_unknown() {
     let mut node = node();
     let mut cfg = node.configuration().catalog.clone();
     cfg.upstreams[0].draining = true;
-    node.configure(CatalogRevision::new(2, cfg).expect("it is valid"), Duration::ZERO);
+    node.configure(
+        CatalogRevision::new(2, cfg).expect("the configuration is valid"),
+        Duration::ZERO,
+    );
     for _ in 0..40 {
         let id = node.new_ticket_id();
         node.submit(ticket(id, Class::Normal), Duration::ZERO).expect("there is room");
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -1,5 +1,5 @@
-//! Claims of idempotency keys, with a store in memory: what is written and by which box, and how a
-//! writer handles failures of the store.
+//! Claims of idempotency keys over an in-memory store: which records are written, by which box, and
+//! what a writer does when the store fails.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -36,9 +36,9 @@
     #[default]
     Available,
     /// Calls fail at once.
-    Down,
+    Unavailable,
     /// Calls don't return.
-    Hangs,
+    Unresponsive,
 }
 
 #[derive(Default)]
@@ -59,11 +59,12 @@
     fn call(&self) -> Result<(), Error> {
         self.calls.fetch_add(1, Ordering::SeqCst);
         let state = self.state.lock().expect("no panic");
-        let state = self.changed.wait_while(state, |m| *m == StoreState::Hangs).expect("no panic");
+        let state =
+            self.changed.wait_while(state, |m| *m == StoreState::Unresponsive).expect("no panic");
         self.calls.fetch_sub(1, Ordering::SeqCst);
         match *state {
-            StoreState::Down => Err(Error::Unavailable("down".to_owned())),
-            StoreState::Available | StoreState::Hangs => Ok(()),
+            StoreState::Unavailable => Err(Error::Unavailable("down".to_owned())),
+            StoreState::Available | StoreState::Unresponsive => Ok(()),
         }
     }
 }
@@ -91,10 +92,10 @@
     }
 }
 
-/// A transport by which every box takes itself for the writer of every shard.
-struct LocalWriter;
+/// Makes every box the writer of every shard.
+struct OwnWriter;
 
-impl ClaimTransport for LocalWriter {
+impl ClaimTransport for OwnWriter {
     fn writer_of(&self, _: u64) -> Option<BoxName> {
         None
     }
@@ -102,12 +103,12 @@
     fn send(&self, _: &BoxName, _: ClaimRequest) {}
 }
 
-/// A transport to another box that writes every shard, and whose responses are late or lost.
-struct Unanswered {
+/// Makes another box the writer of every shard; its responses never arrive.
+struct LosesResponses {
     store: Arc<Store>,
 }
 
-impl ClaimTransport for Unanswered {
+impl ClaimTransport for LosesResponses {
     fn writer_of(&self, _: u64) -> Option<BoxName> {
         Some(BoxName::from("writer"))
     }
@@ -121,13 +122,13 @@
         records.apply(&claim, claim.made_at_s);
         let value = serde_json::to_vec(&records).expect("it serializes");
         let version = object.map_or(0, |o| o.version);
-        // Once others write as well, a conflict is equivalent to a lost message.
+        // A conflict with another writer has the same effect as a lost message.
         let _ = self.store.put(&name, &value, version);
     }
 }
 
-/// As [`Unanswered`], and releases are lost.
-struct LosesReleases(Unanswered);
+/// Like [`LosesResponses`], and releases are lost on the way to the writer.
+struct LosesReleases(LosesResponses);
 
 impl ClaimTransport for LosesReleases {
     fn writer_of(&self, shard: u64) -> Option<BoxName> {
@@ -142,7 +143,7 @@
 }
 
 fn claims(store: &Arc<Store>) -> Arc<Claims> {
-    Claims::new(store.clone(), Box::new(LocalWriter))
+    Claims::new(store.clone(), Box::new(OwnWriter))
 }
 
 fn new_key() -> String {
@@ -153,8 +154,7 @@
     IdempotencyKey::new("alpha", text, SystemTime::now()).expect("a new key")
 }
 
-/// While boxes disagree on the writer of a shard, two must not acquire the same key, or a request
-/// runs twice.
+/// Guards against two writers that acquire the same key at once.
 #[tokio::test]
 async fn one_of_four_writers_of_a_shard_acquires_each_key() {
     let store = Arc::new(Store::default());
@@ -178,43 +178,43 @@
     assert_eq!(acquired, vec![1; keys.len()]);
 }
 
-/// The usual writer of a shard has written a claim, but its response is late. The router that sent
-/// it then claims by itself and must not mistake its own record for another's: otherwise no router
-/// would ever run the request.
+/// Guards against a request that no box ever runs: the writer of a shard writes the claim, but its
+/// response is late. The box that asked then writes the claim itself and must not mistake its own
+/// record for another box's.
 #[tokio::test(start_paused = true)]
-async fn a_claim_with_a_late_response_belongs_to_its_router() {
+async fn a_claim_with_a_late_response_still_belongs_to_its_requester() {
     let store = Arc::new(Store::default());
-    // The release that is sent after the wait is lost, as is the response.
-    let transport = LosesReleases(Unanswered { store: store.clone() });
-    let router = Claims::new(store.clone(), Box::new(transport));
+    // The release that is sent after the time-out is lost, too.
+    let transport = LosesReleases(LosesResponses { store: store.clone() });
+    let requester = Claims::new(store.clone(), Box::new(transport));
     let others = claims(&store);
     let key = key(&new_key());
-    let acquired = router.acquire(key, 7).await;
+    let acquired = requester.acquire(key, 7).await;
     assert!(acquired.is_ok_and(|attempt| attempt != 7), "{acquired:?}");
     assert_eq!(others.acquire(key, 8).await, Err(ClaimOutcome::HeldByOther));
 }
 
-/// The release of the abandoned attempt must not free the key that its successor holds.
+/// Guards against a late release of an abandoned attempt that frees the key of a later attempt.
 #[tokio::test(start_paused = true)]
 async fn a_late_release_does_not_free_a_key_claimed_again() {
     let store = Arc::new(Store::default());
-    let transport = LosesReleases(Unanswered { store: store.clone() });
-    let router = Claims::new(store.clone(), Box::new(transport));
+    let transport = LosesReleases(LosesResponses { store: store.clone() });
+    let requester = Claims::new(store.clone(), Box::new(transport));
     let key = key(&new_key());
-    assert!(router.acquire(key, 7).await.is_ok());
-    let late = Claims::new(store.clone(), Box::new(Unanswered { store: store.clone() }));
+    assert!(requester.acquire(key, 7).await.is_ok());
+    let late = Claims::new(store.clone(), Box::new(LosesResponses { store: store.clone() }));
     late.resolve(key, 7, false);
     assert_eq!(claims(&store).acquire(key, 8).await, Err(ClaimOutcome::HeldByOther));
 }
 
-/// No request waits for a store that is known to be unreachable, even while a probe hangs in it.
+/// Guards against requests that wait for a store known to be unavailable while a probe of it hangs.
 #[tokio::test]
-async fn keys_are_refused_at_once_while_the_store_hangs() {
+async fn keys_are_rejected_at_once_while_the_store_is_unresponsive() {
     let store = Arc::new(Store::default());
     let claims = claims(&store);
-    store.set(StoreState::Down);
+    store.set(StoreState::Unavailable);
     assert_eq!(claims.acquire(key(&new_key()), 1).await, Err(ClaimOutcome::Unavailable));
-    store.set(StoreState::Hangs);
+    store.set(StoreState::Unresponsive);
     while store.calls.load(Ordering::SeqCst) == 0 {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
@@ -229,10 +229,10 @@
     assert!(!claims.is_store_down());
 }
 
-/// Whether a key is still remembered depends on the time in it, so a key without one, or with one
-/// out of range, could run twice.
+/// Guards against accepting a key whose age is unknown or outside the limits: its record may be
+/// gone.
 #[test]
-fn keys_without_a_valid_time_are_refused() {
+fn invalid_keys_are_rejected() {
     let now = SystemTime::now();
     let v4 = Uuid::new_v4().to_string();
     assert_eq!(IdempotencyKey::new("a", &v4, now), Err(KeyError::NotUuidV7));
@@ -245,72 +245,81 @@
     assert_ne!(IdempotencyKey::new("a", &key, now), IdempotencyKey::new("b", &key, now));
 }
 
-fn claim(attempt: u64, op: ClaimOp, made_at_s: u64) -> ClaimRequest {
+fn claim_request(attempt: u64, op: ClaimOp, made_at_s: u64) -> ClaimRequest {
     ClaimRequest { key: "abc".to_owned(), made_at_s, attempt, op }
 }
 
-/// A record may be dropped only when every router, with any clock skew permitted, would refuse the
-/// key.
+/// Guards against dropping a record while some router still accepts its key: with clocks within the
+/// allowed skew, every router must reject the key by then.
 #[test]
-fn a_record_outlives_its_key() {
+fn a_record_is_kept_until_its_key_is_rejected_everywhere() {
     let made_at_s = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_secs();
     let mut records = ClaimRecords::default();
     assert_eq!(
-        records.apply(&claim(1, ClaimOp::Acquire, made_at_s), made_at_s),
+        records.apply(&claim_request(1, ClaimOp::Acquire, made_at_s), made_at_s),
         ClaimOutcome::Acquired
     );
     let refused = made_at_s + KEY_AGE_MAX.as_secs() + CLOCK_SKEW_MAX.as_secs();
     assert_eq!(
-        records.apply(&claim(2, ClaimOp::Acquire, made_at_s), refused),
+        records.apply(&claim_request(2, ClaimOp::Acquire, made_at_s), refused),
         ClaimOutcome::HeldByOther
     );
-    // The next keys in the same object, of a caller whose clock is ahead of the slowest router's by
-    // the most that is allowed, arrive when the key is refused everywhere.
+    // The object is reused for keys made `OBJECTS_PER_SHARD` minutes later. Even from a caller
+    // whose clock is ahead by the allowed skew, those arrive after every router rejects the old
+    // key.
     let minute = made_at_s / 60;
     let next = ClaimRequest {
         key: "def".to_owned(),
-        ..claim(3, ClaimOp::Acquire, (minute + OBJECTS_PER_SHARD) * 60)
+        ..claim_request(3, ClaimOp::Acquire, (minute + OBJECTS_PER_SHARD) * 60)
     };
     let earliest = next.made_at_s - CLOCK_SKEW_MAX.as_secs();
     assert!(refused + CLOCK_SKEW_MAX.as_secs() < earliest);
-    let again = ClaimRequest { made_at_s: next.made_at_s, ..claim(3, ClaimOp::Acquire, 0) };
+    let again = ClaimRequest { made_at_s: next.made_at_s, ..claim_request(3, ClaimOp::Acquire, 0) };
     assert_eq!(
         ClaimObject::for_request(&again),
-        ClaimObject::for_request(&claim(1, ClaimOp::Acquire, made_at_s)),
-        "the objects of the shard are reused"
+        ClaimObject::for_request(&claim_request(1, ClaimOp::Acquire, made_at_s)),
+        "the object is used again"
     );
     assert_eq!(records.apply(&next, earliest), ClaimOutcome::Acquired);
-    assert_eq!(records.records.len(), 1, "the old one is dropped");
-    // No claim can restore it, nor remove the current record, not even with a clock that stands
-    // still.
+    assert_eq!(records.records.len(), 1, "the old record is dropped");
+    // A claim of the old key fails, also from a router whose clock stands still.
     assert_eq!(
-        records.apply(&claim(4, ClaimOp::Acquire, made_at_s), earliest),
+        records.apply(&claim_request(4, ClaimOp::Acquire, made_at_s), earliest),
         ClaimOutcome::HeldByOther
     );
     assert_eq!(
-        records.apply(&claim(5, ClaimOp::Acquire, made_at_s), made_at_s),
+        records.apply(&claim_request(5, ClaimOp::Acquire, made_at_s), made_at_s),
         ClaimOutcome::HeldByOther
     );
     assert_eq!(records.records.len(), 1);
 }
 
-/// A late release of another attempt would free a key whose request runs.
+/// Guards against a release of one attempt freeing the key of another.
 #[test]
 fn only_the_attempt_that_holds_a_key_can_release_it() {
     let mut records = ClaimRecords::default();
-    assert_eq!(records.apply(&claim(1, ClaimOp::Acquire, 100), 100), ClaimOutcome::Acquired);
-    records.apply(&claim(2, ClaimOp::Release, 100), 100);
-    assert_eq!(records.apply(&claim(2, ClaimOp::Acquire, 100), 100), ClaimOutcome::HeldByOther);
     assert_eq!(
-        records.apply(&claim(1, ClaimOp::Acquire, 100), 100),
+        records.apply(&claim_request(1, ClaimOp::Acquire, 100), 100),
+        ClaimOutcome::Acquired
+    );
+    records.apply(&claim_request(2, ClaimOp::Release, 100), 100);
+    assert_eq!(
+        records.apply(&claim_request(2, ClaimOp::Acquire, 100), 100),
+        ClaimOutcome::HeldByOther
+    );
+    assert_eq!(
+        records.apply(&claim_request(1, ClaimOp::Acquire, 100), 100),
         ClaimOutcome::Acquired,
-        "a repeated claim"
+        "a repeated request has the same outcome"
+    );
+    records.apply(&claim_request(1, ClaimOp::Release, 100), 100);
+    assert_eq!(
+        records.apply(&claim_request(2, ClaimOp::Acquire, 100), 100),
+        ClaimOutcome::Acquired
     );
-    records.apply(&claim(1, ClaimOp::Release, 100), 100);
-    assert_eq!(records.apply(&claim(2, ClaimOp::Acquire, 100), 100), ClaimOutcome::Acquired);
 }
 
-/// The platform rejects larger objects.
+/// Guards against objects that the store rejects as too large: a shard refuses claims before that.
 #[test]
 fn a_full_shard_stays_below_a_megabyte() {
     let mut records = ClaimRecords::default();
@@ -326,5 +335,5 @@
     }
     assert_eq!(records.apply(&filler(RECORDS_MAX), now), ClaimOutcome::Full);
     let size = serde_json::to_vec(&records).expect("it serializes").len();
-    assert!(size < 1 << 20, "it has {size} bytes");
+    assert!(size < 1 << 20, "the records have {size} bytes");
 }
--- a/tests/links.rs
+++ b/tests/peer_connections.rs
@@ -1,4 +1,4 @@
-//! Connections between routers and the port that accepts them.
+//! Connections between routers and the server for them.
 
 mod util;
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// Responds with the messages received.
+/// Returns every message to its sender.
 struct Echo;
 
 impl CallHandler for Echo {
@@ -58,13 +58,13 @@
     }
 
     fn status(&self) -> Status {
-        unreachable!("not called by these tests")
+        unreachable!("no test requests the status")
     }
 }
 
 async fn start_server(secret: &str) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
-    let addr = listener.local_addr().expect("it is bound");
+    let addr = listener.local_addr().expect("the listener is bound");
     let traffic = Arc::new(Traffic::default());
     tokio::spawn(server::serve(listener, Secret::from(secret), Arc::new(Echo), traffic));
     addr
@@ -78,46 +78,45 @@
     Message::Heartbeat { entries: Vec::new(), revision: 7 }
 }
 
-async fn until(mut condition: impl FnMut() -> bool) {
+async fn wait_until(mut condition: impl FnMut() -> bool) {
     for _ in 0..1000 {
         if condition() {
             return;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    panic!("waited in vain");
+    panic!("timed out waiting for a condition");
 }
 
-/// The thread that commits claims sent the first message to a box and panicked, since it doesn't
-/// belong to the runtime (found with real processes).
+/// Guards against a panic when a thread outside the async runtime, such as the one that commits
+/// claims, sends the first message to a box. Seen with router processes.
 #[tokio::test(flavor = "multi_thread")]
-async fn any_thread_may_send_first() {
-    let recording_handler = recording_handler(start_server("s").await);
+async fn a_thread_outside_the_runtime_can_send_first() {
+    let recorder = recording_handler(start_server("s").await);
     let traffic = Arc::new(Traffic::default());
     let connections = PeerConnections::new(&"box-1".into(), &Secret::from("s"), &traffic);
-    let handler: Arc<dyn ConnectionHandler> = recording_handler.clone();
+    let handler: Arc<dyn ConnectionHandler> = recorder.clone();
     let sent = thread::spawn(move || connections.send(&"box-2".into(), message(), &handler)).join();
     assert!(sent.is_ok(), "the thread panicked");
-    until(|| *recording_handler.received.lock().expect("no panic") == [message()]).await;
+    wait_until(|| *recorder.received.lock().expect("no panic") == [message()]).await;
 }
 
-/// The peer port must not accept messages of strangers.
+/// Guards against messages accepted from a process that doesn't have the fleet's secret.
 #[tokio::test(flavor = "multi_thread")]
-async fn messages_with_a_wrong_secret_are_rejected() {
-    let recording_handler = recording_handler(start_server("right").await);
+async fn a_box_with_a_wrong_secret_is_rejected() {
+    let recorder = recording_handler(start_server("right").await);
     let traffic = Arc::new(Traffic::default());
     let connections = PeerConnections::new(&"box-1".into(), &Secret::from("wrong"), &traffic);
-    let handler: Arc<dyn ConnectionHandler> = recording_handler.clone();
+    let handler: Arc<dyn ConnectionHandler> = recorder.clone();
     connections.send(&"box-2".into(), message(), &handler);
-    until(|| *recording_handler.lost.lock().expect("no panic") == [message()]).await;
-    assert!(recording_handler.received.lock().expect("no panic").is_empty());
+    wait_until(|| *recorder.lost.lock().expect("no panic") == [message()]).await;
+    assert!(recorder.received.lock().expect("no panic").is_empty());
 }
 
 proptest! {
-    #![proptest_config(util::seeded(500))]
+    #![proptest_config(util::seeded_config(500))]
 
-    /// Any text that arrives as a message either fails to parse or yields a message that survives a
-    /// round trip.
+    /// Any text parses to an error or to a message that survives serialization unchanged.
     #[test]
     fn malformed_messages_are_errors(text in r#"[\[\]\{\}",:0-9a-zA-Z]{0,80}"#) {
         if let Ok(message) = serde_json::from_str::<Message>(&text) {
