--- a/src/config/catalog.rs
+++ b/src/config/catalog.rs
@@ -319,7 +319,7 @@
                     .all(|placeholder| p.contains(placeholder))
         };
         if !service.resume.as_ref().is_none_or(is_valid_resume_path) {
-            let reason = "must start with '/' and contain {request} and {from}";
+            let reason = "must start with '/' and hold {request} and {from}";
             faults.push(fault(format!("services[{i}].resume"), reason));
         }
     }
@@ -356,7 +356,7 @@
         if name.is_empty() || NAME_MAX_BYTES < name.len() || !name.chars().all(is_allowed) {
             faults.push(fault(field, "must be 1 to 64 letters, digits, '-', '_' or '.'"));
         } else if !seen.insert(name) {
-            faults.push(fault(field, "duplicate name"));
+            faults.push(fault(field, "stands twice"));
         }
     }
 }
--- a/src/controller/engine_api.rs
+++ b/src/controller/engine_api.rs
@@ -37,13 +37,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// It can't be reached, or its response is invalid.
-    #[error("engine unreachable or response invalid: {0}")]
+    #[error("the engine can't be reached: {0}")]
     Unreachable(String),
     /// It can't carry out the order now.
-    #[error("engine cannot carry out the order now")]
+    #[error("the engine can't do that now")]
     Busy,
     /// It has received an order from a later holder of the lease.
-    #[error("engine has seen an order with a newer fence")]
+    #[error("the fence is too old")]
     StaleFence,
 }
 
--- a/src/operator/plan.rs
+++ b/src/operator/plan.rs
@@ -97,7 +97,7 @@
         }
     }
     Err(Problem::Platform {
-        reason: "the update repeatedly conflicted or its response was lost".to_owned(),
+        reason: "the answer to the update was lost again and again".to_owned(),
     })
 }
 
@@ -178,13 +178,12 @@
     for upstream in &base.upstreams {
         let is_kept = next.upstreams.iter().any(|u| u.name == upstream.name);
         if !is_kept && !upstream.draining {
-            warnings
-                .push(format!("upstream {} is removed without being drained first", upstream.name));
+            warnings.push(format!("upstream {} goes without being drained first", upstream.name));
         }
     }
     for workspace in &base.workspaces {
         if !next.workspaces.iter().any(|w| w.name == workspace.name) {
-            warnings.push(format!("requests of workspace {} will be refused", workspace.name));
+            warnings.push(format!("requests of workspace {} are refused", workspace.name));
         }
     }
     warnings
--- a/src/peer/connection.rs
+++ b/src/peer/connection.rs
@@ -71,16 +71,16 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// Neither the box list nor the settings name the box.
-    #[error("no address is known for the box")]
+    #[error("no address is known")]
     NoAddress,
     /// The connection was not established.
-    #[error("connecting failed: {0}")]
+    #[error("connecting: {0}")]
     Connect(std::io::Error),
     /// Connecting or the call took too long.
-    #[error("timed out")]
+    #[error("too slow")]
     Timeout,
     /// The call failed.
-    #[error("call failed: {0}")]
+    #[error("calling: {0}")]
     Call(#[from] jsonrpsee::core::ClientError),
 }
 
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -19,16 +19,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// The platform can't be reached or rejects the call, which had no effect.
-    #[error("platform unavailable: {0}")]
+    #[error("the platform is out of reach: {0}")]
     Unavailable(String),
     /// The version expected by a conditional update is outdated.
-    #[error("write conflict: the object is at version {current}")]
+    #[error("the object is at version {current} already")]
     Conflict { current: u64 },
     /// The call was sent, but there is no response: it may have taken effect.
-    #[error("no response, the call may have taken effect: {0}")]
+    #[error("the answer is lost: {0}")]
     Unknown(String),
     /// The platform sent an invalid response.
-    #[error("unexpected response of the platform: {0}")]
+    #[error("the platform answered {0}")]
     Unexpected(String),
 }
 
--- a/src/router/service_request.rs
+++ b/src/router/service_request.rs
@@ -225,7 +225,7 @@
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else { return Ok(None) };
     if values.next().is_some() {
-        return Err(InvalidRequest::Header(name.clone(), "given more than once"));
+        return Err(InvalidRequest::Header(name.clone(), "stands twice"));
     }
     let text = HeaderValue::to_str(value);
     text.map(Some).map_err(|_| InvalidRequest::Header(name.clone(), "must be plain text"))
