--- a/src/proxy/engine_placement.rs
+++ b/src/proxy/engine_placement.rs
@@ -142,7 +142,7 @@
     let mut last_denied = None;
     for n in 1..=GROUPS_PER_REQUEST_MAX {
         let home = hub.read(|v| {
-            v.fleet().home(query.service, query.prompt, query.version_filter, query.group)
+            v.registry().home(query.service, query.prompt, query.version_filter, query.group)
         });
         let Some(group) = home.map(|hash| owners.group(hash)) else { break };
         query.group = Some(group);
@@ -292,7 +292,12 @@
     group: EngineGroup,
 ) -> Option<CopySource> {
     let home = hub.read(|v| {
-        v.fleet().home_including_leaving(query.service, query.prompt, query.version_filter, group)
+        v.registry().home_including_leaving(
+            query.service,
+            query.prompt,
+            query.version_filter,
+            group,
+        )
     })?;
     let other_group = owners.group(home);
     let query = PlacementQuery { group: Some(other_group), purpose: Purpose::Lookup, ..query };
@@ -343,7 +348,7 @@
 ) -> bool {
     let is_stale = hub.read(|view| {
         view.is_barred(&choice.upstream)
-            || !view.fleet().allows_version_filter(&choice.upstream, version_filter)
+            || !view.registry().allows_version_filter(&choice.upstream, version_filter)
     });
     if is_stale {
         let upstream = choice.upstream.as_str();
--- a/src/proxy/gossip.rs
+++ b/src/proxy/gossip.rs
@@ -112,7 +112,7 @@
     let report = &heartbeat.report;
     if has_restarted {
         info!(hub.log(), "box restarted"; "name" => report.name.as_str());
-        hub.fleet(|fleet| fleet.remove_sender(report.addr.ip()));
+        hub.with_registry(|registry| registry.remove_sender(report.addr.ip()));
     }
     if is_new {
         info!(hub.log(), "box joined"; "name" => report.name.as_str(),
@@ -158,7 +158,7 @@
         let now = peers.now();
         for ip in peers.members(|members| members.take_dead(now)) {
             info!(hub.log(), "box silent"; "ip" => %ip);
-            hub.fleet(|fleet| fleet.remove_sender(ip));
+            hub.with_registry(|registry| registry.remove_sender(ip));
         }
         peers.send_heartbeats(own_state(&hub));
         // The next tick or a request for a heartbeat, whichever comes first.
--- a/src/proxy/hub.rs
+++ b/src/proxy/hub.rs
@@ -93,9 +93,9 @@
         metrics: ProxyMetrics,
         log: Logger,
     ) -> Arc<Hub> {
-        let fleet = UpstreamRegistry::new(cfg.identity.zone.clone(), cfg.tuning);
+        let registry = UpstreamRegistry::new(cfg.identity.zone.clone(), cfg.tuning);
         let inner = Inner {
-            view: View::new(fleet),
+            view: View::new(registry),
             budget: RetryBudget::new(cfg.repeats),
             shares: Shares::new(cfg.share_window),
             plain_shares: Shares::new(cfg.share_window),
@@ -275,7 +275,7 @@
 
     /// Applies a report on the engines; the box counts as warm from then on.
     pub fn warm_up(&self, learned: &LearnedReport) {
-        self.fleet(|fleet| fleet.apply_learned(learned));
+        self.with_registry(|registry| registry.apply_learned(learned));
         self.change(|view, now| {
             learned.draining.iter().for_each(|draining| _ = view.apply_draining(draining, now));
         });
@@ -312,7 +312,7 @@
     /// Chooses an upstream for a request of a plain service.
     pub fn choose(&self, criteria: SelectionCriteria<'_>) -> Result<Choice, ChoiceError> {
         let now = self.now();
-        self.read(|view| view.fleet().choose(criteria, now))
+        self.read(|view| view.registry().choose(criteria, now))
     }
 
     /// Places a request by the state known to this box.
@@ -320,14 +320,14 @@
         let now = self.now();
         let mut inner = self.inner.lock().expect("no panic under lock");
         let Inner { view, shares, .. } = &mut *inner;
-        admit::admit(view.fleet_mut(), shares, query, now)
+        admit::admit(view.registry_mut(), shares, query, now)
     }
 
     /// Removes a request that isn't sent, and reverts what was charged for it.
     pub fn withdraw(&self, request: u64) {
         let now = self.now();
         let mut inner = self.inner.lock().expect("no panic under lock");
-        inner.view.fleet_mut().withdraw(request, now);
+        inner.view.registry_mut().withdraw(request, now);
         inner.shares.revert(request, now);
         inner.plain_shares.revert(request, now);
     }
@@ -337,7 +337,7 @@
         let now = self.now();
         let mut inner = self.inner.lock().expect("no panic under lock");
         let Inner { view, plain_shares, .. } = &mut *inner;
-        plain::admit(view.fleet_mut(), plain_shares, query, now)
+        plain::admit(view.registry_mut(), plain_shares, query, now)
     }
 
     /// Accesses the shares of workspaces at plain services.
@@ -389,7 +389,7 @@
         connections: u32,
         is_placed: bool,
     ) -> ConnectionQuota {
-        let admission_limit = self.read(|view| view.fleet().admission_limit(upstream));
+        let admission_limit = self.read(|view| view.registry().admission_limit(upstream));
         let draw = self.peers.own_draw(upstream);
         let boxes = self.peers.known_count();
         ConnectionQuota::new(QuotaInputs { connections, admission_limit, boxes, draw }, is_placed)
@@ -399,7 +399,7 @@
     /// more requests for now.
     pub fn is_backing_off(&self, upstream: &UpstreamName) -> bool {
         let now = self.now();
-        self.read(|view| view.fleet().is_backing_off(upstream, now))
+        self.read(|view| view.registry().is_backing_off(upstream, now))
     }
 
     /// Wakes the task that probes upstreams by connecting to them.
@@ -413,8 +413,8 @@
     }
 
     /// Accesses the state of the upstreams.
-    pub fn fleet<T>(&self, f: impl FnOnce(&mut UpstreamRegistry) -> T) -> T {
-        f(self.inner.lock().expect("no panic under lock").view.fleet_mut())
+    pub fn with_registry<T>(&self, f: impl FnOnce(&mut UpstreamRegistry) -> T) -> T {
+        f(self.inner.lock().expect("no panic under lock").view.registry_mut())
     }
 
     fn report_change(&self, change: &Change, reaches_store: bool) {
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -243,7 +243,7 @@
         gossip::send_gossip(&hub);
         hub.change(view::View::tick);
         hub.suspects().tick(hub.now());
-        let engines = hub.read(|view| view.fleet().engine_count());
+        let engines = hub.read(|view| view.registry().engine_count());
         if hub.peers().refresh(engines) {
             let owners = hub.peers().owners();
             let new_groups =
@@ -259,7 +259,7 @@
         }
         let addrs = hub.upstream_connections().addrs();
         let gone = hub.read(|view| {
-            let is_gone = |addr: &SocketAddr| !view.fleet().has_addr(addr);
+            let is_gone = |addr: &SocketAddr| !view.registry().has_addr(addr);
             addrs.into_iter().filter(is_gone).collect()
         });
         hub.upstream_connections().close_expired(&gone);
@@ -280,8 +280,8 @@
 /// has passed, since this box doesn't know what other boxes have just sent to them.
 fn hold_cold_engines(hub: &Hub, groups: &BTreeSet<EngineGroup>, before: &BTreeSet<EngineGroup>) {
     let until = hub.now() + cold::RATE_WINDOW;
-    hub.fleet(|fleet| {
-        groups.difference(before).for_each(|group| fleet.hold_cold_engines(*group, until))
+    hub.with_registry(|registry| {
+        groups.difference(before).for_each(|group| registry.hold_cold_engines(*group, until))
     });
 }
 
--- a/src/proxy/notices.rs
+++ b/src/proxy/notices.rs
@@ -68,7 +68,7 @@
         if view.is_barred(upstream) {
             return Some(WithholdReason::Closed);
         }
-        let may_send = view.fleet().may_send(upstream, placed.slow_start_slot(), now);
+        let may_send = view.registry().may_send(upstream, placed.slow_start_slot(), now);
         (!may_send).then_some(WithholdReason::Backoff)
     })
 }
@@ -89,9 +89,9 @@
 
 fn back_off(hub: &Hub, received: ReceivedNotice<'_>, length: Duration) {
     let now = hub.now();
-    let (is_new, was_backing_off) = hub.fleet(|fleet| {
-        let was_backing_off = fleet.was_sent_during_backoff(received.upstream, received.sent);
-        (fleet.back_off(received.upstream, length, now), was_backing_off)
+    let (is_new, was_backing_off) = hub.with_registry(|registry| {
+        let was_backing_off = registry.was_sent_during_backoff(received.upstream, received.sent);
+        (registry.back_off(received.upstream, length, now), was_backing_off)
     });
     if was_backing_off {
         hub.metrics().reached_anyway("backoff");
@@ -156,7 +156,7 @@
         return Err(EngineQueryError("this box is backing off from the upstream".to_owned()));
     }
     let (sent, started_at_ms) =
-        (hub.now(), hub.read(|view| view.fleet().get(upstream)?.started_at_ms));
+        (hub.now(), hub.read(|view| view.registry().get(upstream)?.started_at_ms));
     let EngineReply { name, notice, result } = reply.await;
     if let Some(other) = name.filter(|name| name != upstream) {
         return Err(EngineQueryError(format!(
@@ -179,9 +179,9 @@
 /// Returns the boxes that place the requests of an upstream; `None` if each box places its own.
 fn owned(hub: &Hub, name: &UpstreamName) -> Option<GroupOwners> {
     let service = hub.read(|view| {
-        let fleet = view.fleet();
-        let service = fleet.get(name).map(|listed| listed.service.clone());
-        service.filter(|_| !fleet.is_engine(name))
+        let registry = view.registry();
+        let service = registry.get(name).map(|listed| listed.service.clone());
+        service.filter(|_| !registry.is_engine(name))
     });
     match service {
         Some(service) => plain_placement::owners(hub, &service),
--- a/src/proxy/placed_request.rs
+++ b/src/proxy/placed_request.rs
@@ -83,11 +83,12 @@
     pub fn new(ctx: &RequestContext, choice: &Choice, request: u64) -> PlacedRequest {
         let RequestContext { hub, service, workspace, .. } = ctx;
         let now = hub.now();
-        let (slow_start_slot, started_at_ms, version) = hub.fleet(|fleet| {
-            fleet.request_sent(&choice.upstream);
-            let listed = fleet.get(&choice.upstream).map(|l| (l.started_at_ms, l.version.clone()));
+        let (slow_start_slot, started_at_ms, version) = hub.with_registry(|registry| {
+            registry.request_sent(&choice.upstream);
+            let listed =
+                registry.get(&choice.upstream).map(|l| (l.started_at_ms, l.version.clone()));
             let (started_at_ms, version) = listed.unzip();
-            (fleet.acquire_slow_start_slot(&choice.upstream, now), started_at_ms, version)
+            (registry.acquire_slow_start_slot(&choice.upstream, now), started_at_ms, version)
         });
         let judged_response = version
             .as_ref()
@@ -166,8 +167,9 @@
         let took = now.saturating_sub(self.sent_at);
         *self.first_chunk_at.lock().expect("no panic under lock") = Some(now);
         self.record_outcome(Some(JudgedResponse::first(took)));
-        self.hub
-            .fleet(|fleet| fleet.record_first_token(&self.upstream, self.request, Some(took), now));
+        self.hub.with_registry(|registry| {
+            registry.record_first_token(&self.upstream, self.request, Some(took), now)
+        });
         let (upstream, request) = (self.upstream.clone(), self.request);
         let took_ms = u32::try_from(took.as_millis()).unwrap_or(u32::MAX);
         let message = Message::FirstToken { upstream, request, took_ms };
@@ -194,10 +196,10 @@
     /// Records how the upstream handles the request, before the request has ended.
     pub fn record_health(&self, health: Health) {
         let now = self.hub.now();
-        let is_complete = self.hub.fleet(|fleet| {
-            fleet.record_health(&self.upstream, health, now);
+        let is_complete = self.hub.with_registry(|registry| {
+            registry.record_health(&self.upstream, health, now);
             matches!(health, Health::Good(_))
-                && fleet.slow_start_accepted(&self.upstream, self.slow_start_slot)
+                && registry.slow_start_accepted(&self.upstream, self.slow_start_slot)
         });
         if is_complete {
             info!(self.hub.log(), "slow start complete"; "name" => self.upstream.as_str());
@@ -219,9 +221,9 @@
 impl Drop for PlacedRequest {
     fn drop(&mut self) {
         let now = self.hub.now();
-        self.hub.fleet(|fleet| {
-            fleet.request_ended(&self.upstream, self.health, now);
-            fleet.release_slow_start_slot(&self.upstream, self.slow_start_slot);
+        self.hub.with_registry(|registry| {
+            registry.request_ended(&self.upstream, self.health, now);
+            registry.release_slow_start_slot(&self.upstream, self.slow_start_slot);
         });
         if !self.may_run {
             self.hub.withdraw(self.request);
@@ -231,7 +233,7 @@
         if self.health.is_none() && !self.has_first_token.load(Ordering::Relaxed) {
             self.record_outcome(JudgedResponse::awaited(now.saturating_sub(self.sent_at)));
         }
-        self.hub.fleet(|fleet| fleet.remove_request(&self.upstream, self.request));
+        self.hub.with_registry(|registry| registry.remove_request(&self.upstream, self.request));
         let (upstream, request) = (self.upstream.clone(), self.request);
         self.notify_owners(&Message::Ended { upstream, request });
     }
--- a/src/proxy/proxy_metrics.rs
+++ b/src/proxy/proxy_metrics.rs
@@ -111,12 +111,12 @@
         });
         gauge("frostdyke_configuration_version", Hub::version);
         gauge("frostdyke_store_reached", |hub| u64::from(hub.read(View::reaches_store)));
-        gauge("frostdyke_upstreams", |hub| hub.read(|v| v.fleet().listed().count() as u64));
+        gauge("frostdyke_upstreams", |hub| hub.read(|v| v.registry().listed().count() as u64));
         gauge("frostdyke_upstreams_leaving", |hub| {
-            hub.read(|v| v.fleet().listed().filter(|l| l.leaving).count() as u64)
+            hub.read(|v| v.registry().listed().filter(|l| l.leaving).count() as u64)
         });
         gauge("frostdyke_upstreams_backing_off", |hub| {
-            hub.read(|v| v.fleet().backoff_count() as u64)
+            hub.read(|v| v.registry().backoff_count() as u64)
         });
         gauge("frostdyke_upstreams_draining", |hub| {
             hub.read(|v| v.draining().iter().count() as u64)
@@ -124,7 +124,7 @@
         gauge("frostdyke_suspects", |hub| hub.suspects().read(|q| q.len() as u64));
         self.register_share_gauges(hub);
         gauge("frostdyke_upstreams_in_doubt", |hub| {
-            hub.read(|v| v.fleet().unverified_count() as u64)
+            hub.read(|v| v.registry().unverified_count() as u64)
         });
     }
 
--- a/src/proxy/reachability.rs
+++ b/src/proxy/reachability.rs
@@ -25,7 +25,7 @@
 /// connect to the upstream.
 pub fn mark_unreachable(hub: &Hub, upstream: &UpstreamName) {
     let now = hub.now();
-    if hub.fleet(|fleet| fleet.mark_unverified(upstream, true, now)) {
+    if hub.with_registry(|registry| registry.mark_unverified(upstream, true, now)) {
         info!(hub.log(), "upstream may be unreachable, probing it"; "name" => upstream.as_str());
         hub.request_probe();
     }
@@ -39,7 +39,7 @@
             () = aligned_timer::wait_for_tick(PROBE_INTERVAL) => {}
         }
         let now = hub.now();
-        for listed in hub.fleet(|fleet| fleet.take_due_probes(now)) {
+        for listed in hub.with_registry(|registry| registry.take_due_probes(now)) {
             tokio::spawn(probe(hub.clone(), listed));
         }
     }
@@ -52,11 +52,11 @@
         if e.is_refused() {
             suspects::connection_refused(&hub, &name);
         }
-        if hub.fleet(|fleet| fleet.record_connect_failure(&name, now)) {
+        if hub.with_registry(|registry| registry.record_connect_failure(&name, now)) {
             info!(hub.log(), "upstream unreachable"; "name" => name.as_str(),
                 "error" => util::error_chain(&e));
             let message = Message::Unreachable { upstream: name.clone() };
-            match hub.read(|view| view.fleet().is_engine(&name)) {
+            match hub.read(|view| view.registry().is_engine(&name)) {
                 true => engine_placement::notify_owners(&hub, &name, &message),
                 false => hub.peers().broadcast(&message),
             }
@@ -64,11 +64,11 @@
         return;
     }
     suspects::upstream_answered(&hub, &name);
-    let last_connect_failed = hub.read(|view| view.fleet().last_connect_failed(&name));
+    let last_connect_failed = hub.read(|view| view.registry().last_connect_failed(&name));
     if last_connect_failed {
         update_cold_time(&hub, &name, addr).await;
     }
-    if hub.fleet(|fleet| fleet.mark_reachable(&name)) {
+    if hub.with_registry(|registry| registry.mark_reachable(&name)) {
         info!(hub.log(), "upstream reachable"; "name" => name.as_str());
     }
 }
@@ -76,7 +76,7 @@
 /// An engine that was unreachable may have restarted. The boxes that track it query how long it
 /// stays cold. If it doesn't say, it is treated as one that has just started.
 async fn update_cold_time(hub: &Hub, name: &UpstreamName, addr: SocketAddr) {
-    if !hub.read(|view| view.fleet().has_cold_limits(name))
+    if !hub.read(|view| view.registry().has_cold_limits(name))
         || !engine_placement::tracks_engine(hub, name)
     {
         return;
@@ -91,7 +91,7 @@
         }
     };
     let now = hub.now();
-    hub.fleet(|fleet| fleet.mark_cold(name, cold_for, now));
+    hub.with_registry(|registry| registry.mark_cold(name, cold_for, now));
     info!(hub.log(), "engine reachable again, cold time updated"; "name" => name.as_str(),
         "cold_ms" => cold_for.map(|d| d.as_millis() as u64));
 }
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -314,7 +314,7 @@
         let upstream = placed.upstream().clone();
         // The end of an upstream, whether it crashed or leaves, is no evidence about the responses
         // of its version.
-        if !has_restarted && self.hub.read(|view| view.fleet().is_open(&upstream)) {
+        if !has_restarted && self.hub.read(|view| view.registry().is_open(&upstream)) {
             placed.record_failure();
         }
         let instance = suspects::instance_id(&upstream, placed.started_at_ms());
@@ -322,7 +322,7 @@
         reachability::mark_unreachable(&self.hub, &upstream);
         placed.close(Some(Health::Broken));
         // An upstream that leaves ends without being crashed by a request.
-        if has_restarted || self.hub.read(|view| view.fleet().is_open(&upstream)) {
+        if has_restarted || self.hub.read(|view| view.registry().is_open(&upstream)) {
             let fingerprint = self.fingerprint();
             suspects::connection_broken(
                 &self.hub,
--- a/src/proxy/rollouts.rs
+++ b/src/proxy/rollouts.rs
@@ -226,7 +226,7 @@
     let now = hub.now();
     hub.read(|view| {
         let running = |service: &str, version: &str| {
-            view.fleet().outstanding_on_other_versions(service, version)
+            view.registry().outstanding_on_other_versions(service, version)
         };
         state.with(|inner| inner.rollouts.reports(now, running))
     })
@@ -242,7 +242,7 @@
         state.has_rollouts.store(!inner.rollouts.is_empty(), Ordering::Relaxed);
         (has_changed, inner.rollouts.targets(now))
     });
-    hub.fleet(|fleet| fleet.set_rollout_targets(targets));
+    hub.with_registry(|registry| registry.set_rollout_targets(targets));
     if !has_changed {
         return;
     }
@@ -326,7 +326,7 @@
     if !has_regressed && !is_evaluator(hub, service) {
         return;
     }
-    let slots = hub.read(|view| view.fleet().slots_by_version(service, &target));
+    let slots = hub.read(|view| view.registry().slots_by_version(service, &target));
     let (inputs, now) = (StageInputs { min_responses, has_regressed, slots }, hub.now());
     update(hub, |rollouts| match rollouts.advance(service, inputs, now) {
         Some(stage) => {
--- a/src/proxy/state_updates.rs
+++ b/src/proxy/state_updates.rs
@@ -105,8 +105,8 @@
                 sender,
                 decided_by: None,
             };
-            hub.fleet(|fleet| fleet.place(&upstream, placement, now));
-            let is_engine = hub.read(|view| view.fleet().is_engine(&upstream));
+            hub.with_registry(|registry| registry.place(&upstream, placement, now));
+            let is_engine = hub.read(|view| view.registry().is_engine(&upstream));
             if !is_engine && let Some(workspace) = workspace {
                 hub.plain_shares(|shares| {
                     let charge = shares.add_remote(
@@ -130,14 +130,16 @@
         }
         Message::FirstToken { upstream, request, took_ms } => {
             let took = Duration::from_millis(took_ms.into());
-            hub.fleet(|fleet| fleet.record_first_token(&upstream, request, Some(took), now));
+            hub.with_registry(|registry| {
+                registry.record_first_token(&upstream, request, Some(took), now)
+            });
         }
         Message::Ended { upstream, request } => {
-            hub.fleet(|fleet| fleet.remove_request(&upstream, request));
+            hub.with_registry(|registry| registry.remove_request(&upstream, request));
         }
         Message::Withdrawn { request } => hub.withdraw(request),
         Message::Unreachable { upstream } => {
-            if hub.fleet(|fleet| fleet.mark_unverified(&upstream, false, now)) {
+            if hub.with_registry(|registry| registry.mark_unverified(&upstream, false, now)) {
                 info!(hub.log(), "upstream reported unreachable by another box";
                     "name" => upstream.as_str());
                 hub.request_probe();
--- a/src/proxy/upstream_selection.rs
+++ b/src/proxy/upstream_selection.rs
@@ -104,7 +104,7 @@
 
     async fn place_plain(&self, request: u64, version_filter: VersionFilter) -> PlacementDecision {
         let now = self.hub.now();
-        let unavailable = self.hub.read(|view| view.fleet().unavailable(&self.service, now));
+        let unavailable = self.hub.read(|view| view.registry().unavailable(&self.service, now));
         let excluded: Vec<UpstreamName> = self.excluded().into_iter().chain(unavailable).collect();
         let query = PlainQuery {
             request,
@@ -148,7 +148,7 @@
     /// Upstreams that must not be chosen: already tried, or this box backs off from them.
     fn excluded(&self) -> Vec<UpstreamName> {
         let now = self.hub.now();
-        let backing_off = self.hub.read(|view| view.fleet().backing_off(&self.service, now));
+        let backing_off = self.hub.read(|view| view.registry().backing_off(&self.service, now));
         self.tried.iter().cloned().chain(backing_off).collect()
     }
 
@@ -156,7 +156,7 @@
     pub(super) fn min_backoff_remaining(&self) -> Option<Duration> {
         let now = self.hub.now();
         let remaining =
-            self.hub.read(|view| view.fleet().min_backoff_remaining(&self.service, now))?;
+            self.hub.read(|view| view.registry().min_backoff_remaining(&self.service, now))?;
         Some(remaining.max(OVERLOAD_RETRY_MIN))
     }
 
--- a/src/proxy/view.rs
+++ b/src/proxy/view.rs
@@ -102,7 +102,7 @@
 #[derive(Debug)]
 pub struct View {
     table: Option<Arc<RoutingTable>>,
-    fleet: UpstreamRegistry,
+    registry: UpstreamRegistry,
     history: History,
     /// Upstreams whose entries may only have expired while the store was unavailable.
     missing: BTreeSet<UpstreamName>,
@@ -134,10 +134,10 @@
 
 impl View {
     /// Creates an empty view.
-    pub fn new(fleet: UpstreamRegistry) -> View {
+    pub fn new(registry: UpstreamRegistry) -> View {
         View {
             table: None,
-            fleet,
+            registry,
             history: History::default(),
             missing: BTreeSet::new(),
             evacuated: EvacuatedZones::default(),
@@ -167,13 +167,13 @@
     }
 
     /// The upstreams.
-    pub fn fleet(&self) -> &UpstreamRegistry {
-        &self.fleet
+    pub fn registry(&self) -> &UpstreamRegistry {
+        &self.registry
     }
 
     /// The upstreams, to record what is sent to them.
-    pub fn fleet_mut(&mut self) -> &mut UpstreamRegistry {
-        &mut self.fleet
+    pub fn registry_mut(&mut self) -> &mut UpstreamRegistry {
+        &mut self.registry
     }
 
     /// The evacuated zones, whose engines get no requests.
@@ -194,10 +194,10 @@
             if is_restored {
                 self.evacuation_held_until.insert(zone.clone(), now + EXPIRY_GRACE);
             } else {
-                self.fleet.mark_zone_cold(zone, now);
+                self.registry.mark_zone_cold(zone, now);
             }
         }
-        self.fleet.set_closed_zones(self.closed_zones());
+        self.registry.set_closed_zones(self.closed_zones());
         self.changes.push(Change::Evacuated(self.evacuated.clone()));
     }
 
@@ -228,7 +228,7 @@
         }
         self.unreadable.insert(name.clone(), fault.to_owned());
         self.unconfirmed.remove(name);
-        if self.fleet.get(name).is_some() {
+        if self.registry.get(name).is_some() {
             self.remove_upstream(name, now);
         }
         true
@@ -258,7 +258,7 @@
     pub fn snapshot(&self, now: Duration) -> Snapshot {
         Snapshot {
             table: self.table.clone(),
-            upstreams: self.fleet.listings(now),
+            upstreams: self.registry.listings(now),
             buckets: None,
             gone: Vec::new(),
             revision: self.revision(),
@@ -296,10 +296,10 @@
         let changed =
             self.history.changed_since(revision)?.filter(|name| !self.missing.contains(*name));
         let (kept, gone): (Vec<_>, Vec<_>) =
-            changed.partition(|name| self.fleet.get(name).is_some());
+            changed.partition(|name| self.registry.get(name).is_some());
         Some(Snapshot {
             table: self.newer_table(version),
-            upstreams: kept.iter().filter_map(|name| self.fleet.listing(name, now)).collect(),
+            upstreams: kept.iter().filter_map(|name| self.registry.listing(name, now)).collect(),
             buckets: Some(BTreeSet::new()),
             gone: gone.into_iter().cloned().collect(),
             revision: self.revision(),
@@ -322,7 +322,7 @@
 
     /// Returns digests of the list, by which another box finds out what this one lacks.
     pub fn digests(&self, now: Duration) -> Digests {
-        Digests::of(self.fleet.listings(now).iter())
+        Digests::of(self.registry.listings(now).iter())
     }
 
     /// Puts a configuration in force, unless it is no newer than the current one.
@@ -332,14 +332,14 @@
         }
         self.changes.push(Change::Configured(table.version));
         self.table = Some(table);
-        let known: Vec<UpstreamListing> = self.fleet.listed().cloned().collect();
+        let known: Vec<UpstreamListing> = self.registry.listed().cloned().collect();
         for listed in known {
             let limits = self.engine_limits(&listed);
-            let is_new = limits.is_some() && !self.fleet.is_engine(&listed.name);
+            let is_new = limits.is_some() && !self.registry.is_engine(&listed.name);
             let (name, cold_for) = (listed.name.clone(), listed.cold_for);
-            self.fleet.upsert(listed, limits);
+            self.registry.upsert(listed, limits);
             if is_new {
-                self.fleet.mark_cold(&name, cold_for, now);
+                self.registry.mark_cold(&name, cold_for, now);
             }
         }
     }
@@ -348,7 +348,7 @@
     pub fn set_upstreams(&mut self, all: Vec<UpstreamListing>, now: Duration) {
         let names: FxHashSet<&UpstreamName> = all.iter().map(|l| &l.name).collect();
         let absent: Vec<UpstreamName> = self
-            .fleet
+            .registry
             .listed()
             .filter(|known| !names.contains(&known.name))
             .map(|known| known.name.clone())
@@ -375,7 +375,7 @@
         }
         self.has_been_listed = true;
         self.changes.retain(|change| !matches!(change, Change::Upstream(_)));
-        self.changes.push(Change::Listed(self.fleet.listed().count()));
+        self.changes.push(Change::Listed(self.registry.listed().count()));
     }
 
     /// Applies the listing of one upstream.
@@ -398,7 +398,7 @@
             listed.leaving = true;
         }
         let was_reported_gone = self.reported_gone_at.remove(&listed.name).is_some();
-        if let Some(known) = self.fleet.get(&listed.name) {
+        if let Some(known) = self.registry.get(&listed.name) {
             // An instance that is leaving stays so, but a store restored from a copy may list it
             // otherwise.
             if known.leaving && !listed.leaving && !is_other_instance && !was_reported_gone {
@@ -408,9 +408,11 @@
                 self.restart(&listed);
             }
         }
-        let is_known =
-            self.fleet.get(&listed.name).is_some_and(|known| known.eq_ignoring_cold_for(&listed));
-        let is_colder = self.fleet.mark_cold(&listed.name, listed.cold_for, now);
+        let is_known = self
+            .registry
+            .get(&listed.name)
+            .is_some_and(|known| known.eq_ignoring_cold_for(&listed));
+        let is_colder = self.registry.mark_cold(&listed.name, listed.cold_for, now);
         if is_known && !is_colder {
             return;
         }
@@ -423,14 +425,14 @@
         self.history.record(&listed.name, now);
         let limits = self.engine_limits(&listed);
         let (name, cold_for) = (listed.name.clone(), listed.cold_for);
-        self.fleet.upsert(listed, limits);
-        self.fleet.mark_cold(&name, cold_for, now);
+        self.registry.upsert(listed, limits);
+        self.registry.mark_cold(&name, cold_for, now);
     }
 
     /// Returns when the instance of an upstream started that this box knows or last knew.
     fn started_at_ms(&self, name: &UpstreamName) -> Option<u64> {
         let removed = || self.removed.get(name)?.started_at_ms;
-        self.fleet.get(name).map_or_else(removed, |known| known.started_at_ms)
+        self.registry.get(name).map_or_else(removed, |known| known.started_at_ms)
     }
 
     /// Whether this is an older instance of an upstream than the known one, by the clock of its
@@ -452,11 +454,11 @@
     /// Drops the state of the previous instance: its cached prompts, its running requests, its
     /// health.
     fn restart(&mut self, listed: &UpstreamListing) {
-        let Some(known) = self.fleet.get(&listed.name) else { return };
+        let Some(known) = self.registry.get(&listed.name) else { return };
         let (addr, started_at_ms) = (known.addr, listed.started_at_ms.unwrap_or_default());
         self.changes.push(Change::Restarted(listed.name.clone(), addr, started_at_ms));
-        self.fleet.remove(&listed.name);
-        self.fleet.remove_backoff(&listed.name);
+        self.registry.remove(&listed.name);
+        self.registry.remove_backoff(&listed.name);
     }
 
     /// Handles the removal of an entry from the store. During an outage of the store and shortly
@@ -466,7 +468,7 @@
         self.unreadable.remove(name);
         let may_return = !self.reaches_store || now < self.expiry_grace_until;
         // An upstream that was leaving is removed at once.
-        if may_return && self.fleet.is_open(name) {
+        if may_return && self.registry.is_open(name) {
             if self.missing.insert(name.clone()) {
                 self.changes.push(Change::Missing(name.clone()));
             }
@@ -487,7 +489,7 @@
         // A box that hasn't received the draining notice may choose an upstream that isn't listed
         // here.
         let is_closed =
-            self.fleet.get(name).map_or_else(|| self.draining.get(name).is_some(), is_closed);
+            self.registry.get(name).map_or_else(|| self.draining.get(name).is_some(), is_closed);
         is_closed || self.removed.contains_key(name)
     }
 
@@ -498,7 +500,7 @@
         if !self.draining.add(draining, now) {
             return false;
         }
-        if let Some(listed) = self.fleet.get(name).cloned() {
+        if let Some(listed) = self.registry.get(name).cloned() {
             // A newer instance may be listed by now.
             if !self.draining.is_draining(name, listed.started_at_ms, now) {
                 return false;
@@ -507,7 +509,7 @@
                 return false;
             }
             self.schedule_reopening(&listed);
-            self.fleet.mark_leaving(name);
+            self.registry.mark_leaving(name);
             // The store's own listing will then not count as a change.
             self.history.record(name, now);
         }
@@ -531,14 +533,14 @@
     /// has just started.
     pub fn learned(&self, group: Option<EngineGroup>) -> LearnedReport {
         let draining = self.draining.iter().cloned().collect();
-        LearnedReport { draining, ..self.fleet.learned(group) }
+        LearnedReport { draining, ..self.registry.learned(group) }
     }
 
     /// Applies the report of a box that reaches the store that an upstream is leaving. This is
     /// final, so it takes effect at once.
     pub fn reported_leaving(&mut self, name: &UpstreamName, now: Duration) {
-        if self.fleet.is_open(name) {
-            self.fleet.mark_leaving(name);
+        if self.registry.is_open(name) {
+            self.registry.mark_leaving(name);
             // The store's own listing will then not count as a change.
             self.history.record(name, now);
             self.changes.push(Change::ReportedLeaving(name.clone()));
@@ -556,7 +558,7 @@
 
     /// Applies the report of a box that reaches the store that an upstream is new or has changed.
     pub fn reported_listed(&mut self, listed: UpstreamListing, now: Duration) {
-        let is_leaving = self.fleet.get(&listed.name).is_some_and(|known| known.leaving);
+        let is_leaving = self.registry.get(&listed.name).is_some_and(|known| known.leaving);
         let is_known = is_leaving || self.removed.contains_key(&listed.name);
         if !self.reaches_store && (!is_known || self.is_newer_instance(&listed)) {
             self.set_upstream(listed, now);
@@ -566,7 +568,7 @@
     /// Returns a digest of the upstreams in use. Boxes that list the same upstreams have the same
     /// digest.
     pub fn digest(&self) -> u64 {
-        self.fleet.digest()
+        self.registry.digest()
     }
 
     /// Applies a snapshot from another box. Its upstreams are ignored while this box reaches the
@@ -580,7 +582,7 @@
         }
         // An empty list of changes confirms what was reported one by one.
         let is_changes = snapshot.buckets.as_ref().is_some_and(BTreeSet::is_empty);
-        let eq_ignoring_cold_for = is_changes && self.fleet.listed().next().is_some();
+        let eq_ignoring_cold_for = is_changes && self.registry.listed().next().is_some();
         let is_useful = !snapshot.upstreams.is_empty() || eq_ignoring_cold_for;
         // An upstream that the sender doesn't know yet isn't gone.
         if snapshot.revision < self.revision() {
@@ -593,7 +595,7 @@
             let is_covered = |name: &UpstreamName| {
                 buckets.is_none_or(|buckets| buckets.contains(&digests::bucket(name)))
             };
-            let known = self.fleet.listed().map(|l| l.name.clone());
+            let known = self.registry.listed().map(|l| l.name.clone());
             let known: Vec<UpstreamName> = known.filter(is_covered).collect();
             known
                 .iter()
@@ -608,7 +610,7 @@
             let is_gone = self.removed.contains_key(&listed.name);
             let was_reported_gone = self.reported_gone_at.contains_key(&listed.name);
             // An upstream that is leaving stays so.
-            let is_leaving = self.fleet.get(&listed.name).is_some_and(|known| known.leaving);
+            let is_leaving = self.registry.get(&listed.name).is_some_and(|known| known.leaving);
             let is_other = self.is_newer_instance(&listed);
             let is_accepted = !is_leaving && (may_return || !is_gone);
             if is_other || may_return && was_reported_gone || is_accepted {
@@ -645,17 +647,17 @@
     /// Removes upstreams that have been missing for too long, if the store answers, and expired
     /// records.
     pub fn tick(&mut self, now: Duration) {
-        self.fleet.tick(now);
+        self.registry.tick(now);
         self.history.tick(now);
         self.removed.retain(|_, removed| now < removed.at + REMOVED_RETENTION);
-        self.draining.expire(now, |name| self.fleet.get(name).is_some());
+        self.draining.expire(now, |name| self.registry.get(name).is_some());
         self.expire_restore_state(now);
-        let View { fleet, removed, history, .. } = self;
+        let View { registry, removed, history, .. } = self;
         self.reported_gone_at.retain(|name, reported_at| {
             let is_kept = now < *reported_at + REPORTED_GONE_RETENTION;
             if !is_kept {
-                let started_at_ms = fleet.get(name).and_then(|known| known.started_at_ms);
-                fleet.remove(name);
+                let started_at_ms = registry.get(name).and_then(|known| known.started_at_ms);
+                registry.remove(name);
                 history.record(name, now);
                 removed.insert(name.clone(), Removed { at: now, started_at_ms });
             }
@@ -682,22 +684,22 @@
         if over.is_empty() {
             return;
         }
-        over.iter().for_each(|zone| self.fleet.mark_zone_cold(zone, now));
-        self.fleet.set_closed_zones(self.closed_zones());
+        over.iter().for_each(|zone| self.registry.mark_zone_cold(zone, now));
+        self.registry.set_closed_zones(self.closed_zones());
     }
 
     fn remove_upstream(&mut self, name: &UpstreamName, now: Duration) {
         self.missing.remove(name);
         self.history.record(name, now);
-        let started_at_ms = self.fleet.get(name).and_then(|known| known.started_at_ms);
+        let started_at_ms = self.registry.get(name).and_then(|known| known.started_at_ms);
         self.removed.insert(name.clone(), Removed { at: now, started_at_ms });
-        self.fleet.remove(name);
+        self.registry.remove(name);
         self.changes.push(Change::Gone(name.clone()));
     }
 
     /// Returns the path of an upstream's health endpoint.
     pub fn probe_path(&self, name: &UpstreamName) -> Option<String> {
-        let service = &self.fleet.get(name)?.service;
+        let service = &self.registry.get(name)?.service;
         Some(self.table.as_ref()?.service(service)?.probe_path.clone())
     }
 
--- a/src/proxy/warm_up.rs
+++ b/src/proxy/warm_up.rs
@@ -123,8 +123,8 @@
     let known: Vec<(UpstreamName, _)> = hub.read(|view| {
         let address = |l: &UpstreamListing| (l.name.clone(), l.addr);
         match group {
-            Some(group) => view.fleet().engines_in_group(group).map(address).collect(),
-            None => view.fleet().engines().map(address).collect(),
+            Some(group) => view.registry().engines_in_group(group).map(address).collect(),
+            None => view.registry().engines().map(address).collect(),
         }
     });
     let queries = known.into_iter().map(|(upstream, addr)| {
--- a/tests/fleet_cold.rs
+++ b/tests/fleet_cold.rs
@@ -66,7 +66,7 @@
 
 /// A box that decides by a role of its own.
 struct Decider {
-    fleet: UpstreamRegistry,
+    registry: UpstreamRegistry,
     role: Role,
     hears: bool,
 }
@@ -75,17 +75,17 @@
     fn new(role: Role, hears: bool) -> Decider {
         let bound = ColdBound { overage: 1.5, slack: 5.0 };
         let tuning = Tuning { cold: bound, ..Tuning::default() };
-        let mut fleet = UpstreamRegistry::new(ZoneName::from("a"), tuning);
-        fleet.upsert(listed(None), Some(limits()));
-        fleet.mark_cold(&engine(), None, Duration::ZERO);
-        Decider { fleet, role, hears }
+        let mut registry = UpstreamRegistry::new(ZoneName::from("a"), tuning);
+        registry.upsert(listed(None), Some(limits()));
+        registry.mark_cold(&engine(), None, Duration::ZERO);
+        Decider { registry, role, hears }
     }
 
     /// Whether it sends a request to the engine.
     fn sends(&mut self, n: u64, now: Duration) -> bool {
         let prompt = prompt(n);
         let any = SelectionCriteria::any("llm", Some(&prompt), &[], Duration::MAX);
-        let chosen = self.fleet.choose(SelectionCriteria { role: self.role, ..any }, now);
+        let chosen = self.registry.choose(SelectionCriteria { role: self.role, ..any }, now);
         if chosen.is_ok() {
             self.note(n, Some(self.role), now);
         }
@@ -103,8 +103,8 @@
             sender,
             decided_by: decided,
         };
-        self.fleet.place(&engine(), placement, now);
-        self.fleet.remove_request(&engine(), n);
+        self.registry.place(&engine(), placement, now);
+        self.registry.remove_request(&engine(), n);
     }
 }
 
@@ -202,7 +202,7 @@
 fn a_new_owner_waits_for_as_long_as_the_bound_looks_back() {
     let mut owner = Decider::new(Role::Owner, true);
     let all = frostdyke::fleet::owners::EngineGroup::default();
-    owner.fleet.hold_cold_engines(all, Duration::from_secs(1));
+    owner.registry.hold_cold_engines(all, Duration::from_secs(1));
     assert!(!owner.sends(1, Duration::from_millis(700)));
     assert!(owner.sends(2, Duration::from_millis(1_000)));
 }
@@ -212,12 +212,12 @@
 fn an_engine_stays_cold_for_the_longest_that_is_said() {
     let mut owner = Decider::new(Role::Owner, true);
     let now = Duration::from_secs(1);
-    assert!(!owner.fleet.mark_cold(&engine(), Some(Duration::ZERO), now));
-    let told = |fleet: &UpstreamRegistry| fleet.listings(now)[0].cold_for;
-    assert_eq!(told(&owner.fleet), Some(Duration::from_secs(2)));
+    assert!(!owner.registry.mark_cold(&engine(), Some(Duration::ZERO), now));
+    let told = |registry: &UpstreamRegistry| registry.listings(now)[0].cold_for;
+    assert_eq!(told(&owner.registry), Some(Duration::from_secs(2)));
     assert!(
-        owner.fleet.mark_cold(&engine(), Some(Duration::from_secs(5)), now),
+        owner.registry.mark_cold(&engine(), Some(Duration::from_secs(5)), now),
         "it is cold again"
     );
-    assert_eq!(told(&owner.fleet), Some(Duration::from_secs(5)));
+    assert_eq!(told(&owner.registry), Some(Duration::from_secs(5)));
 }
--- a/tests/fleet_evacuated.rs
+++ b/tests/fleet_evacuated.rs
@@ -153,7 +153,7 @@
         role,
         ..SelectionCriteria::any("llm", Some(&prompt), &[], Duration::MAX)
     };
-    view.fleet().choose(wanted, now).map(|choice| choice.upstream.as_str().to_owned())
+    view.registry().choose(wanted, now).map(|choice| choice.upstream.as_str().to_owned())
 }
 
 #[test]
--- a/tests/fleet_placement.rs
+++ b/tests/fleet_placement.rs
@@ -86,8 +86,8 @@
     UpstreamName::from(&*format!("engine-{n}"))
 }
 
-fn fleet() -> UpstreamRegistry {
-    let mut fleet = UpstreamRegistry::new(ZoneName::from("zone-0"), Tuning::default());
+fn registry() -> UpstreamRegistry {
+    let mut registry = UpstreamRegistry::new(ZoneName::from("zone-0"), Tuning::default());
     for n in 0..ENGINES {
         let listed = UpstreamListing {
             name: name(n),
@@ -100,9 +100,9 @@
             leaving: false,
             cold_for: None,
         };
-        fleet.upsert(listed, Some(LIMITS));
+        registry.upsert(listed, Some(LIMITS));
     }
-    fleet
+    registry
 }
 
 fn owners() -> (Vec<Candidate>, OwnerTable) {
@@ -120,7 +120,7 @@
 /// somebody who hears of everything at once.
 fn play(has_owners: bool) -> Outcome {
     let mut rng = SmallRng::seed_from_u64(11);
-    let mut fleet = fleet();
+    let mut registry = registry();
     let mut shares = Shares::new(Duration::from_secs(4));
     let (boxes, owners) = owners();
     let number: BTreeMap<_, _> = boxes.iter().enumerate().map(|(n, b)| (b.ip, n)).collect();
@@ -143,7 +143,7 @@
             let (asker, engine, message) = match event {
                 Event::First { engine, request, took, asker } => {
                     let took = Duration::from_secs_f64(took);
-                    fleet.record_first_token(&name(engine), request, Some(took), now);
+                    registry.record_first_token(&name(engine), request, Some(took), now);
                     let took_ms = took.as_millis() as u32;
                     (
                         asker,
@@ -152,7 +152,7 @@
                     )
                 }
                 Event::End { engine, request, asker } => {
-                    fleet.remove_request(&name(engine), request);
+                    registry.remove_request(&name(engine), request);
                     (asker, engine, Message::Ended { upstream: name(engine), request })
                 }
             };
@@ -185,8 +185,9 @@
         let mut placed = None;
         // Its own group of engines, and another one where that is busy.
         for is_last_group in [false, true] {
-            let home =
-                fleet.home("llm", &prompt, VersionFilter::Any, group).expect("there are engines");
+            let home = registry
+                .home("llm", &prompt, VersionFilter::Any, group)
+                .expect("there are engines");
             group = has_owners.then(|| owners.group(home));
             let query = PlacementQuery {
                 request,
@@ -205,7 +206,7 @@
                 is_last_group: is_last_group || !has_owners,
                 role: Role::Owner,
             };
-            let result = admit::admit(&mut fleet, &mut shares, query, now);
+            let result = admit::admit(&mut registry, &mut shares, query, now);
             let ask = ask(&query, &boxes[asker]);
             if let Some(owned) = group.and_then(|group| owners.owners_of(group)) {
                 let owner = number[&owned.owner];
--- a/tests/fleet_size.rs
+++ b/tests/fleet_size.rs
@@ -44,10 +44,10 @@
     }
 }
 
-fn fleet(engines: usize) -> UpstreamRegistry {
-    let mut fleet = UpstreamRegistry::new(ZoneName::from("zone-0"), Tuning::default());
-    (0..engines).for_each(|n| fleet.upsert(listed(n), Some(LIMITS)));
-    fleet
+fn registry(engines: usize) -> UpstreamRegistry {
+    let mut registry = UpstreamRegistry::new(ZoneName::from("zone-0"), Tuning::default());
+    (0..engines).for_each(|n| registry.upsert(listed(n), Some(LIMITS)));
+    registry
 }
 
 fn prompt(n: u64) -> Prompt {
@@ -70,18 +70,19 @@
 /// Upstreams looked at for a request: by its box, and by the owner of the group that it goes to.
 fn looks(engines: usize) -> f64 {
     const REQUESTS: u64 = 200;
-    let fleet = fleet(engines);
+    let registry = registry(engines);
     let owners = OwnerTable::new(&boxes(engines / 10), engines);
-    let before = fleet.examined();
+    let before = registry.examined();
     for n in 0..REQUESTS {
         let prompt = prompt(n);
-        let home = fleet.home("llm", &prompt, VersionFilter::Any, None).expect("there are engines");
+        let home =
+            registry.home("llm", &prompt, VersionFilter::Any, None).expect("there are engines");
         let group = Some(owners.group(home));
         let any = SelectionCriteria::any("llm", Some(&prompt), &[], Duration::from_secs(1));
-        let choice = fleet.choose(SelectionCriteria { group, ..any }, Duration::ZERO);
+        let choice = registry.choose(SelectionCriteria { group, ..any }, Duration::ZERO);
         assert!(choice.is_ok());
     }
-    (fleet.examined() - before) as f64 / REQUESTS as f64
+    (registry.examined() - before) as f64 / REQUESTS as f64
 }
 
 #[test]
@@ -95,12 +96,12 @@
 #[test]
 fn a_group_has_about_ten_engines_also_before_twenty_thousand() {
     for engines in [1_000, 10_000, 20_000] {
-        let fleet = fleet(engines);
+        let registry = registry(engines);
         let owners = OwnerTable::new(&boxes(engines / 10), engines);
         let group = |listed: &UpstreamListing| {
             owners.group(frostdyke::placement::upstream::name_hash(&listed.name))
         };
-        let most = fleet.listed().map(|l| fleet.engines_in_group(group(l)).count()).max();
+        let most = registry.listed().map(|l| registry.engines_in_group(group(l)).count()).max();
         assert!(most.is_some_and(|most| most <= 40), "{most:?} of {engines} in a group");
     }
 }
@@ -110,30 +111,30 @@
 #[test]
 fn prompts_are_spread_evenly_and_stay_where_they_are() {
     const PROMPTS: u64 = 20_000;
-    let mut fleet = fleet(500);
-    let home = |fleet: &UpstreamRegistry, n| {
-        fleet.home("llm", &prompt(n), VersionFilter::Any, None).expect("there are")
+    let mut registry = registry(500);
+    let home = |registry: &UpstreamRegistry, n| {
+        registry.home("llm", &prompt(n), VersionFilter::Any, None).expect("there are")
     };
-    let before: Vec<u64> = (0..PROMPTS).map(|n| home(&fleet, n)).collect();
+    let before: Vec<u64> = (0..PROMPTS).map(|n| home(&registry, n)).collect();
     let mut counts = std::collections::BTreeMap::<u64, usize>::new();
     before.iter().for_each(|hash| *counts.entry(*hash).or_default() += 1);
     let most = counts.values().copied().max().expect("there are");
     // Forty each, with a spread of some six by chance alone.
     assert!(most <= 80 && 450 <= counts.len(), "{most} of {PROMPTS} at one of {}", counts.len());
-    (0..5).for_each(|n| fleet.remove(&listed(n).name));
-    let moved = (0..PROMPTS).filter(|n| home(&fleet, *n) != before[*n as usize]).count();
+    (0..5).for_each(|n| registry.remove(&listed(n).name));
+    let moved = (0..PROMPTS).filter(|n| home(&registry, *n) != before[*n as usize]).count();
     assert!(moved <= PROMPTS as usize / 50, "{moved} moved as one engine in a hundred went");
 }
 
 #[test]
 fn the_engines_of_a_group_are_those_whose_hashes_say_so() {
-    let fleet = fleet(300);
+    let registry = registry(300);
     for bits in [0, 1, 5] {
         let all: usize = (0..1u64 << bits)
             .map(|n| {
                 let group =
                     EngineGroup::from_hash(n.checked_shl(u64::BITS - bits).unwrap_or(0), bits);
-                fleet.engines_in_group(group).count()
+                registry.engines_in_group(group).count()
             })
             .sum();
         assert_eq!(all, 300);
@@ -142,8 +143,8 @@
 
 #[test]
 fn what_is_told_of_a_list_follows_its_changes() {
-    let mut one = fleet(100);
-    let mut other = fleet(101);
+    let mut one = registry(100);
+    let mut other = registry(101);
     assert_ne!(one.digest(), other.digest());
     other.remove(&listed(100).name);
     assert_eq!(one.digest(), other.digest());
--- a/tests/proxy_admit.rs
+++ b/tests/proxy_admit.rs
@@ -42,7 +42,7 @@
 }
 
 struct Desk {
-    fleet: UpstreamRegistry,
+    registry: UpstreamRegistry,
     shares: Shares,
     requests: u64,
     /// What all prompts share from now on.
@@ -51,7 +51,7 @@
 
 impl Desk {
     fn new(engines: u8) -> Desk {
-        let mut fleet = UpstreamRegistry::new(ZoneName::from("a"), Tuning::default());
+        let mut registry = UpstreamRegistry::new(ZoneName::from("a"), Tuning::default());
         for n in 1..=engines {
             let listed = UpstreamListing {
                 name: UpstreamName::from(&*format!("e{n}")),
@@ -64,9 +64,9 @@
                 leaving: false,
                 cold_for: None,
             };
-            fleet.upsert(listed, Some(LIMITS));
+            registry.upsert(listed, Some(LIMITS));
         }
-        Desk { fleet, shares: Shares::new(Duration::from_secs(4)), requests: 0, shared: None }
+        Desk { registry, shares: Shares::new(Duration::from_secs(4)), requests: 0, shared: None }
     }
 
     fn ask(
@@ -97,7 +97,7 @@
             is_last_group,
             role: Role::Owner,
         };
-        admit::admit(&mut self.fleet, &mut self.shares, query, NOW)
+        admit::admit(&mut self.registry, &mut self.shares, query, NOW)
     }
 
     /// Notes what a workspace had before, by which it is at `used` of its share.
@@ -150,10 +150,10 @@
                 sender: None,
                 decided_by: None,
             };
-            desk.fleet.place(&first.upstream, placement, NOW);
+            desk.registry.place(&first.upstream, placement, NOW);
         }
         desk.shared = Some(PromptPart { id: 7, tokens: 20_000 });
-        desk.fleet.apply_learned(&LearnedReport {
+        desk.registry.apply_learned(&LearnedReport {
             cached: vec![CachedParts {
                 upstream: first.upstream.clone(),
                 parts: vec![PromptPart { id: 7, tokens: 20_000 }],
--- a/tests/proxy_backoff.rs
+++ b/tests/proxy_backoff.rs
@@ -35,129 +35,129 @@
     }
 }
 
-fn fleet() -> UpstreamRegistry {
-    let mut fleet = UpstreamRegistry::new(ZoneName::from("z"), Tuning::default());
-    ["a", "b"].into_iter().for_each(|name| fleet.upsert(upstream(name), None));
-    fleet
+fn registry() -> UpstreamRegistry {
+    let mut registry = UpstreamRegistry::new(ZoneName::from("z"), Tuning::default());
+    ["a", "b"].into_iter().for_each(|name| registry.upsert(upstream(name), None));
+    registry
 }
 
 /// Enters as many requests as may be sent.
-fn enter_all(fleet: &mut UpstreamRegistry, now: Duration) -> Vec<SlowStartSlot> {
-    let enter = || fleet.acquire_slow_start_slot(&name("a"), now);
+fn enter_all(registry: &mut UpstreamRegistry, now: Duration) -> Vec<SlowStartSlot> {
+    let enter = || registry.acquire_slow_start_slot(&name("a"), now);
     std::iter::from_fn(enter).take(100).collect()
 }
 
 #[test]
 fn nothing_is_sent_in_a_backoff() {
-    let mut fleet = fleet();
-    assert!(fleet.back_off(&name("a"), BACKOFF, Duration::ZERO));
+    let mut registry = registry();
+    assert!(registry.back_off(&name("a"), BACKOFF, Duration::ZERO));
     for now in [Duration::ZERO, BACKOFF / 2, BACKOFF - MOMENT] {
-        assert_eq!(fleet.backing_off("s", now), [name("a")]);
-        let slow_start_slot = fleet.acquire_slow_start_slot(&name("a"), now);
-        assert!(!fleet.may_send(&name("a"), slow_start_slot, now));
-        assert!(fleet.may_send(&name("b"), None, now));
+        assert_eq!(registry.backing_off("s", now), [name("a")]);
+        let slow_start_slot = registry.acquire_slow_start_slot(&name("a"), now);
+        assert!(!registry.may_send(&name("a"), slow_start_slot, now));
+        assert!(registry.may_send(&name("b"), None, now));
     }
-    assert!(fleet.backing_off("s", BACKOFF).is_empty());
+    assert!(registry.backing_off("s", BACKOFF).is_empty());
 }
 
 /// An answer to a request that was under way asks for less.
 #[test]
 fn a_shorter_backoff_ends_no_longer_one() {
-    let mut fleet = fleet();
-    fleet.back_off(&name("a"), BACKOFF, Duration::ZERO);
-    assert!(!fleet.back_off(&name("a"), MOMENT, MOMENT));
-    assert!(fleet.is_backing_off(&name("a"), BACKOFF - MOMENT));
-    assert!(!fleet.back_off(&name("a"), BACKOFF, MOMENT));
-    assert!(fleet.is_backing_off(&name("a"), BACKOFF));
-    assert!(!fleet.is_backing_off(&name("a"), BACKOFF + MOMENT));
+    let mut registry = registry();
+    registry.back_off(&name("a"), BACKOFF, Duration::ZERO);
+    assert!(!registry.back_off(&name("a"), MOMENT, MOMENT));
+    assert!(registry.is_backing_off(&name("a"), BACKOFF - MOMENT));
+    assert!(!registry.back_off(&name("a"), BACKOFF, MOMENT));
+    assert!(registry.is_backing_off(&name("a"), BACKOFF));
+    assert!(!registry.is_backing_off(&name("a"), BACKOFF + MOMENT));
 }
 
 #[test]
 fn requests_come_back_one_then_two_then_four() {
-    let mut fleet = fleet();
-    fleet.back_off(&name("a"), BACKOFF, Duration::ZERO);
+    let mut registry = registry();
+    registry.back_off(&name("a"), BACKOFF, Duration::ZERO);
     for limit in [1, 2, 4] {
-        let trials = enter_all(&mut fleet, BACKOFF);
+        let trials = enter_all(&mut registry, BACKOFF);
         assert_eq!(trials.len(), limit);
-        assert!(trials.iter().all(|slow_start_slot| fleet.may_send(
+        assert!(trials.iter().all(|slow_start_slot| registry.may_send(
             &name("a"),
             Some(*slow_start_slot),
             BACKOFF
         )));
-        assert!(!fleet.may_send(&name("a"), None, BACKOFF), "one that is not counted");
-        assert!(fleet.is_backing_off(&name("a"), BACKOFF));
+        assert!(!registry.may_send(&name("a"), None, BACKOFF), "one that is not counted");
+        assert!(registry.is_backing_off(&name("a"), BACKOFF));
         let (first, others) = trials.split_first().expect("one may try");
-        let is_over = fleet.slow_start_accepted(&name("a"), Some(*first));
+        let is_over = registry.slow_start_accepted(&name("a"), Some(*first));
         assert_eq!(is_over, limit == 4);
-        fleet.release_slow_start_slot(&name("a"), Some(*first));
+        registry.release_slow_start_slot(&name("a"), Some(*first));
         others.iter().for_each(|slow_start_slot| {
-            fleet.release_slow_start_slot(&name("a"), Some(*slow_start_slot))
+            registry.release_slow_start_slot(&name("a"), Some(*slow_start_slot))
         });
     }
-    assert!(fleet.may_send(&name("a"), None, BACKOFF));
-    assert_eq!(fleet.backoff_count(), 0);
+    assert!(registry.may_send(&name("a"), None, BACKOFF));
+    assert_eq!(registry.backoff_count(), 0);
 }
 
 /// Streams of before the backoff go on for long after it, and end at any time.
 #[test]
 fn requests_of_before_a_backoff_dont_count_in_its_slow_start() {
-    let mut fleet = fleet();
-    fleet.back_off(&name("a"), BACKOFF, Duration::ZERO);
-    let before = enter_all(&mut fleet, BACKOFF);
+    let mut registry = registry();
+    registry.back_off(&name("a"), BACKOFF, Duration::ZERO);
+    let before = enter_all(&mut registry, BACKOFF);
     assert_eq!(before.len(), 1);
-    fleet.back_off(&name("a"), BACKOFF, BACKOFF);
-    assert!(!fleet.may_send(&name("a"), Some(before[0]), 2 * BACKOFF));
-    assert!(!fleet.slow_start_accepted(&name("a"), Some(before[0])));
-    assert_eq!(enter_all(&mut fleet, 2 * BACKOFF).len(), 1);
-    fleet.release_slow_start_slot(&name("a"), Some(before[0]));
-    assert!(enter_all(&mut fleet, 2 * BACKOFF).is_empty());
+    registry.back_off(&name("a"), BACKOFF, BACKOFF);
+    assert!(!registry.may_send(&name("a"), Some(before[0]), 2 * BACKOFF));
+    assert!(!registry.slow_start_accepted(&name("a"), Some(before[0])));
+    assert_eq!(enter_all(&mut registry, 2 * BACKOFF).len(), 1);
+    registry.release_slow_start_slot(&name("a"), Some(before[0]));
+    assert!(enter_all(&mut registry, 2 * BACKOFF).is_empty());
 }
 
 /// The slow start before is over by then, and nothing is left of it.
 #[test]
 fn a_trial_of_an_earlier_slow_start_doesnt_count_in_a_later_one() {
-    let mut fleet = fleet();
-    fleet.back_off(&name("a"), BACKOFF, MOMENT);
-    let first = enter_all(&mut fleet, MOMENT + BACKOFF);
-    fleet.upsert(UpstreamListing { slots: 1, ..upstream("a") }, None);
-    assert!(fleet.slow_start_accepted(&name("a"), Some(first[0])));
-    fleet.back_off(&name("a"), BACKOFF, 2 * BACKOFF);
-    assert!(!fleet.slow_start_accepted(&name("a"), Some(first[0])));
-    assert!(!fleet.may_send(&name("a"), Some(first[0]), 3 * BACKOFF));
-    assert_eq!(enter_all(&mut fleet, 3 * BACKOFF).len(), 1);
-    fleet.release_slow_start_slot(&name("a"), Some(first[0]));
-    assert!(enter_all(&mut fleet, 3 * BACKOFF).is_empty());
+    let mut registry = registry();
+    registry.back_off(&name("a"), BACKOFF, MOMENT);
+    let first = enter_all(&mut registry, MOMENT + BACKOFF);
+    registry.upsert(UpstreamListing { slots: 1, ..upstream("a") }, None);
+    assert!(registry.slow_start_accepted(&name("a"), Some(first[0])));
+    registry.back_off(&name("a"), BACKOFF, 2 * BACKOFF);
+    assert!(!registry.slow_start_accepted(&name("a"), Some(first[0])));
+    assert!(!registry.may_send(&name("a"), Some(first[0]), 3 * BACKOFF));
+    assert_eq!(enter_all(&mut registry, 3 * BACKOFF).len(), 1);
+    registry.release_slow_start_slot(&name("a"), Some(first[0]));
+    assert!(enter_all(&mut registry, 3 * BACKOFF).is_empty());
 }
 
 /// Retry-After names when the first of all may be sent to, and only where none may be now.
 #[test]
 fn a_service_resumes_when_its_first_upstream_does() {
-    let mut fleet = fleet();
-    fleet.back_off(&name("a"), BACKOFF, Duration::ZERO);
-    assert_eq!(fleet.min_backoff_remaining("s", MOMENT), None);
-    fleet.back_off(&name("b"), 2 * BACKOFF, Duration::ZERO);
-    assert_eq!(fleet.min_backoff_remaining("s", MOMENT), Some(BACKOFF - MOMENT));
-    fleet.upsert(UpstreamListing { leaving: true, ..upstream("a") }, None);
-    assert_eq!(fleet.min_backoff_remaining("s", MOMENT), Some(2 * BACKOFF - MOMENT));
-    assert_eq!(fleet.min_backoff_remaining("another", MOMENT), None);
+    let mut registry = registry();
+    registry.back_off(&name("a"), BACKOFF, Duration::ZERO);
+    assert_eq!(registry.min_backoff_remaining("s", MOMENT), None);
+    registry.back_off(&name("b"), 2 * BACKOFF, Duration::ZERO);
+    assert_eq!(registry.min_backoff_remaining("s", MOMENT), Some(BACKOFF - MOMENT));
+    registry.upsert(UpstreamListing { leaving: true, ..upstream("a") }, None);
+    assert_eq!(registry.min_backoff_remaining("s", MOMENT), Some(2 * BACKOFF - MOMENT));
+    assert_eq!(registry.min_backoff_remaining("another", MOMENT), None);
 }
 
 /// The store's list is of no weight here: an entry lapses and is back within a backoff.
 #[test]
 fn a_backoff_outlasts_an_entry() {
-    let mut fleet = fleet();
-    fleet.back_off(&name("a"), BACKOFF, Duration::ZERO);
-    fleet.remove(&name("a"));
-    fleet.tick(MOMENT);
-    fleet.upsert(upstream("a"), None);
-    assert!(fleet.is_backing_off(&name("a"), BACKOFF - MOMENT));
+    let mut registry = registry();
+    registry.back_off(&name("a"), BACKOFF, Duration::ZERO);
+    registry.remove(&name("a"));
+    registry.tick(MOMENT);
+    registry.upsert(upstream("a"), None);
+    assert!(registry.is_backing_off(&name("a"), BACKOFF - MOMENT));
 }
 
 #[test]
 fn what_is_gone_is_forgotten_after_its_backoff() {
-    let mut fleet = fleet();
-    fleet.back_off(&name("a"), BACKOFF, Duration::ZERO);
-    fleet.remove(&name("a"));
-    fleet.tick(BACKOFF);
-    assert_eq!(fleet.backoff_count(), 0);
+    let mut registry = registry();
+    registry.back_off(&name("a"), BACKOFF, Duration::ZERO);
+    registry.remove(&name("a"));
+    registry.tick(BACKOFF);
+    assert_eq!(registry.backoff_count(), 0);
 }
--- a/tests/proxy_behind.rs
+++ b/tests/proxy_behind.rs
@@ -214,7 +214,7 @@
             }
         }
         let old = REPLACED_PER_S * step.saturating_sub(30) / 10;
-        let is_late = |n: u64| box_.fleet().is_open(&name(n));
+        let is_late = |n: u64| box_.registry().is_open(&name(n));
         outcome.late += (old.saturating_sub(100)..old).filter(|n| is_late(*n)).count();
     }
     // When all is quiet both list the same.
--- a/tests/proxy_draining.rs
+++ b/tests/proxy_draining.rs
@@ -56,7 +56,7 @@
 
 fn is_open(view: &View) -> bool {
     let name = UpstreamName::from("a");
-    let is_open = view.fleet().is_open(&name);
+    let is_open = view.registry().is_open(&name);
     assert!(!is_open || !view.is_barred(&name));
     is_open
 }
--- a/tests/proxy_placement.rs
+++ b/tests/proxy_placement.rs
@@ -39,10 +39,10 @@
     }
 }
 
-fn fleet(engines: u8) -> UpstreamRegistry {
-    let mut fleet = UpstreamRegistry::new(ZoneName::from("a"), Tuning::default());
-    (1..=engines).for_each(|n| fleet.upsert(listed(n), Some(LIMITS)));
-    fleet
+fn registry(engines: u8) -> UpstreamRegistry {
+    let mut registry = UpstreamRegistry::new(ZoneName::from("a"), Tuning::default());
+    (1..=engines).for_each(|n| registry.upsert(listed(n), Some(LIMITS)));
+    registry
 }
 
 /// A prompt with a shared part of 13,000 tokens and an own one of 3,000.
@@ -52,23 +52,23 @@
     Prompt { tokens: 16_000, output_tokens_max: 100, parts }
 }
 
-fn choose(fleet: &UpstreamRegistry, prompt: &Prompt, ms: u64) -> Result<Choice, ChoiceError> {
-    choose_within(fleet, prompt, ms, Duration::MAX)
+fn choose(registry: &UpstreamRegistry, prompt: &Prompt, ms: u64) -> Result<Choice, ChoiceError> {
+    choose_within(registry, prompt, ms, Duration::MAX)
 }
 
 fn choose_within(
-    fleet: &UpstreamRegistry,
+    registry: &UpstreamRegistry,
     prompt: &Prompt,
     ms: u64,
     wait_max: Duration,
 ) -> Result<Choice, ChoiceError> {
     let (prompt, excluded) = (Some(prompt), &[][..]);
     let wanted = SelectionCriteria::any("llm", prompt, excluded, wait_max);
-    fleet.choose(wanted, millis(ms))
+    registry.choose(wanted, millis(ms))
 }
 
-fn send(fleet: &mut UpstreamRegistry, prompt: &Prompt, request: u64, ms: u64) -> Choice {
-    let choice = choose(fleet, prompt, ms).expect("there is an engine");
+fn send(registry: &mut UpstreamRegistry, prompt: &Prompt, request: u64, ms: u64) -> Choice {
+    let choice = choose(registry, prompt, ms).expect("there is an engine");
     let Choice { prefill_tokens, copied_tokens, .. } = choice;
     let placement = Placement {
         request,
@@ -78,34 +78,34 @@
         sender: None,
         decided_by: None,
     };
-    fleet.place(&choice.upstream, placement, millis(ms));
+    registry.place(&choice.upstream, placement, millis(ms));
     choice
 }
 
-fn finish(fleet: &mut UpstreamRegistry, choice: &Choice, request: u64, ms: u64) {
-    fleet.record_first_token(&choice.upstream, request, None, millis(ms));
-    fleet.remove_request(&choice.upstream, request);
+fn finish(registry: &mut UpstreamRegistry, choice: &Choice, request: u64, ms: u64) {
+    registry.record_first_token(&choice.upstream, request, None, millis(ms));
+    registry.remove_request(&choice.upstream, request);
 }
 
 #[test]
 fn a_prompt_goes_where_its_parts_are_kept() {
-    let mut fleet = fleet(4);
-    let first = send(&mut fleet, &prompt(1, 100), 1, 0);
+    let mut registry = registry(4);
+    let first = send(&mut registry, &prompt(1, 100), 1, 0);
     assert_eq!(first.prefill_tokens, 16_000);
-    finish(&mut fleet, &first, 1, 400);
-    let second = send(&mut fleet, &prompt(1, 101), 2, 5_000);
+    finish(&mut registry, &first, 1, 400);
+    let second = send(&mut registry, &prompt(1, 101), 2, 5_000);
     assert_eq!(second.upstream, first.upstream);
     assert_eq!((second.prefill_tokens, second.copied_tokens), (3_000, 0));
 }
 
 #[test]
 fn a_busy_engine_gives_its_parts_to_another() {
-    let mut fleet = fleet(2);
-    let first = send(&mut fleet, &prompt(1, 100), 1, 0);
-    finish(&mut fleet, &first, 1, 400);
+    let mut registry = registry(2);
+    let first = send(&mut registry, &prompt(1, 100), 1, 0);
+    finish(&mut registry, &first, 1, 400);
     let mut copied = None;
     for request in 2..30 {
-        let choice = send(&mut fleet, &prompt(1, 100 + request), request, 5_000);
+        let choice = send(&mut registry, &prompt(1, 100 + request), request, 5_000);
         if choice.upstream != first.upstream {
             copied = Some(choice);
             break;
@@ -121,7 +121,7 @@
 /// engines had dropped it, and the others refused requests for want of room (found on inc-e393).
 #[test]
 fn what_a_box_that_is_gone_had_sent_makes_room_at_once() {
-    let mut fleet = fleet(1);
+    let mut registry = registry(1);
     let (gone, alive) = (Some([10, 0, 0, 1].into()), Some([10, 0, 0, 2].into()));
     for request in 0..64 {
         let sender = if request < 40 { gone } else { alive };
@@ -134,26 +134,26 @@
             sender,
             decided_by: None,
         };
-        fleet.place(&UpstreamName::from("e1"), placement, millis(0));
+        registry.place(&UpstreamName::from("e1"), placement, millis(0));
     }
-    assert_eq!(choose(&fleet, &prompt(1, 100), 0), Err(ChoiceError::Full));
-    fleet.remove_sender([10, 0, 0, 1].into());
-    let choice = choose(&fleet, &prompt(1, 100), 0).expect("there is room");
+    assert_eq!(choose(&registry, &prompt(1, 100), 0), Err(ChoiceError::Full));
+    registry.remove_sender([10, 0, 0, 1].into());
+    let choice = choose(&registry, &prompt(1, 100), 0).expect("there is room");
     assert_eq!(choice.running, 24);
 }
 
 /// Engines are replaced one after the other; what they keep would have to be read again.
 #[test]
 fn an_engine_that_leaves_gives_its_parts_away() {
-    let mut fleet = fleet(2);
-    let first = send(&mut fleet, &prompt(1, 100), 1, 0);
-    finish(&mut fleet, &first, 1, 400);
-    fleet.mark_leaving(&first.upstream);
-    let next = choose(&fleet, &prompt(1, 101), 5_000).expect("the other stays");
+    let mut registry = registry(2);
+    let first = send(&mut registry, &prompt(1, 100), 1, 0);
+    finish(&mut registry, &first, 1, 400);
+    registry.mark_leaving(&first.upstream);
+    let next = choose(&registry, &prompt(1, 101), 5_000).expect("the other stays");
     assert_ne!(next.upstream, first.upstream);
     assert_eq!((next.copied_tokens, next.copy_from), (13_000, Some(first.addr)));
-    fleet.mark_unverified(&first.upstream, true, millis(5_000));
-    let next = choose(&fleet, &prompt(1, 101), 5_000).expect("the other stays");
+    registry.mark_unverified(&first.upstream, true, millis(5_000));
+    let next = choose(&registry, &prompt(1, 101), 5_000).expect("the other stays");
     assert_eq!((next.copied_tokens, next.copy_from), (0, None), "it may be gone");
 }
 
@@ -161,22 +161,22 @@
 /// parts and were refused there, while other engines had no work.
 #[test]
 fn a_prompt_that_cant_wait_goes_to_an_engine_that_is_free() {
-    let mut fleet = fleet(2);
-    let first = send(&mut fleet, &prompt(1, 100), 1, 0);
-    finish(&mut fleet, &first, 1, 400);
-    send(&mut fleet, &prompt(1, 101), 2, 5_000);
-    send(&mut fleet, &prompt(1, 102), 3, 5_000);
-    let patient = choose(&fleet, &prompt(1, 103), 5_000).expect("there is an engine");
+    let mut registry = registry(2);
+    let first = send(&mut registry, &prompt(1, 100), 1, 0);
+    finish(&mut registry, &first, 1, 400);
+    send(&mut registry, &prompt(1, 101), 2, 5_000);
+    send(&mut registry, &prompt(1, 102), 3, 5_000);
+    let patient = choose(&registry, &prompt(1, 103), 5_000).expect("there is an engine");
     assert_eq!(patient.upstream, first.upstream);
-    let hasty = choose_within(&fleet, &prompt(1, 103), 5_000, millis(50));
+    let hasty = choose_within(&registry, &prompt(1, 103), 5_000, millis(50));
     assert_ne!(hasty.expect("the other is free").upstream, first.upstream);
 }
 
 #[test]
 fn who_would_wait_too_long_everywhere_is_told_for_how_long() {
-    let mut fleet = fleet(1);
-    send(&mut fleet, &prompt(1, 100), 1, 0);
-    let busy = choose_within(&fleet, &prompt(2, 101), 0, millis(50));
+    let mut registry = registry(1);
+    send(&mut registry, &prompt(1, 100), 1, 0);
+    let busy = choose_within(&registry, &prompt(2, 101), 0, millis(50));
     assert!(matches!(busy, Err(ChoiceError::Busy { wait }) if millis(300) < wait), "{busy:?}");
 }
 
@@ -184,28 +184,28 @@
 fn boxes_that_know_nothing_choose_the_same_engine() {
     for shared in 0..20 {
         let prompts = (prompt(shared, 1), prompt(shared, 2));
-        let one = choose(&fleet(9), &prompts.0, 0).expect("there is an engine");
-        let other = choose(&fleet(9), &prompts.1, 0).expect("there is an engine");
+        let one = choose(&registry(9), &prompts.0, 0).expect("there is an engine");
+        let other = choose(&registry(9), &prompts.1, 0).expect("there is an engine");
         assert_eq!(one.upstream, other.upstream);
     }
 }
 
 #[test]
 fn what_is_to_be_read_passes_with_time() {
-    let mut fleet = fleet(1);
-    send(&mut fleet, &prompt(1, 100), 1, 0);
-    let at_once = choose(&fleet, &prompt(2, 101), 0).expect("there is an engine").wait;
-    let later = choose(&fleet, &prompt(2, 101), 200).expect("there is an engine").wait;
+    let mut registry = registry(1);
+    send(&mut registry, &prompt(1, 100), 1, 0);
+    let at_once = choose(&registry, &prompt(2, 101), 0).expect("there is an engine").wait;
+    let later = choose(&registry, &prompt(2, 101), 200).expect("there is an engine").wait;
     assert!(later < at_once);
-    let long_after = choose(&fleet, &prompt(2, 101), 450).expect("there is an engine").wait;
+    let long_after = choose(&registry, &prompt(2, 101), 450).expect("there is an engine").wait;
     assert!(long_after < millis(100));
 }
 
 #[test]
 fn an_engine_that_is_late_is_expected_to_stay_late() {
-    let mut fleet = fleet(1);
-    send(&mut fleet, &prompt(1, 100), 1, 0);
-    let wait = choose(&fleet, &prompt(2, 101), 5_000).expect("there is an engine").wait;
+    let mut registry = registry(1);
+    send(&mut registry, &prompt(1, 100), 1, 0);
+    let wait = choose(&registry, &prompt(2, 101), 5_000).expect("there is an engine").wait;
     assert!(millis(3_000) < wait);
 }
 
@@ -213,105 +213,105 @@
 /// of the others for 20 s.
 #[test]
 fn what_a_dead_box_sent_is_forgotten_when_later_requests_are_read() {
-    let mut fleet = fleet(1);
+    let mut registry = registry(1);
     for request in 0..10 {
-        send(&mut fleet, &prompt(request, 1_000 + request), request, 0);
+        send(&mut registry, &prompt(request, 1_000 + request), request, 0);
     }
     // None of these is heard of again; the engine has dropped them and reads the next.
-    let next = send(&mut fleet, &prompt(50, 2_000), 50, 1_100);
-    fleet.record_first_token(&next.upstream, 50, None, millis(1_500));
-    let load = choose(&fleet, &prompt(51, 2_001), 8_000).expect("there is an engine").wait;
+    let next = send(&mut registry, &prompt(50, 2_000), 50, 1_100);
+    registry.record_first_token(&next.upstream, 50, None, millis(1_500));
+    let load = choose(&registry, &prompt(51, 2_001), 8_000).expect("there is an engine").wait;
     assert_eq!(load, millis(0));
 }
 
 #[test]
 fn engines_get_a_pause_between_prompts() {
-    let mut fleet = fleet(1);
+    let mut registry = registry(1);
     // Each is done in time, one after the other, so that nothing is ever waited for.
     for request in 0..100 {
         let ms = request * 400;
-        let choice = send(&mut fleet, &prompt(request, 1_000 + request), request, ms);
-        finish(&mut fleet, &choice, request, ms + 390);
+        let choice = send(&mut registry, &prompt(request, 1_000 + request), request, ms);
+        finish(&mut registry, &choice, request, ms + 390);
     }
-    let wait = choose(&fleet, &prompt(500, 5_000), 40_000).expect("there is an engine").wait;
+    let wait = choose(&registry, &prompt(500, 5_000), 40_000).expect("there is an engine").wait;
     assert!(millis(1_000) < wait, "reading without a pause must look like load");
 }
 
 #[test]
 fn a_full_engine_gets_nothing() {
-    let mut fleet = fleet(1);
+    let mut registry = registry(1);
     for request in 0..31 {
-        let choice = send(&mut fleet, &prompt(1, 100 + request), request, 0);
-        fleet.record_first_token(&choice.upstream, request, None, millis(1));
+        let choice = send(&mut registry, &prompt(1, 100 + request), request, 0);
+        registry.record_first_token(&choice.upstream, request, None, millis(1));
     }
-    assert_eq!(choose(&fleet, &prompt(1, 900), 1), Err(ChoiceError::Full));
+    assert_eq!(choose(&registry, &prompt(1, 900), 1), Err(ChoiceError::Full));
 }
 
 #[test]
 fn an_upstream_that_leaves_or_is_gone_gets_nothing() {
-    let mut fleet = fleet(2);
-    fleet.mark_leaving(&UpstreamName::from("e1"));
-    assert_eq!(choose(&fleet, &prompt(1, 1), 0).expect("e2 is left").upstream.as_str(), "e2");
-    fleet.remove(&UpstreamName::from("e2"));
-    assert_eq!(choose(&fleet, &prompt(1, 1), 0), Err(ChoiceError::NoUpstream));
+    let mut registry = registry(2);
+    registry.mark_leaving(&UpstreamName::from("e1"));
+    assert_eq!(choose(&registry, &prompt(1, 1), 0).expect("e2 is left").upstream.as_str(), "e2");
+    registry.remove(&UpstreamName::from("e2"));
+    assert_eq!(choose(&registry, &prompt(1, 1), 0), Err(ChoiceError::NoUpstream));
 }
 
 #[test]
 fn an_upstream_that_cant_be_reached_gets_nothing_while_others_can() {
-    let mut fleet = fleet(2);
-    let name = choose(&fleet, &prompt(1, 1), 0).expect("there is an engine").upstream;
-    assert!(fleet.mark_unverified(&name, true, millis(0)));
-    assert!(!fleet.mark_unverified(&name, true, millis(0)));
-    assert_ne!(choose(&fleet, &prompt(1, 1), 0).expect("one is left").upstream, name);
-    assert!(fleet.mark_reachable(&name));
-    assert!(!fleet.mark_reachable(&name));
-    assert_eq!(choose(&fleet, &prompt(1, 1), 0).expect("there is an engine").upstream, name);
+    let mut registry = registry(2);
+    let name = choose(&registry, &prompt(1, 1), 0).expect("there is an engine").upstream;
+    assert!(registry.mark_unverified(&name, true, millis(0)));
+    assert!(!registry.mark_unverified(&name, true, millis(0)));
+    assert_ne!(choose(&registry, &prompt(1, 1), 0).expect("one is left").upstream, name);
+    assert!(registry.mark_reachable(&name));
+    assert!(!registry.mark_reachable(&name));
+    assert_eq!(choose(&registry, &prompt(1, 1), 0).expect("there is an engine").upstream, name);
 }
 
 /// Where each box that is told connects and tells again, one lost answer costs the fleet as many
 /// connections as it has boxes, and an upstream that is gone many more.
 #[test]
 fn others_hear_of_an_upstream_only_once_and_only_when_it_cant_be_reached() {
-    let mut fleet = fleet(2);
-    let name = choose(&fleet, &prompt(1, 1), 0).expect("there is an engine").upstream;
-    let due = |fleet: &mut UpstreamRegistry, ms| fleet.take_due_probes(millis(ms)).len();
-    assert!(!fleet.record_connect_failure(&name, millis(0)), "nobody doubts it");
-    fleet.mark_unverified(&name, true, millis(0));
-    assert_eq!((due(&mut fleet, 0), due(&mut fleet, 1)), (1, 0), "one look at a time");
-    assert!(fleet.record_connect_failure(&name, millis(10)), "the others should know");
-    assert_eq!((due(&mut fleet, 309), due(&mut fleet, 310)), (0, 1));
-    assert!(!fleet.record_connect_failure(&name, millis(310)), "they know");
-    assert_eq!((due(&mut fleet, 909), due(&mut fleet, 910)), (0, 1), "less and less often");
-    fleet.mark_reachable(&name);
-    fleet.mark_unverified(&name, false, millis(1_000));
-    assert_eq!(due(&mut fleet, 1_000), 1);
-    assert!(!fleet.record_connect_failure(&name, millis(1_000)), "who told it knows");
+    let mut registry = registry(2);
+    let name = choose(&registry, &prompt(1, 1), 0).expect("there is an engine").upstream;
+    let due = |registry: &mut UpstreamRegistry, ms| registry.take_due_probes(millis(ms)).len();
+    assert!(!registry.record_connect_failure(&name, millis(0)), "nobody doubts it");
+    registry.mark_unverified(&name, true, millis(0));
+    assert_eq!((due(&mut registry, 0), due(&mut registry, 1)), (1, 0), "one look at a time");
+    assert!(registry.record_connect_failure(&name, millis(10)), "the others should know");
+    assert_eq!((due(&mut registry, 309), due(&mut registry, 310)), (0, 1));
+    assert!(!registry.record_connect_failure(&name, millis(310)), "they know");
+    assert_eq!((due(&mut registry, 909), due(&mut registry, 910)), (0, 1), "less and less often");
+    registry.mark_reachable(&name);
+    registry.mark_unverified(&name, false, millis(1_000));
+    assert_eq!(due(&mut registry, 1_000), 1);
+    assert!(!registry.record_connect_failure(&name, millis(1_000)), "who told it knows");
 }
 
 #[test]
 fn an_upstream_that_breaks_off_rests_longer_each_time() {
-    let mut fleet = fleet(2);
-    let name = choose(&fleet, &prompt(1, 1), 0).expect("there is an engine").upstream;
-    let rests = |fleet: &UpstreamRegistry, ms| {
-        choose(fleet, &prompt(1, 1), ms).expect("one is left").upstream != name
+    let mut registry = registry(2);
+    let name = choose(&registry, &prompt(1, 1), 0).expect("there is an engine").upstream;
+    let rests = |registry: &UpstreamRegistry, ms| {
+        choose(registry, &prompt(1, 1), ms).expect("one is left").upstream != name
     };
-    fleet.record_health(&name, Health::Broken, millis(0));
-    assert!(rests(&fleet, 399));
-    assert!(!rests(&fleet, 400));
-    fleet.record_health(&name, Health::Broken, millis(400));
-    assert!(rests(&fleet, 1_199));
-    assert!(!rests(&fleet, 1_200));
-    fleet.record_health(&name, Health::Good(millis(1)), millis(1_200));
-    fleet.record_health(&name, Health::Broken, millis(2_000));
-    assert!(!rests(&fleet, 2_400));
+    registry.record_health(&name, Health::Broken, millis(0));
+    assert!(rests(&registry, 399));
+    assert!(!rests(&registry, 400));
+    registry.record_health(&name, Health::Broken, millis(400));
+    assert!(rests(&registry, 1_199));
+    assert!(!rests(&registry, 1_200));
+    registry.record_health(&name, Health::Good(millis(1)), millis(1_200));
+    registry.record_health(&name, Health::Broken, millis(2_000));
+    assert!(!rests(&registry, 2_400));
 }
 
 #[test]
 fn a_new_box_takes_over_what_engines_keep() {
-    let mut old = fleet(4);
+    let mut old = registry(4);
     let choice = send(&mut old, &prompt(7, 100), 1, 0);
     finish(&mut old, &choice, 1, 400);
-    let mut new = fleet(4);
+    let mut new = registry(4);
     new.apply_learned(&old.learned(None));
     let found = choose(&new, &prompt(7, 101), 0).expect("there is an engine");
     assert_eq!((found.upstream, found.prefill_tokens), (choice.upstream, 3_000));
@@ -319,11 +319,11 @@
 
 #[test]
 fn a_lost_end_is_forgotten() {
-    let mut fleet = fleet(1);
+    let mut registry = registry(1);
     for request in 0..31 {
-        send(&mut fleet, &prompt(1, 100 + request), request, 0);
+        send(&mut registry, &prompt(1, 100 + request), request, 0);
     }
-    assert_eq!(choose(&fleet, &prompt(1, 900), 1_000), Err(ChoiceError::Full));
-    fleet.tick(millis(20_001));
-    assert!(choose(&fleet, &prompt(1, 900), 20_001).is_ok());
+    assert_eq!(choose(&registry, &prompt(1, 900), 1_000), Err(ChoiceError::Full));
+    registry.tick(millis(20_001));
+    assert!(choose(&registry, &prompt(1, 900), 20_001).is_ok());
 }
--- a/tests/proxy_plain.rs
+++ b/tests/proxy_plain.rs
@@ -93,7 +93,7 @@
     way: Way,
     rng: SmallRng,
     /// One for each box, or one for all.
-    fleets: Vec<UpstreamRegistry>,
+    registries: Vec<UpstreamRegistry>,
     shares: Shares,
     upstreams: Vec<Real>,
     requests: BTreeMap<u64, Request>,
@@ -107,8 +107,8 @@
     UpstreamName::from(&*format!("u{n}"))
 }
 
-fn fleet(upstreams: usize) -> UpstreamRegistry {
-    let mut fleet = UpstreamRegistry::new(ZoneName::from("a"), Tuning::default());
+fn registry(upstreams: usize) -> UpstreamRegistry {
+    let mut registry = UpstreamRegistry::new(ZoneName::from("a"), Tuning::default());
     for n in 0..upstreams {
         let listed = UpstreamListing {
             name: name(n),
@@ -121,9 +121,9 @@
             leaving: false,
             cold_for: None,
         };
-        fleet.upsert(listed, None);
+        registry.upsert(listed, None);
     }
-    fleet
+    registry
 }
 
 /// A request of this box, for whoever counts.
@@ -147,11 +147,11 @@
 
 impl Play {
     fn run(way: Way, boxes: usize, upstreams: usize, load: f64, seed: u64) -> Outcome {
-        let fleets = if way == Way::Owner { 1 } else { boxes };
+        let registries = if way == Way::Owner { 1 } else { boxes };
         let mut play = Play {
             way,
             rng: SmallRng::seed_from_u64(seed),
-            fleets: (0..fleets).map(|_| fleet(upstreams)).collect(),
+            registries: (0..registries).map(|_| registry(upstreams)).collect(),
             shares: Shares::new(Duration::from_secs(4)),
             upstreams: (0..upstreams).map(|_| Real::default()).collect(),
             requests: BTreeMap::new(),
@@ -193,9 +193,9 @@
             Event::Reach { upstream, request } => self.reach(now, upstream, request),
             Event::Done { upstream, request } => self.done(now, upstream, request),
             Event::Told { upstream, request, took } => {
-                let fleet = &mut self.fleets[0];
-                fleet.record_first_token(&name(upstream), request, Some(at(took)), at(now));
-                fleet.remove_request(&name(upstream), request);
+                let registry = &mut self.registries[0];
+                registry.record_first_token(&name(upstream), request, Some(at(took)), at(now));
+                registry.remove_request(&name(upstream), request);
             }
         }
     }
@@ -222,13 +222,13 @@
     fn choose(&mut self, now: f64, request: u64, sender: usize) -> Option<Choice> {
         if self.way == Way::Alone {
             let wanted = SelectionCriteria::any("ledger", None, &[], Duration::MAX);
-            let choice = self.fleets[sender].choose(wanted, at(now)).ok()?;
-            self.fleets[sender].request_sent(&choice.upstream);
+            let choice = self.registries[sender].choose(wanted, at(now)).ok()?;
+            self.registries[sender].request_sent(&choice.upstream);
             return Some(choice);
         }
         let zone = ZoneName::from("a");
         let query = query(request, &zone);
-        plain::admit(&mut self.fleets[0], &mut self.shares, query, at(now)).ok()
+        plain::admit(&mut self.registries[0], &mut self.shares, query, at(now)).ok()
     }
 
     fn reach(&mut self, now: f64, upstream: usize, request: u64) {
@@ -272,7 +272,7 @@
     fn ended(&mut self, now: f64, upstream: usize, request: u64, health: Option<Health>) {
         let Some(Request { sender, sent, .. }) = self.requests.remove(&request) else { return };
         if self.way == Way::Alone {
-            self.fleets[sender].request_ended(&name(upstream), health, at(now));
+            self.registries[sender].request_ended(&name(upstream), health, at(now));
             return;
         }
         let took = now - sent;
@@ -315,12 +315,12 @@
 /// Load: an aim of a hundred times the work, and more requests than any queue holds.
 #[test]
 fn an_upstreams_queue_isnt_filled_however_long_the_aim() {
-    let (mut fleet, mut shares) = (fleet(1), Shares::new(Duration::from_secs(4)));
+    let (mut registry, mut shares) = (registry(1), Shares::new(Duration::from_secs(4)));
     let zone = ZoneName::from("a");
     let mut admitted = 0;
     for request in 0..100 {
         let query = PlainQuery { target_latency: Duration::from_secs(5), ..query(request, &zone) };
-        admitted += u32::from(plain::admit(&mut fleet, &mut shares, query, at(1.0)).is_ok());
+        admitted += u32::from(plain::admit(&mut registry, &mut shares, query, at(1.0)).is_ok());
     }
     assert_eq!(admitted, 3 * SLOTS);
 }
@@ -328,7 +328,7 @@
 /// Load: two workspaces, of which one asks for four times as much as the other; together twice what can be done.
 #[test]
 fn a_workspace_beyond_its_share_gives_way() {
-    let (mut fleet, mut shares) = (fleet(1), Shares::new(Duration::from_secs(4)));
+    let (mut registry, mut shares) = (registry(1), Shares::new(Duration::from_secs(4)));
     let zone = ZoneName::from("a");
     let names = ["many", "few"].map(WorkspaceName::from);
     let mut served = [0, 0];
@@ -339,11 +339,11 @@
         if request % 2 == 0
             && let Some(ended) = running.pop_front()
         {
-            fleet.remove_request(&name(0), ended);
+            registry.remove_request(&name(0), ended);
         }
         let who = usize::from(request % 5 == 0);
         let query = PlainQuery { workspace: Some(&names[who]), ..query(request, &zone) };
-        if plain::admit(&mut fleet, &mut shares, query, at(now)).is_ok() {
+        if plain::admit(&mut registry, &mut shares, query, at(now)).is_ok() {
             served[who] += 1;
             running.push_back(request);
         }
@@ -358,14 +358,14 @@
 #[test]
 fn what_is_counted_in_vain_keeps_nobody_out() {
     let zone = ZoneName::from("a");
-    let admit = |fleet: &mut UpstreamRegistry, request, now| {
+    let admit = |registry: &mut UpstreamRegistry, request, now| {
         let mut shares = Shares::new(Duration::from_secs(4));
         let query = query(request, &zone);
-        plain::admit(fleet, &mut shares, query, at(now)).is_ok()
+        plain::admit(registry, &mut shares, query, at(now)).is_ok()
     };
-    let mut fleet = fleet(1);
-    (0..18).for_each(|request| fleet.begin_plain(&name(0), request, None, at(1.0)));
-    assert!(!admit(&mut fleet, 100, 1.5));
-    fleet.tick(at(3.1));
-    assert!(admit(&mut fleet, 101, 3.1), "what has no end for long is forgotten");
+    let mut registry = registry(1);
+    (0..18).for_each(|request| registry.begin_plain(&name(0), request, None, at(1.0)));
+    assert!(!admit(&mut registry, 100, 1.5));
+    registry.tick(at(3.1));
+    assert!(admit(&mut registry, 101, 3.1), "what has no end for long is forgotten");
 }
--- a/tests/proxy_speed.rs
+++ b/tests/proxy_speed.rs
@@ -41,7 +41,7 @@
 
 /// A fleet of one engine and what is under way there.
 struct Scene {
-    fleet: UpstreamRegistry,
+    registry: UpstreamRegistry,
     rng: StdRng,
     now: f64,
     free_at: f64,
@@ -58,7 +58,7 @@
 
 impl Scene {
     fn new(seed: u64, tokens_per_ms: f64) -> Scene {
-        let mut fleet = UpstreamRegistry::new(ZoneName::from("a"), tuning(tokens_per_ms));
+        let mut registry = UpstreamRegistry::new(ZoneName::from("a"), tuning(tokens_per_ms));
         let listed = UpstreamListing {
             name: UpstreamName::from("e1"),
             service: ServiceName::from("llm"),
@@ -70,10 +70,10 @@
             leaving: false,
             cold_for: None,
         };
-        fleet.upsert(listed, Some(LIMITS));
+        registry.upsert(listed, Some(LIMITS));
         let rng = StdRng::seed_from_u64(seed);
         let (under_way, ratios) = (Vec::new(), Vec::new());
-        Scene { fleet, rng, now: 0.0, free_at: 0.0, under_way, next: 1, ratios }
+        Scene { registry, rng, now: 0.0, free_at: 0.0, under_way, next: 1, ratios }
     }
 
     /// Sends requests that keep an engine busy for about half of the time. One answer in
@@ -94,8 +94,8 @@
         for (at, request, took) in self.under_way.drain(..due) {
             let name = UpstreamName::from("e1");
             let (took, at) = (Duration::from_secs_f64(took), Duration::from_secs_f64(at));
-            self.fleet.record_first_token(&name, request, Some(took), at);
-            self.fleet.remove_request(&name, request);
+            self.registry.record_first_token(&name, request, Some(took), at);
+            self.registry.remove_request(&name, request);
         }
     }
 
@@ -113,7 +113,7 @@
             sender: None,
             decided_by: None,
         };
-        self.fleet.place(&choice.upstream, placement, now);
+        self.registry.place(&choice.upstream, placement, now);
         self.free_at = self.free_at.max(self.now) + truth.reading(tokens);
         let took = self.free_at + truth.first_ms / 1e3 - self.now;
         let is_late = late_one_in != 0 && self.rng.random_ratio(1, late_one_in);
@@ -128,7 +128,7 @@
         let (prompt, excluded) = (Some(prompt), &[][..]);
         let wait_max = Duration::MAX;
         let wanted = SelectionCriteria::any("llm", prompt, excluded, wait_max);
-        self.fleet.choose(wanted, now).expect("there is an engine")
+        self.registry.choose(wanted, now).expect("there is an engine")
     }
 
     /// The errors that half and nine in ten of the expected times stay below.
@@ -209,7 +209,7 @@
     let truth = Truth { tokens_per_ms: 150.0, pairs_ms: 0.1, first_ms: 30.0 };
     let mut scene = Scene::new(1, 50.0);
     scene.play(truth, 300, 0);
-    let learned = scene.fleet.speed("llm").clone();
+    let learned = scene.registry.speed("llm").clone();
     let mut fresh = Speed::new(&tuning(50.0));
     fresh.adopt(&learned);
     assert_eq!(fresh.samples(), learned.samples());
--- a/tests/proxy_view.rs
+++ b/tests/proxy_view.rs
@@ -48,7 +48,7 @@
 }
 
 fn is_open(view: &View, name: &str) -> bool {
-    view.fleet().is_open(&UpstreamName::from(name))
+    view.registry().is_open(&UpstreamName::from(name))
 }
 
 /// Load: boxes before 3,000 upstreams restart one after the other, each watches the store until it knows the others,
@@ -269,7 +269,7 @@
 }
 
 fn names(view: &View) -> Vec<&UpstreamName> {
-    view.fleet().listed().filter(|l| !l.leaving).map(|l| &l.name).collect()
+    view.registry().listed().filter(|l| !l.leaving).map(|l| &l.name).collect()
 }
 
 /// Load: 3,000 upstreams of which one is new and another gone, which a box that doesn't watch the store has missed, as
