--- a/src/proxy/rollouts.rs
+++ b/src/proxy/rollouts.rs
@@ -330,7 +330,7 @@
     let (inputs, now) = (StageInputs { min_responses, has_regressed, slots }, hub.now());
     update(hub, |rollouts| match rollouts.advance(service, inputs, now) {
         Some(stage) => {
-            info!(hub.log(), "roll-out stage raised"; "service" => service.as_str(),
+            info!(hub.log(), "roll-out stage decided"; "service" => service.as_str(),
                 "version" => target.as_str(), "stage" => ?stage, "answers" => min_responses,
                 "is_bad" => has_regressed);
             true
