--- a/src/fleet/draining.rs
+++ b/src/fleet/draining.rs
@@ -100,7 +100,7 @@
         self.by_name.values().map(|entry| &entry.notice)
     }
 
-    /// Removes notices of upstreams that have not been listed for [`UNLISTED_RETENTION`].
+    /// Removes notices of upstreams that have not been listed for `UNLISTED_RETENTION`.
     pub fn expire(&mut self, now: Duration, is_listed: impl Fn(&UpstreamName) -> bool) {
         self.by_name.retain(|name, entry| {
             if is_listed(name) {
--- a/src/fleet/quarantine.rs
+++ b/src/fleet/quarantine.rs
@@ -217,7 +217,7 @@
         is_suspect
     }
 
-    /// Removes crashes older than [`RETENTION`].
+    /// Removes crashes older than `RETENTION`.
     pub fn expire(&mut self, now: Duration) {
         self.suspects.retain(|_, crashes| {
             crashes.retain(|crash| crash.ago(now) < RETENTION);
