--- a/src/fleet/members.rs
+++ b/src/fleet/members.rs
@@ -104,7 +104,7 @@
     /// Version of its configuration; zero for none.
     pub version: u64,
     /// Whether it reaches the store.
-    pub sees_store: bool,
+    pub reaches_store: bool,
     /// Whether it knows what engines have cached.
     pub is_warm: bool,
     /// Digest of the upstreams that it lists.
--- a/src/fleet/sync_state.rs
+++ b/src/fleet/sync_state.rs
@@ -15,7 +15,7 @@
     /// Address at which it serves other boxes.
     pub addr: SocketAddr,
     /// Whether it reaches the store.
-    pub sees_store: bool,
+    pub reaches_store: bool,
     /// The revision of the store up to which its list is complete.
     pub revision: Revision,
     /// Digest of the list.
@@ -44,7 +44,7 @@
     reports: impl Iterator<Item = UpstreamListReport>,
 ) -> SyncState {
     let fresh: Vec<UpstreamListReport> =
-        reports.filter(|r| r.sees_store && r.age < REPORT_AGE_MAX).collect();
+        reports.filter(|r| r.reaches_store && r.age < REPORT_AGE_MAX).collect();
     let ahead: Vec<SocketAddr> =
         fresh.iter().filter(|r| revision < r.revision).map(|r| r.addr).collect();
     if !ahead.is_empty() {
--- a/src/proxy/peers.rs
+++ b/src/proxy/peers.rs
@@ -270,7 +270,7 @@
         let now = self.now();
         let zone_box = |(ip, member): (IpAddr, &Member)| {
             let (report, age) = member.report_with_age(now)?;
-            let store_seen_ago = report.sees_store.then_some(age);
+            let store_seen_ago = report.reaches_store.then_some(age);
             let is_here = report.zone == self.zone;
             is_here.then_some(ZoneBox { ip, cores: report.cores, store_seen_ago })
         };
@@ -404,7 +404,7 @@
             incarnation: self.incarnation,
             cores: self.cores,
             version,
-            sees_store: reaches_store,
+            reaches_store,
             is_warm,
             upstreams_digest,
             revision,
@@ -444,7 +444,7 @@
     /// Returns a box that has a newer configuration than `version`, preferably one that reaches the
     /// store.
     pub(super) fn box_with_newer_configuration(&self, version: u64) -> Option<SocketAddr> {
-        self.pick(|r| (version < r.version).then_some((r.sees_store, r.version)))
+        self.pick(|r| (version < r.version).then_some((r.reaches_store, r.version)))
     }
 
     /// Returns a box that knows which prompts the engines have cached.
@@ -454,7 +454,7 @@
 
     /// Returns a box that reaches the store.
     pub(super) fn box_with_store(&self) -> Option<SocketAddr> {
-        self.pick(|r| r.sees_store.then_some(()))
+        self.pick(|r| r.reaches_store.then_some(()))
     }
 
     /// Returns a box that recently reported a different digest of the requests that it holds back.
@@ -485,8 +485,8 @@
         let now = self.now();
         let list_report = |(_, member): (IpAddr, &Member)| {
             let (r, age) = member.report_with_age(now)?;
-            let BoxReport { addr, sees_store, revision, upstreams_digest, .. } = *r;
-            Some(UpstreamListReport { addr, sees_store, revision, upstreams_digest, age })
+            let BoxReport { addr, reaches_store, revision, upstreams_digest, .. } = *r;
+            Some(UpstreamListReport { addr, reaches_store, revision, upstreams_digest, age })
         };
         self.members(|members| {
             sync_state::evaluate(revision, upstreams, members.live(now).filter_map(list_report))
--- a/tests/fleet_members.rs
+++ b/tests/fleet_members.rs
@@ -47,7 +47,7 @@
         incarnation: 1,
         cores: 0.25,
         version: 1,
-        sees_store: false,
+        reaches_store: false,
         is_warm: true,
         upstreams_digest: 7,
         revision: Revision::new(1, 7),
--- a/tests/proxy_behind.rs
+++ b/tests/proxy_behind.rs
@@ -106,7 +106,7 @@
         let addr = ([127, 0, 0, 1 + phase as u8], 80).into();
         let word = UpstreamListReport {
             addr,
-            sees_store: true,
+            reaches_store: true,
             revision: Revision::default(),
             upstreams_digest: 0,
             age: Duration::ZERO,
