--- a/src/placement/engine.rs
+++ b/src/placement/engine.rs
@@ -341,7 +341,7 @@
     }
 
     /// Drops requests whose ends were never reported.
-    pub fn tick(&mut self, now: Duration) {
+    pub fn expire(&mut self, now: Duration) {
         let is_stale = |placed: Duration| placed + STALE_REQUEST_AGE < now;
         self.pending.retain(|r| !is_stale(r.placed));
         self.remove_matching(|running| is_stale(running.placed));
--- a/src/placement/plain.rs
+++ b/src/placement/plain.rs
@@ -112,7 +112,7 @@
     }
 
     /// Drops requests whose ends were never reported.
-    pub fn tick(&mut self, now: Duration) {
+    pub fn expire(&mut self, now: Duration) {
         self.requests.retain(|_, queued| now <= queued.placed + STALE_REQUEST_AGE);
     }
 }
--- a/src/placement/registry.rs
+++ b/src/placement/registry.rs
@@ -307,13 +307,13 @@
     }
 
     /// Drops expired state.
-    pub fn tick(&mut self, now: Duration) {
+    pub fn expire(&mut self, now: Duration) {
         self.expire_backoffs(now);
         let upstreams = &mut self.upstreams;
         self.busy.retain(|name| {
             let Some(upstream) = upstreams.get_mut(name) else { return false };
-            upstream.plain.tick(now);
-            upstream.engine.iter_mut().for_each(|engine| engine.tick(now));
+            upstream.plain.expire(now);
+            upstream.engine.iter_mut().for_each(|engine| engine.expire(now));
             upstream.is_busy()
         });
     }
--- a/src/proxy/history.rs
+++ b/src/proxy/history.rs
@@ -66,7 +66,7 @@
     }
 
     /// Removes changes older than `RETENTION`.
-    pub fn tick(&mut self, now: Duration) {
+    pub fn expire(&mut self, now: Duration) {
         let floor = &mut self.floor;
         self.changed.retain(|_, stamp| {
             let Some(revision) = stamp.revision else { return true };
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -241,8 +241,8 @@
                 "turned_away" => rejected);
         }
         gossip::send_gossip(&hub);
-        hub.change(view::View::tick);
-        hub.suspects().tick(hub.now());
+        hub.change(view::View::expire);
+        hub.suspects().expire(hub.now());
         let engines = hub.read(|view| view.registry().engine_count());
         if hub.peers().refresh(engines) {
             let owners = hub.peers().owners();
--- a/src/proxy/suspects.rs
+++ b/src/proxy/suspects.rs
@@ -202,7 +202,7 @@
     }
 
     /// Removes expired state.
-    pub fn tick(&self, now: Duration) {
+    pub fn expire(&self, now: Duration) {
         self.with(|inner| {
             inner.quarantine.expire(now);
             while inner.waiting.front().is_some_and(|w| w.at + PROOF_TIMEOUT < now) {
--- a/src/proxy/view.rs
+++ b/src/proxy/view.rs
@@ -646,9 +646,9 @@
 
     /// Removes upstreams that have been missing for too long, if the store answers, and expired
     /// records.
-    pub fn tick(&mut self, now: Duration) {
-        self.registry.tick(now);
-        self.history.tick(now);
+    pub fn expire(&mut self, now: Duration) {
+        self.registry.expire(now);
+        self.history.expire(now);
         self.removed.retain(|_, removed| now < removed.at + REMOVED_RETENTION);
         self.draining.expire(now, |name| self.registry.get(name).is_some());
         self.expire_restore_state(now);
--- a/tests/proxy_backoff.rs
+++ b/tests/proxy_backoff.rs
@@ -148,7 +148,7 @@
     let mut registry = registry();
     registry.back_off(&name("a"), BACKOFF, Duration::ZERO);
     registry.remove(&name("a"));
-    registry.tick(MOMENT);
+    registry.expire(MOMENT);
     registry.upsert(upstream("a"), None);
     assert!(registry.is_backing_off(&name("a"), BACKOFF - MOMENT));
 }
@@ -158,6 +158,6 @@
     let mut registry = registry();
     registry.back_off(&name("a"), BACKOFF, Duration::ZERO);
     registry.remove(&name("a"));
-    registry.tick(BACKOFF);
+    registry.expire(BACKOFF);
     assert_eq!(registry.backoff_count(), 0);
 }
--- a/tests/proxy_behind.rs
+++ b/tests/proxy_behind.rs
@@ -182,7 +182,7 @@
                 watcher.speak();
             }
         }
-        box_.tick(now);
+        box_.expire(now);
         if step % LOOK != 0 {
             continue;
         }
--- a/tests/proxy_draining.rs
+++ b/tests/proxy_draining.rs
@@ -77,7 +77,7 @@
     let mut view = view();
     view.entry_removed(&UpstreamName::from("a"), NOW + SECOND);
     assert!(view.is_barred(&UpstreamName::from("a")));
-    view.tick(NOW + 12 * SECOND);
+    view.expire(NOW + 12 * SECOND);
     view.set_upstream(upstream("a", BORN), NOW + 12 * SECOND);
     assert!(!is_open(&view));
 }
@@ -87,7 +87,7 @@
     let mut view = view();
     view.enter_era(1, NOW + SECOND);
     view.set_upstreams(all(), NOW + SECOND);
-    view.tick(NOW + 10 * SECOND);
+    view.expire(NOW + 10 * SECOND);
     assert!(!is_open(&view));
 }
 
@@ -122,9 +122,9 @@
 fn an_uncertain_incarnation_is_open_once_the_other_one_has_ended() {
     let mut view = view();
     view.set_upstream(upstream("a", SAID_AT - 1), NOW + SECOND);
-    view.tick(NOW + 20 * SECOND);
+    view.expire(NOW + 20 * SECOND);
     assert!(!is_open(&view));
-    view.tick(NOW + 31 * SECOND);
+    view.expire(NOW + 31 * SECOND);
     assert!(is_open(&view));
 }
 
@@ -185,8 +185,8 @@
 fn what_is_long_gone_is_forgotten() {
     let mut view = view();
     view.entry_removed(&UpstreamName::from("a"), NOW);
-    view.tick(NOW + 5 * SECOND);
+    view.expire(NOW + 5 * SECOND);
     assert_eq!(view.draining().iter().count(), 1);
-    view.tick(NOW + 60 * SECOND);
+    view.expire(NOW + 60 * SECOND);
     assert_eq!(view.draining().iter().count(), 0);
 }
--- a/tests/proxy_placement.rs
+++ b/tests/proxy_placement.rs
@@ -324,6 +324,6 @@
         send(&mut registry, &prompt(1, 100 + request), request, 0);
     }
     assert_eq!(choose(&registry, &prompt(1, 900), 1_000), Err(ChoiceError::Full));
-    registry.tick(millis(20_001));
+    registry.expire(millis(20_001));
     assert!(choose(&registry, &prompt(1, 900), 20_001).is_ok());
 }
--- a/tests/proxy_plain.rs
+++ b/tests/proxy_plain.rs
@@ -366,6 +366,6 @@
     let mut registry = registry(1);
     (0..18).for_each(|request| registry.begin_plain(&name(0), request, None, at(1.0)));
     assert!(!admit(&mut registry, 100, 1.5));
-    registry.tick(at(3.1));
+    registry.expire(at(3.1));
     assert!(admit(&mut registry, 101, 3.1), "what has no end for long is forgotten");
 }
--- a/tests/proxy_view.rs
+++ b/tests/proxy_view.rs
@@ -133,7 +133,7 @@
     let told = watcher.difference(box_.version(), &box_.digests(now), now);
     box_.apply_snapshot(told, now);
     assert!(is_open(&box_, "a"));
-    box_.tick(now + millis(11_000));
+    box_.expire(now + millis(11_000));
     assert!(is_open(&box_, "a"), "nor is it forgotten later");
 }
 
@@ -163,10 +163,10 @@
     view.store_lost();
     view.store_regained(millis(10_000));
     view.set_upstreams(vec![upstream("b")], millis(10_000));
-    view.tick(millis(11_900));
+    view.expire(millis(11_900));
     assert!(is_open(&view, "a"));
     view.set_upstream(upstream("a"), millis(11_900));
-    view.tick(millis(13_000));
+    view.expire(millis(13_000));
     assert!(is_open(&view, "a"));
 }
 
@@ -176,7 +176,7 @@
     view.store_lost();
     view.store_regained(millis(10_000));
     view.set_upstreams(vec![upstream("b")], millis(10_000));
-    view.tick(millis(12_300));
+    view.expire(millis(12_300));
     assert!(!is_open(&view, "a"));
     assert!(view.take_changes().contains(&Change::Gone(UpstreamName::from("a"))));
 }
@@ -198,7 +198,7 @@
     let mut view = view();
     view.store_lost();
     view.entry_removed(&UpstreamName::from("a"), millis(10_000));
-    view.tick(millis(60_000));
+    view.expire(millis(60_000));
     assert!(is_open(&view, "a"));
 }
 
@@ -365,7 +365,7 @@
     view.set_upstreams(vec![upstream("a"), upstream("c")], millis(12_000));
     view.complete_up_to(Revision::new(2, 5));
     for ms in [12_000, 14_000] {
-        view.tick(millis(ms));
+        view.expire(millis(ms));
         assert_eq!(
             [is_open(&view, "a"), is_open(&view, "b"), is_open(&view, "c")],
             [true, true, false],
@@ -373,9 +373,9 @@
         );
     }
     // Nobody has written `b` again; nobody has taken `c` away.
-    view.tick(millis(14_300));
+    view.expire(millis(14_300));
     assert!(!is_open(&view, "b"));
-    view.tick(millis(16_600));
+    view.expire(millis(16_600));
     assert!(is_open(&view, "c"));
     assert_eq!(view.revision(), Revision::new(2, 5));
 }
@@ -391,7 +391,7 @@
     view.set_upstream(upstream("b"), millis(12_400));
     assert!(is_open(&view, "b"));
     view.entry_removed(&UpstreamName::from("b"), millis(20_000));
-    view.tick(millis(21_000));
+    view.expire(millis(21_000));
     assert!(!is_open(&view, "b"));
 }
 
@@ -444,7 +444,7 @@
         &EvacuatedZones { revision: Revision::new(2, 3), ..EvacuatedZones::default() },
         millis(5_000),
     );
-    view.tick(millis(7_000));
+    view.expire(millis(7_000));
     assert!(view.is_barred(&UpstreamName::from("a")));
     // One that was heard late, of before.
     view.evacuate(
@@ -452,7 +452,7 @@
         millis(7_100),
     );
     assert!(view.is_barred(&UpstreamName::from("a")));
-    view.tick(millis(7_300));
+    view.expire(millis(7_300));
     assert!(!view.is_barred(&UpstreamName::from("a")));
 }
 
@@ -503,6 +503,6 @@
     view.reported_gone(&UpstreamName::from("c"), millis(0));
     view.reported_listed(upstream("c"), millis(100));
     assert!(is_open(&view, "c"));
-    view.tick(millis(11_000));
+    view.expire(millis(11_000));
     assert!(is_open(&view, "c"));
 }
