--- a/src/fleet/rollout.rs
+++ b/src/fleet/rollout.rs
@@ -3,8 +3,8 @@
 //! The operator orders a roll-out in the platform's store. Heartbeats carry the stage of each
 //! roll-out to every box. The stage only ever advances, so messages may be lost, duplicated or
 //! late. All boxes send the new version the same share of requests at a stage, which bounds its
-//! share in the whole fleet without a global count. Two boxes, the judges, compare the versions and
-//! advance the stage; the final outcome is written to the store conditionally.
+//! share in the whole fleet without a global count. Two boxes, the evaluators, compare the versions
+//! and advance the stage; the final outcome is written to the store conditionally.
 
 pub mod regression;
 
@@ -32,8 +32,8 @@
 
 /// Responses of the new version that are required on each busy route before it is widened, and
 /// before all traffic moves. A service whose traffic is too low to reach these by
-/// [`LATE_FRACTION`] of the time limit requires fewer, but not none: a judge that receives none is
-/// cut off.
+/// [`LATE_FRACTION`] of the time limit requires fewer, but not none: an evaluator that receives
+/// none is cut off.
 const RESPONSES_TO_WIDEN: u64 = 5;
 const RESPONSES_TO_MOVE: u64 = 24;
 const RESPONSES_WHEN_LATE: u64 = 3;
@@ -159,7 +159,7 @@
     }
 }
 
-/// What a judge bases the next stage on, beside the order.
+/// What an evaluator bases the next stage on, beside the order.
 #[derive(Clone, Copy, Debug)]
 pub struct StageInputs {
     /// Number of responses of the new version on the busy route where it has given fewest.
@@ -334,8 +334,8 @@
         }
     }
 
-    /// Advances a service's roll-out to the stage that a judge determines. Returns the stage if it
-    /// is new.
+    /// Advances a service's roll-out to the stage that an evaluator determines. Returns the stage if
+    /// it is new.
     pub fn advance(&mut self, service: &str, inputs: StageInputs, now: Duration) -> Option<Stage> {
         let rollout = self.known.get_mut(service).filter(|r| r.order.is_some())?;
         let next = next_stage(rollout, inputs, now);
--- a/src/fleet/rollout/regression.rs
+++ b/src/fleet/rollout/regression.rs
@@ -52,7 +52,7 @@
     ChunkInterval(u8),
 }
 
-/// A response's outcome and the version that gave it, as boxes report it to the judges.
+/// A response's outcome and the version that gave it, as boxes report it to the evaluators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResponseReport {
     /// Whether the new version gave the response.
--- a/src/proxy/rollouts.rs
+++ b/src/proxy/rollouts.rs
@@ -112,12 +112,12 @@
         self.with(|inner| inner.rollouts.version_filter(service, draw, now))
     }
 
-    /// Returns which versions may resume a response that an engine of the version `begun` has
-    /// begun.
+    /// Returns which versions may resume a response that an engine of the version `started_by` has
+    /// started.
     pub fn version_filter_for(
         &self,
         service: &str,
-        begun: &VersionName,
+        started_by: &VersionName,
         now: Duration,
     ) -> VersionFilter {
         if !self.has_rollouts() {
@@ -125,7 +125,7 @@
         }
         self.with(|inner| match inner.rollouts.target(service, now) {
             None => VersionFilter::Any,
-            Some(target) if target == begun => VersionFilter::Target,
+            Some(target) if target == started_by => VersionFilter::Target,
             Some(_) => VersionFilter::Others,
         })
     }
