--- a/src/router/hub.rs
+++ b/src/router/hub.rs
@@ -411,9 +411,9 @@
     let mut workspaces: Vec<WorkspaceStatus> = pool.queue().workspaces().map(status).collect();
     workspaces.sort_by_key(|w| w.virtual_time);
     workspaces.truncate(STATUS_WORKSPACES_MAX);
-    let upstreams = pool.upstreams().states().map(|(name, aside)| UpstreamStatus {
+    let upstreams = pool.upstreams().states().map(|(name, reason)| UpstreamStatus {
         upstream: name.clone(),
-        unavailable_reason: aside.map(|a| format!("{a:?}").to_lowercase()),
+        unavailable_reason: reason.map(|r| format!("{r:?}").to_lowercase()),
     });
     PoolStatus {
         pool: pool.name().clone(),
