--- a/src/fleet/members.rs
+++ b/src/fleet/members.rs
@@ -5,8 +5,8 @@
 //! few boxes, drawn anew each time, one of which has to reply. A box that doesn't reply is
 //! suspected. Suspicions and their refutations spread by gossip at once, and a suspicion that isn't
 //! refuted in time means that the box is dead (SWIM, Das et al., 2002). Traffic and work of a box
-//! thus don't grow with the fleet, and the time to detect a failure grows with the logarithm of its
-//! size only.
+//! thus don't grow with the fleet, and the time to detect a failure grows only with the logarithm of
+//! the fleet's size.
 
 mod member;
 
@@ -34,7 +34,7 @@
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
 /// In a small fleet, where each box hears from all others, a box counts as dead after this time
-/// without a sign of it: five heartbeats and a lost one.
+/// without a heartbeat: five intervals, and one more in case a heartbeat is lost.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(2400);
 
 /// A box that has received no heartbeat for this long considers itself cut off, and no other box
@@ -48,13 +48,13 @@
 /// Time between gossip messages while there are updates to spread.
 pub const GOSSIP_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Gossip messages per interval, each to other boxes: enough for the loss of a zone of two hundred
-/// boxes.
+/// Gossip messages per interval, each to newly drawn boxes: enough to report the loss of a zone of
+/// two hundred boxes.
 pub const GOSSIP_ROUNDS: usize = 4;
 
 /// A box counts as dead once a suspicion has not been refuted for this long: twenty times
-/// [`GOSSIP_INTERVAL`]. Nine intervals spread the suspicion to three to the power of nine boxes,
-/// and as many spread the refutation.
+/// [`GOSSIP_INTERVAL`]. At a fan-out of two, nine intervals spread the suspicion to three to the
+/// power of nine boxes, and nine more spread the refutation.
 const SUSPICION_TIMEOUT: Duration = Duration::from_millis(2000);
 
 /// A box that has shown no sign of life for this long is removed, unless it is a seed.
@@ -68,8 +68,8 @@
 const FANOUT: usize = 2;
 
 /// Boxes probed with each heartbeat, and how many more are probed at most while probes are
-/// unanswered: a few boxes that are cut off thus detect the loss of all others as soon as a whole
-/// fleet detects that of one.
+/// unanswered. A few boxes that are cut off thus detect the loss of all others as fast as a whole
+/// fleet detects the loss of one box.
 const PROBES_PER_HEARTBEAT: usize = 1;
 const EXTRA_PROBES_MAX: usize = 24;
 
@@ -151,8 +151,8 @@
 /// What follows from a received heartbeat.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HeartbeatOutcome {
-    /// The boxes to send a heartbeat at once: boxes never heard of before, and the sender if it
-    /// asks for one, suspects this box or wasn't known to be alive.
+    /// The boxes to which to send a heartbeat at once: boxes that were unknown so far, and the
+    /// sender if it asks for one, suspects this box or wasn't known to be alive.
     pub reply_to: BTreeSet<IpAddr>,
     /// Whether the sender wasn't known to be alive.
     pub is_new: bool,
@@ -225,7 +225,7 @@
         self.received_at = now;
         self.probes.remove(&sender);
         let rule = self.liveness_rule(now);
-        for update in heartbeat.updates.iter().filter(|a| a.ip != sender) {
+        for update in heartbeat.updates.iter().filter(|u| u.ip != sender) {
             if update.ip == self.own_ip {
                 // Refutes a suspicion of this box at once.
                 outcome.reply_to.extend(update.is_suspicion.then_some(sender));
@@ -272,7 +272,8 @@
     }
 
     /// Returns the receivers of the next heartbeat: all boxes in a small fleet, else a few live
-    /// ones, those with unanswered probes, one dead box, some without a report, and all of `zone`.
+    /// ones, those with unanswered probes, one dead box, some without a report, and all live ones
+    /// of `zone`.
     pub fn heartbeat_targets(
         &mut self,
         zone: Option<&ZoneName>,
--- a/src/placement/registry.rs
+++ b/src/placement/registry.rs
@@ -45,7 +45,7 @@
     upstreams: BTreeMap<UpstreamName, Upstream>,
     /// The same upstreams by lookup key.
     index: Index,
-    /// Upstreams that may have placed requests outstanding.
+    /// Upstreams that may have unfinished requests placed on them.
     busy: BTreeSet<UpstreamName>,
     /// Upstreams that may be unreachable.
     unverified: BTreeSet<UpstreamName>,
@@ -104,7 +104,7 @@
         self.rollout_targets = rollout_targets;
     }
 
-    /// The filter of its service's roll-out that an upstream of this version passes.
+    /// The filter that selects upstreams of this version while the service is being rolled out.
     pub fn version_filter_for(&self, service: &str, version: &VersionName) -> VersionFilter {
         match self.rollout_targets.get(service) {
             None => VersionFilter::Any,
@@ -115,7 +115,7 @@
 
     fn matches_version_filter(&self, version_filter: VersionFilter, upstream: &Upstream) -> bool {
         let listed = &upstream.listed;
-        // Usually nothing is being rolled out.
+        // The usual case comes first: nothing is being rolled out.
         version_filter == VersionFilter::Any
             || matches!(
                 self.version_filter_for(&listed.service, &listed.version),
@@ -211,8 +211,8 @@
         engine.place(placement, speed, self.tuning, now);
     }
 
-    /// Records the first token of a request, `took` after it was sent; `None` means after it was
-    /// placed.
+    /// Records the first token of a request. `took` is the time since the request was sent; if it
+    /// is `None`, the time since the request was placed on its engine counts.
     pub fn record_first_token(
         &mut self,
         name: &UpstreamName,
@@ -241,7 +241,7 @@
         self.speeds.get(service).unwrap_or(&self.default_speed)
     }
 
-    /// Records the end of a request.
+    /// Removes a request that has ended.
     pub fn remove_request(&mut self, name: &UpstreamName, request: u64) {
         let Some(upstream) = self.upstreams.get_mut(name) else { return };
         match &mut upstream.engine {
@@ -283,7 +283,7 @@
         of_group.filter(|u| u.engine.is_some()).map(|u| &u.listed)
     }
 
-    /// Counts a request of this box at an upstream.
+    /// Counts a request that this box has sent to an upstream.
     pub fn request_sent(&mut self, name: &UpstreamName) {
         if let Some(upstream) = self.upstreams.get_mut(name) {
             upstream.request_sent();
--- a/src/proxy/gossip.rs
+++ b/src/proxy/gossip.rs
@@ -1,5 +1,5 @@
 //! Tasks that exchange state with other boxes: sending heartbeats, receiving datagrams, and
-//! requesting what this box lacks from boxes that are ahead.
+//! requesting a newer configuration or missing changes of upstreams from them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -44,8 +44,8 @@
 const CHANGES_REQUEST_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// A box of a large fleet whose list differs from that of others at the same revision requests the
-/// difference after this time. It may have received a change by datagram that the others fetch up
-/// to a second later, and would lose it by an earlier request.
+/// difference after this time. It may have received a change by datagram that the others fetch only
+/// up to a second later; an earlier request would undo that change.
 const DIVERGED_MIN: Duration = Duration::from_millis(2000);
 
 /// Starts the tasks.
@@ -102,8 +102,8 @@
     }
 }
 
-/// Handles a heartbeat. Boxes that start learn of each other within a few round trips, since each
-/// answers at once.
+/// Handles a heartbeat. Boxes reply to a new box at once, so boxes that start learn of each other
+/// within a few round trips.
 fn handle_heartbeat(hub: &Hub, heartbeat: &HeartbeatMessage) {
     let peers = hub.peers();
     let now = peers.now();
@@ -130,7 +130,7 @@
     }
 }
 
-/// Sends recent updates on other boxes, if there are any; to be called every [`GOSSIP_INTERVAL`].
+/// Sends recent updates about other boxes, if there are any; to be called every [`GOSSIP_INTERVAL`].
 ///
 /// [`GOSSIP_INTERVAL`]: crate::fleet::members::GOSSIP_INTERVAL
 pub fn send_gossip(hub: &Hub) {
@@ -170,8 +170,8 @@
     }
 }
 
-/// Requests what this box lacks from others, until the process ends: a newer configuration, and the
-/// upstreams while it doesn't reach the store.
+/// Requests a newer configuration from other boxes, and changes of upstreams while this box doesn't
+/// reach the store, until the process ends.
 async fn catch_up(hub: Arc<Hub>) {
     let mut diverged_since: Option<Instant> = None;
     let mut requested_at = None;
@@ -183,22 +183,22 @@
             let fraction = rand::rng().random_range(0.0..1.0);
             tokio::time::sleep(REQUEST_SPREAD.mul_f64(fraction)).await;
         }
-        let is_known = hub.read(View::is_ready);
-        let is_small = hub.peers().owners().is_empty();
-        let (ahead, sync_state) = sync_status(&hub, is_small);
+        let is_ready = hub.read(View::is_ready);
+        let is_small_fleet = hub.peers().owners().is_empty();
+        let (newer_configuration, sync_state) = sync_status(&hub, is_small_fleet);
         let diverged = matches!(sync_state, SyncState::Diverged(_)).then(Instant::now);
         diverged_since = diverged.map(|now| diverged_since.unwrap_or(now));
         let request_difference =
-            diverged_since.is_some_and(|at| DIVERGED_MIN <= at.elapsed()) || is_small;
+            diverged_since.is_some_and(|at| DIVERGED_MIN <= at.elapsed()) || is_small_fleet;
         let was_requested =
             requested_at.is_some_and(|at: Instant| at.elapsed() < CHANGES_REQUEST_INTERVAL);
-        match (ahead, sync_state) {
+        match (newer_configuration, sync_state) {
             (Some(addr), _) => fetch_difference(&hub, addr).await,
-            (None, SyncState::Diverged(addr)) if request_difference || !is_known => {
+            (None, SyncState::Diverged(addr)) if request_difference || !is_ready => {
                 fetch_difference(&hub, addr).await
             }
-            (None, SyncState::Behind(all)) if !was_requested || !is_known => {
-                let Some(addr) = all.into_iter().choose(&mut rand::rng()) else { continue };
+            (None, SyncState::Behind(addrs)) if !was_requested || !is_ready => {
+                let Some(addr) = addrs.into_iter().choose(&mut rand::rng()) else { continue };
                 requested_at = Some(Instant::now());
                 fetch_changes(&hub, addr).await;
             }
@@ -208,13 +208,14 @@
 }
 
 /// Returns a box with a newer configuration, and how this box's list compares with those of the
-/// boxes that reach the store.
-fn sync_status(hub: &Hub, is_small: bool) -> (Option<SocketAddr>, SyncState) {
+/// boxes that reach the store. In a small fleet, a list counts as diverged from any such box, so
+/// that the difference is requested at each tick.
+fn sync_status(hub: &Hub, is_small_fleet: bool) -> (Option<SocketAddr>, SyncState) {
     let OwnState { version, reaches_store, upstreams_digest, revision, .. } = own_state(hub);
     let peers = hub.peers();
     let sync_state = if reaches_store {
         SyncState::InSync
-    } else if is_small {
+    } else if is_small_fleet {
         peers.box_with_store().map_or(SyncState::InSync, SyncState::Diverged)
     } else {
         peers.sync_state(revision, upstreams_digest)
--- a/tests/proxy_speed.rs
+++ b/tests/proxy_speed.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// A fleet of one engine and what is under way there.
+/// A registry with one engine, and the requests in progress there.
 struct Scene {
     registry: UpstreamRegistry,
     rng: StdRng,
