--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -14,8 +14,8 @@
 use std::time::Instant;
 
 use fleet::Judge;
-use frostdyke::config::Revision;
-use frostdyke::peer::member::Gossip;
+use frostdyke::config::CatalogRevision;
+use frostdyke::peer::member::GossipSettings;
 use frostdyke::peer::member::ListedBox;
 use frostdyke::peer::member::Members;
 use pool::Backlog;
@@ -76,22 +76,22 @@
 fn heartbeat(n: usize) -> f64 {
     let listed: Vec<ListedBox> = (0..n).map(listed).collect();
     let mut members: Vec<Members> = (0..n)
-        .map(|i| Members::new(&listed[i].name, &"zone".into(), 1, Gossip::default()))
+        .map(|i| Members::new(&listed[i].name, &"zone".into(), 1, GossipSettings::default()))
         .collect();
     let mut rng = SmallRng::seed_from_u64(1);
     let mut now = Duration::from_secs(1);
     for m in &mut members {
-        m.list(&listed, now);
+        m.update_box_list(&listed, now);
     }
     let mut turn = 0;
     let mut beat = || {
         let i = turn % n;
         now += Duration::from_millis(2000) / n as u32;
         turn += 1;
-        if let Some((table, to)) = members[i].beat(now, &mut rng) {
+        if let Some((table, to)) = members[i].next_heartbeat(now, &mut rng) {
             for name in to {
                 let to = listed.iter().position(|l| l.name == name).expect("it is listed");
-                members[to].hear(&table, now);
+                members[to].receive(&table, now);
             }
         }
     };
@@ -108,7 +108,7 @@
     let text = serde_json::to_vec(&pool::configuration(workspaces, upstreams)).expect("it is");
     let micros = micros(20, || {
         let catalog = serde_json::from_slice(&text).expect("it reads back");
-        Revision::new(1, catalog).expect("it is valid");
+        CatalogRevision::new(1, catalog).expect("it is valid");
     });
     println!("change.bytes.{workspaces}-workspaces.{upstreams}-upstreams {}", text.len());
     println!("change.micros.{workspaces}-workspaces.{upstreams}-upstreams {micros:.0}");
--- a/benches/operations.rs
+++ b/benches/operations.rs
@@ -187,7 +187,7 @@
         let workspace = json!({"name": format!("workspace-{i}")});
         let workspace = serde_json::from_value(workspace).expect("a workspace");
         let intent = Intent::PutWorkspace { workspace };
-        let wanted = plan::make(&client, intent).expect("a plan");
+        let wanted = plan::create(&client, intent).expect("a plan");
         let confirmed = plan::confirm(&client, &wanted, "bench").expect("it is applied");
         let begun = Instant::now();
         thread::scope(|scope| {
@@ -249,9 +249,9 @@
 /// How long after now an engine got its last new request, looking for `span`.
 fn last_new(engine: &engine::Engine, span: Duration) -> Duration {
     let begun = Instant::now();
-    let (mut known, mut last) = (engine.ran().len(), Duration::ZERO);
+    let (mut known, mut last) = (engine.run_counts().len(), Duration::ZERO);
     while begun.elapsed() < span {
-        let now = engine.ran().len();
+        let now = engine.run_counts().len();
         if now != known {
             (known, last) = (now, begun.elapsed());
         }
--- a/src/bin/operator.rs
+++ b/src/bin/operator.rs
@@ -7,9 +7,9 @@
 use frostdyke::operator;
 
 const USAGE: &str =
-    "Serves operators: intents, plans and their confirmation, status, explanations.";
+    "Serves the operators' API: intents, plans and their confirmation, status, explanations.";
 
 fn main() -> ExitCode {
     let opts = cli::options().descr(USAGE).run();
-    cli::run(opts.check, || settings::operator(&opts.settings), operator::run)
+    cli::run(opts.check, || settings::read_operator(&opts.settings), operator::run)
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,14 +1,15 @@
-//! Settings of a process (INI) and the fleet's configuration (an object on the platform).
+//! The settings of a process (an INI file) and the configuration of the fleet (an object on the
+//! platform).
 
 pub mod catalog;
 pub mod settings;
 
 pub use catalog::Applied;
 pub use catalog::Catalog;
+pub use catalog::CatalogRevision;
 pub use catalog::EngineState;
 pub use catalog::Fault;
 pub use catalog::Pool;
-pub use catalog::Revision;
 pub use catalog::Service;
 pub use catalog::Unit;
 pub use catalog::Upstream;
--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -1,9 +1,9 @@
-//! Pure decisions: who goes next, and where to. No input or output, no clock and no locks in here:
-//! the time is a parameter, counted from the start of the process.
+//! Scheduling of requests: which one goes next, and to which upstream. No I/O, clock or locks: the
+//! time is a parameter, counted from the start of the process.
 
 pub mod ledger;
 pub mod pool;
 pub mod queue;
-pub mod remotes;
+pub mod remote_zones;
 pub mod retry;
 pub mod upstreams;
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -1,7 +1,7 @@
-//! What the routers of a fleet tell each other.
+//! The messages between the routers of a fleet.
 //!
-//! Everything here is soft state: a message may be lost, doubled or late. Field names on the wire
-//! are short because control traffic is one of the figures the fleet is judged by.
+//! All of this is soft state: a message may be lost, duplicated or late. Names on the wire have one
+//! letter, because control traffic is one of the figures by which the fleet is judged.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -9,11 +9,11 @@
 use serde_tuple::Serialize_tuple;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::claims::Claim;
-use crate::claims::Verdict;
+use crate::claims::ClaimOutcome;
+use crate::claims::ClaimRequest;
 use crate::config::Catalog;
-use crate::dispatch::ledger::CellId;
-use crate::dispatch::ledger::Entry;
+use crate::dispatch::ledger::CounterEntry;
+use crate::dispatch::ledger::ReplicaId;
 use crate::names::BoxName;
 use crate::names::PoolName;
 use crate::names::ServiceName;
@@ -21,100 +21,100 @@
 use crate::names::WorkspaceName;
 use crate::names::ZoneName;
 
-/// Names one attempt of a request to be placed; unique over all routers.
+/// Identifies one attempt to place a request; unique over all routers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TicketId(pub u64);
 
-/// Names one grant; unique over all dispatchers.
+/// Identifies one grant; unique over all dispatchers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct GrantId(pub u64);
 
-/// How much a request is in a hurry, most urgent first.
+/// Priority class of a request, most urgent first.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub enum Class {
-    /// Goes ahead of its workspace's other work, and of other workspaces within a stated lead.
+    /// Goes before other work of its workspace, and before other workspaces within the pool's
+    /// urgent lead.
     #[serde(rename = "u")]
     Urgent,
-    /// The usual.
     #[default]
     #[serde(rename = "n")]
     Normal,
-    /// May be late, but gets a minimum share of its workspace.
+    /// May be delayed, but gets a minimum share of its workspace's service.
     #[serde(rename = "b")]
     Background,
 }
 
-/// A request that waits to be placed, as its router registers it with a dispatcher.
+/// A request waiting to be placed, as its router registers it with a dispatcher.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Ticket {
-    /// Unique name.
     #[serde(rename = "i")]
     pub id: TicketId,
-    /// The router that holds the request; on the wire none for the sender.
+    /// The router that holds the request; omitted on the wire if it is the sender.
     #[serde(rename = "r", default = "BoxName::none", skip_serializing_if = "BoxName::is_none")]
     pub router: BoxName,
-    /// The workspace that is charged.
+    /// The workspace to charge.
     #[serde(rename = "w")]
     pub workspace: WorkspaceName,
-    /// The service that was asked for.
+    /// The requested service.
     #[serde(rename = "s")]
     pub service: ServiceName,
-    /// The pool that serves it; on the wire none, since the service tells it.
+    /// The pool that serves it; omitted on the wire, because the service determines it.
     #[serde(rename = "p", default = "PoolName::none", skip_serializing_if = "PoolName::is_none")]
     pub pool: PoolName,
-    /// Its class.
     #[serde(rename = "c", default, skip_serializing_if = "is_normal")]
     pub class: Class,
-    /// Milliseconds from now until nobody wants the answer any more.
+    /// Milliseconds from now until the response is no longer wanted.
     #[serde(rename = "d")]
     pub deadline_ms: u64,
-    /// Hash of the prompt's prefix; 0 where there is none.
+    /// Hash of the prompt's prefix; 0 if there is none.
     #[serde(rename = "x", default, skip_serializing_if = "is_zero")]
     pub prefix: u64,
-    /// Upstream to avoid, since the last attempt failed there.
+    /// Upstream to avoid, because the previous attempt failed there.
     #[serde(rename = "a", default, skip_serializing_if = "Option::is_none")]
     pub avoid: Option<UpstreamName>,
-    /// Whether another box already passed this on.
+    /// Whether another box has forwarded this already.
     #[serde(rename = "f", default, skip_serializing_if = "is_false")]
     pub forwarded: bool,
 }
 
-/// The word to a router that a ticket may run now.
+/// Permission for a router to run a ticket's request.
 #[derive(Clone, Debug, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct Grant {
-    /// Unique name.
     pub id: GrantId,
-    /// The ticket that is granted.
     pub ticket: TicketId,
-    /// Where to send it.
+    /// The upstream to send the request to.
     pub upstream: UpstreamName,
-    /// Cost that is charged already, in the pool's unit.
-    pub cover: u64,
-    /// The dispatcher that wants to hear how it went; on the wire none for the sender.
+    /// Cost charged already, in the pool's unit.
+    pub charged_cost: u64,
+    /// The dispatcher to report to; `BoxName::none` on the wire if it is the sender.
     pub dispatcher: BoxName,
 }
 
-/// Grants in a few bytes: how many there are from one to another, and a sum of their hashes.
+/// A digest of the grants in a range of ids: their number and a sum of their hashes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
-pub struct Digest {
-    /// The first that is covered.
-    pub from: GrantId,
-    /// The last that is covered.
-    pub upto: GrantId,
-    /// How many there are.
+pub struct GrantDigest {
+    /// First id of the range.
+    pub first: GrantId,
+    /// Last id of the range.
+    pub last: GrantId,
+    /// Number of grants.
     pub count: u32,
-    /// What tells them from as many others, but for one time in four billion.
+    /// Sum of their hashes. Two sets of the same size collide once in four billion cases.
     pub sum: u32,
 }
 
-impl Digest {
-    /// The digest of those of `grants` that are in the range.
-    pub fn new(from: GrantId, upto: GrantId, grants: impl Iterator<Item = GrantId>) -> Digest {
-        let mut digest = Digest { from, upto, count: 0, sum: 0 };
+impl GrantDigest {
+    /// The digest of those of `grants` that lie in the range.
+    pub fn new(
+        first: GrantId,
+        last: GrantId,
+        grants: impl Iterator<Item = GrantId>,
+    ) -> GrantDigest {
+        let mut digest = GrantDigest { first, last, count: 0, sum: 0 };
         for grant in grants {
             if digest.covers(grant) {
                 digest.count += 1;
@@ -124,25 +124,25 @@
         digest
     }
 
-    /// Whether a grant is in the range.
+    /// Whether a grant's id lies in the range.
     pub fn covers(&self, grant: GrantId) -> bool {
-        (self.from..=self.upto).contains(&grant)
+        (self.first..=self.last).contains(&grant)
     }
 }
 
-/// How a granted request ended.
+/// How the request of a grant ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Ending {
-    /// Answered in full.
+    /// It was answered in full.
     #[serde(rename = "o")]
     Answered,
     /// The caller left or the deadline passed; says nothing about the upstream.
     #[serde(rename = "c")]
     Cancelled,
-    /// The upstream refused, cut or muddled the answer.
+    /// The upstream refused it, or cut or corrupted the response.
     #[serde(rename = "f")]
     Failed,
-    /// The upstream refused, and asked for a backoff of so many milliseconds.
+    /// The upstream refused it and asked for a backoff of this many milliseconds.
     #[serde(rename = "p")]
     Backoff(u32),
     /// The grant wasn't used.
@@ -150,56 +150,50 @@
     Unused,
 }
 
-/// The end of a grant.
+/// Reports the end of a grant.
 #[derive(Clone, Debug, PartialEq, Serialize_tuple, Deserialize_tuple)]
-pub struct Done {
-    /// The pool of the grant.
+pub struct CompletionReport {
     pub pool: PoolName,
-    /// Which grant.
     pub grant: GrantId,
     /// Its exact cost, in the pool's unit.
     pub cost: u64,
-    /// How it ended.
     pub ending: Ending,
 }
 
-/// A grant in use, as a router reports it to a dispatcher that may not know it.
+/// A grant in use, as reported to a dispatcher that may not know it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Running {
-    /// Which grant.
+pub struct RunningGrant {
     #[serde(rename = "g")]
     pub grant: GrantId,
-    /// The workspace that is charged.
+    /// The workspace to charge.
     #[serde(rename = "w")]
     pub workspace: WorkspaceName,
-    /// The service that was asked for.
+    /// The requested service.
     #[serde(rename = "s")]
     pub service: ServiceName,
-    /// Where it runs.
+    /// The upstream where it runs.
     #[serde(rename = "u")]
     pub upstream: UpstreamName,
-    /// Cost that is charged already.
+    /// Cost charged already.
     #[serde(rename = "e")]
-    pub cover: u64,
+    pub charged_cost: u64,
 }
 
-/// One line of a heartbeat: the freshest sign of life known of a box.
+/// The latest heartbeat known of one box.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
-pub struct Beat {
-    /// Whose.
+pub struct HeartbeatEntry {
     pub name: BoxName,
-    /// Which start of that box.
+    /// Distinguishes the runs of the box.
     pub incarnation: u64,
-    /// Counter that the box raises with every heartbeat.
-    pub beat: u64,
-    /// Whether the box is about to stop.
+    /// Raised by the box with every heartbeat.
+    pub counter: u64,
+    /// Whether the box is shutting down.
     pub leaving: bool,
 }
 
-/// What dispatchers of one pool tell each other.
+/// Reports a dispatcher's state to the other dispatchers of the same pool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Summary {
-    /// Which pool.
+pub struct DispatcherReport {
     #[serde(rename = "p")]
     pub pool: PoolName,
     /// The sender's availability zone.
@@ -208,194 +202,242 @@
     /// The sender.
     #[serde(rename = "b")]
     pub dispatcher: BoxName,
-    /// The sender's own cell.
+    /// The sender's replica of the counters.
     #[serde(rename = "c")]
-    pub cell: CellId,
-    /// Version of the sender's cell that this brings the receiver to.
+    pub replica: ReplicaId,
+    /// Version of that replica after merging `entries`.
     #[serde(rename = "t")]
-    pub upto: u64,
-    /// Version of the receiver's cell that the sender has merged.
+    pub version: u64,
+    /// Version of the receiver's replica that the sender has merged.
     #[serde(rename = "k")]
-    pub seen: u64,
+    pub merged_version: u64,
     /// Virtual time of the sender's last grant.
     #[serde(rename = "v")]
     pub virtual_time: i64,
-    /// Free slots that the sender has no work for.
+    /// Free slots for which the sender has no work.
     #[serde(rename = "n", default, skip_serializing_if = "is_none_free")]
-    pub idle: u32,
-    /// Routers of the sender's zone that were found to be gone since the receiver was last told.
+    pub idle_slots: u32,
+    /// Routers of the sender's zone found dead since the previous report to the receiver.
     #[serde(rename = "g", default, skip_serializing_if = "Vec::is_empty")]
-    pub gone: Vec<BoxName>,
-    /// Entries of the sender's cell that changed since the receiver's `seen`.
+    pub lost_routers: Vec<BoxName>,
+    /// Entries of the sender's replica that changed since the version that the receiver has merged.
     #[serde(rename = "e", default, skip_serializing_if = "Vec::is_empty")]
-    pub entries: Vec<Entry>,
-    /// Cells of other dispatchers, for a receiver that knows nothing yet.
+    pub entries: Vec<CounterEntry>,
+    /// Replicas of other dispatchers, for a receiver that may lack them.
     #[serde(rename = "o", default, skip_serializing_if = "Vec::is_empty")]
-    pub others: Vec<OtherCell>,
-    /// Whether another box already passed this on.
+    pub relayed: Vec<RelayedCounters>,
+    /// Whether another box has forwarded this already.
     #[serde(rename = "f", default, skip_serializing_if = "is_false")]
     pub forwarded: bool,
 }
 
-/// A copy of another dispatcher's cell.
+/// A copy of another dispatcher's replica.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct OtherCell {
-    /// Whose.
+pub struct RelayedCounters {
     #[serde(rename = "c")]
-    pub cell: CellId,
-    /// Its version.
+    pub replica: ReplicaId,
     #[serde(rename = "t")]
-    pub upto: u64,
-    /// All its entries.
+    pub version: u64,
     #[serde(rename = "e")]
-    pub entries: Vec<Entry>,
+    pub entries: Vec<CounterEntry>,
 }
 
-/// A dispatcher with a free slot asks another zone's dispatcher for a waiting ticket.
+/// A dispatcher with a free slot requests a waiting ticket from another zone's dispatcher.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Pull {
-    /// Which pool.
+pub struct PullRequest {
     #[serde(rename = "p")]
     pub pool: PoolName,
-    /// The workspace that is furthest behind there.
+    /// The workspace with the smallest virtual time there.
     #[serde(rename = "w")]
     pub workspace: WorkspaceName,
-    /// The grant that is offered.
+    /// Id of the offered grant.
     #[serde(rename = "g")]
     pub grant: GrantId,
     /// The upstream with the free slot.
     #[serde(rename = "u")]
     pub upstream: UpstreamName,
-    /// The dispatcher that asks.
+    /// The requesting dispatcher.
     #[serde(rename = "b")]
     pub dispatcher: BoxName,
-    /// Whether any workspace's ticket will do, since the asker has nothing of its own.
+    /// Whether a ticket of any workspace will do, because the requester has no work of its own.
     #[serde(rename = "a", default, skip_serializing_if = "is_false")]
-    pub any: bool,
-    /// Whether another box already passed this on.
+    pub any_workspace: bool,
+    /// Whether another box has forwarded this already.
     #[serde(rename = "f", default, skip_serializing_if = "is_false")]
     pub forwarded: bool,
 }
 
-/// The answer to a pull.
+/// The response to a [`PullRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Pulled {
-    /// Which pool.
+pub struct PullResponse {
     #[serde(rename = "p")]
     pub pool: PoolName,
-    /// The grant that was offered.
+    /// Id of the offered grant.
     #[serde(rename = "g")]
     pub grant: GrantId,
-    /// The workspace that was asked for.
+    /// The requested workspace.
     #[serde(rename = "w")]
     pub workspace: WorkspaceName,
-    /// The zone that answers.
+    /// The responding zone.
     #[serde(rename = "z")]
     pub zone: ZoneName,
-    /// The ticket that took the offer; none when nothing waits there any more.
+    /// The ticket that takes the grant; `None` if none waits there any more.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
-    pub taken: Option<Taken>,
-    /// How many tickets of that workspace still wait there.
+    pub ticket: Option<PulledTicket>,
+    /// Tickets of that workspace that still wait there.
     #[serde(rename = "n")]
-    pub left: u32,
+    pub still_waiting: u32,
 }
 
-/// The ticket that took an offered grant.
+/// The ticket that takes an offered grant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Taken {
-    /// Which ticket.
+pub struct PulledTicket {
     #[serde(rename = "i")]
     pub ticket: TicketId,
-    /// The router that holds it.
+    /// The router that holds the request.
     #[serde(rename = "r")]
     pub router: BoxName,
-    /// The workspace that is charged.
+    /// The workspace to charge.
     #[serde(rename = "w")]
     pub workspace: WorkspaceName,
-    /// The service that was asked for.
+    /// The requested service.
     #[serde(rename = "s")]
     pub service: ServiceName,
     /// Cost that the granting dispatcher charges now.
     #[serde(rename = "e")]
-    pub cover: u64,
+    pub charged_cost: u64,
 }
 
 /// One message between routers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Signs of life of a zone's boxes, and the revision of the sender's configuration.
+    /// Heartbeats known to the sender, and its configuration's revision.
     #[serde(rename = "H")]
-    Heartbeat { t: Vec<Beat>, v: u64 },
-    /// Ask for a sign of life, since none was heard for long.
+    Heartbeat {
+        #[serde(rename = "t")]
+        entries: Vec<HeartbeatEntry>,
+        #[serde(rename = "v")]
+        revision: u64,
+    },
+    /// Requests a heartbeat, because none has arrived for some time.
     #[serde(rename = "B")]
     Probe {},
-    /// Register a ticket.
+    /// Registers a ticket.
     #[serde(rename = "T")]
     Ticket(Ticket),
-    /// Forget a ticket.
+    /// Withdraws a ticket.
     #[serde(rename = "C")]
-    Cancel { p: PoolName, i: TicketId },
-    /// A ticket may run.
+    Cancel {
+        #[serde(rename = "p")]
+        pool: PoolName,
+        #[serde(rename = "i")]
+        ticket: TicketId,
+    },
+    /// Lets a ticket's request run.
     #[serde(rename = "G")]
     Grant(Grant),
-    /// A request outgrew what was charged for it.
+    /// A request has cost more than was charged for it.
     #[serde(rename = "P")]
-    Progress { p: PoolName, g: GrantId, e: u64 },
+    Progress {
+        #[serde(rename = "p")]
+        pool: PoolName,
+        #[serde(rename = "g")]
+        grant: GrantId,
+        #[serde(rename = "e")]
+        cost: u64,
+    },
     /// A grant has ended.
     #[serde(rename = "D")]
-    Done(Done),
-    /// Grants of one pool that a router uses (on the wire none for the sender) and that the
-    /// receiver inherits.
+    CompletionReport(CompletionReport),
+    /// Grants that a router uses (`BoxName::none` for the sender) and that the receiver takes over.
     #[serde(rename = "R")]
-    Running {
-        p: PoolName,
-        #[serde(default = "BoxName::none", skip_serializing_if = "BoxName::is_none")]
-        b: BoxName,
-        r: Vec<Running>,
+    RunningGrants {
+        #[serde(rename = "p")]
+        pool: PoolName,
+        #[serde(rename = "b", default = "BoxName::none", skip_serializing_if = "BoxName::is_none")]
+        router: BoxName,
+        #[serde(rename = "r")]
+        grants: Vec<RunningGrant>,
     },
-    /// Asks which of these grants the receiver still uses, and whether it uses just those that the
-    /// digest tells.
+    /// Asks which of `grants` the receiver still uses, and whether the grants that it uses in the
+    /// digest's range match the digest.
     #[serde(rename = "K")]
-    Check {
-        p: PoolName,
-        #[serde(default, skip_serializing_if = "Vec::is_empty")]
-        g: Vec<GrantId>,
-        #[serde(default, skip_serializing_if = "Option::is_none")]
-        d: Option<Digest>,
+    GrantCheckRequest {
+        #[serde(rename = "p")]
+        pool: PoolName,
+        #[serde(rename = "g", default, skip_serializing_if = "Vec::is_empty")]
+        grants: Vec<GrantId>,
+        #[serde(rename = "d", default, skip_serializing_if = "Option::is_none")]
+        digest: Option<GrantDigest>,
     },
-    /// The digest told others: these are the grants from `f` to `u` that the sender uses.
+    /// Response to a digest that didn't match: the grants that the sender uses in the range.
     #[serde(rename = "U")]
-    Using { p: PoolName, f: GrantId, u: GrantId, g: Vec<GrantId> },
-    /// These grants aren't used (any more).
+    GrantsInUse {
+        #[serde(rename = "p")]
+        pool: PoolName,
+        #[serde(rename = "f")]
+        first: GrantId,
+        #[serde(rename = "u")]
+        last: GrantId,
+        #[serde(rename = "g")]
+        grants: Vec<GrantId>,
+    },
+    /// The sender doesn't use these grants.
     #[serde(rename = "X")]
-    NotRunning { p: PoolName, g: Vec<GrantId> },
-    /// State of a pool, from dispatcher to dispatcher.
+    GrantsNotInUse {
+        #[serde(rename = "p")]
+        pool: PoolName,
+        #[serde(rename = "g")]
+        grants: Vec<GrantId>,
+    },
+    /// A dispatcher's state, for the other dispatchers of the pool.
     #[serde(rename = "S")]
-    Summary(Box<Summary>),
-    /// The sender, which would follow the receiver, has a copy of its cell at version `t`.
+    DispatcherReport(Box<DispatcherReport>),
+    /// The sender, the receiver's standby, has merged the receiver's replica up to `version`.
     #[serde(rename = "Y")]
-    Copied { p: PoolName, z: ZoneName, c: CellId, t: u64 },
-    /// Ask for a ticket.
+    StandbyAck {
+        #[serde(rename = "p")]
+        pool: PoolName,
+        #[serde(rename = "z")]
+        zone: ZoneName,
+        #[serde(rename = "c")]
+        replica: ReplicaId,
+        #[serde(rename = "t")]
+        version: u64,
+    },
+    /// Requests a waiting ticket.
     #[serde(rename = "L")]
-    Pull(Pull),
-    /// Answer to a pull.
+    PullRequest(PullRequest),
     #[serde(rename = "Q")]
-    Pulled(Pulled),
-    /// Claim a key; the receiver writes for many.
+    PullResponse(PullResponse),
+    /// Claims an idempotency key; the receiver writes for many boxes.
     #[serde(rename = "M")]
-    Claim(Claim),
-    /// The verdict on the claim of an attempt.
+    ClaimRequest(ClaimRequest),
+    /// The outcome of an attempt's claim.
     #[serde(rename = "N")]
-    Claimed { a: u64, v: Verdict },
-    /// Ask for the configuration, since the receiver has a newer one.
+    ClaimResponse {
+        #[serde(rename = "a")]
+        attempt: u64,
+        #[serde(rename = "v")]
+        outcome: ClaimOutcome,
+    },
+    /// Requests the configuration, because the receiver has a newer one.
     #[serde(rename = "W")]
-    WantConfiguration { v: u64 },
+    ConfigurationRequest {
+        #[serde(rename = "v")]
+        revision: u64,
+    },
     /// The sender's configuration.
     #[serde(rename = "V")]
-    Configuration { v: u64, c: Box<Catalog> },
+    Configuration {
+        #[serde(rename = "v")]
+        revision: u64,
+        #[serde(rename = "c")]
+        catalog: Box<Catalog>,
+    },
 }
 
-/// What one call between routers carries: the sending box, and the messages in order.
+/// The content of one call between routers: the sending box, and its messages in order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Envelope(pub BoxName, pub Vec<Message>);
 
--- a/src/platform/client.rs
+++ b/src/platform/client.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP, by `ureq`.
+//! HTTP client of the platform, based on `ureq`.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,35 +10,34 @@
 use ureq::http::Response;
 
 use crate::peer::member::ListedBox;
-use crate::platform::Boxes;
+use crate::platform::BoxList;
 use crate::platform::Error;
 use crate::platform::Object;
-use crate::platform::Objects;
+use crate::platform::ObjectStore;
 
-/// How long a call other than a watch may take, unless it is told otherwise.
+/// Default timeout of calls other than watches.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long connecting may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How much longer than its wait a watch may take.
-const WATCH_SLACK: Duration = Duration::from_secs(2);
+/// How long a watch may take beyond its wait.
+const WATCH_EXTRA_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Largest answer that is read, in bytes.
-const ANSWER_MAX: u64 = 4 << 20;
+/// Largest accepted response body.
+const BODY_MAX_BYTES: u64 = 4 << 20;
 
-/// The platform at one address.
+/// Calls the platform at one address.
 #[derive(Clone, Debug)]
 pub struct Client {
     agent: Agent,
     base: String,
-    calls: Arc<Calls>,
+    calls: Arc<CallCounters>,
     timeout: Duration,
 }
 
-/// Calls to the platform so far: each counts against its rates.
+/// Counts the calls to the platform, each of which counts towards its rate limits.
 #[derive(Debug, Default)]
-pub struct Calls {
+pub struct CallCounters {
     /// Reads of objects and of the box list.
     pub reads: AtomicU64,
     /// Conditional updates.
@@ -60,19 +59,19 @@
         Client { agent: config.into(), base, calls: Arc::default(), timeout: CALL_TIMEOUT }
     }
 
-    /// The same, but calls other than watches are given up after `timeout`.
+    /// Like `self`, with another timeout of calls other than watches.
     pub fn with_timeout(&self, timeout: Duration) -> Client {
         Client { timeout, ..self.clone() }
     }
 
     /// The calls so far.
-    pub fn calls(&self) -> &Arc<Calls> {
+    pub fn calls(&self) -> &Arc<CallCounters> {
         &self.calls
     }
 
     fn read(&self, url: &str, timeout: Duration) -> Result<Response<ureq::Body>, Error> {
         let req = self.agent.get(url).config().timeout_global(Some(timeout)).build();
-        // A read has no effect, so a lost answer is no different from an outage.
+        // A read has no effect, so a lost response is the same as an outage.
         let resp = req.call().map_err(|e| Error::Unavailable(e.to_string()))?;
         match resp.status().as_u16() {
             503 => Err(Error::Unavailable("503".to_owned())),
@@ -81,7 +80,7 @@
     }
 }
 
-impl Objects for Client {
+impl ObjectStore for Client {
     fn get(&self, name: &str) -> Result<Option<Object>, Error> {
         self.calls.reads.fetch_add(1, Ordering::Relaxed);
         let url = format!("{}/objects/{name}", self.base);
@@ -114,11 +113,11 @@
         self.calls.watches.fetch_add(1, Ordering::Relaxed);
         let wait_ms = wait.as_millis();
         let url = format!("{}/objects/{name}?after={after}&wait_ms={wait_ms}", self.base);
-        object(self.read(&url, wait + WATCH_SLACK)?)
+        object(self.read(&url, wait + WATCH_EXTRA_TIMEOUT)?)
     }
 }
 
-impl Boxes for Client {
+impl BoxList for Client {
     fn boxes(&self) -> Result<Vec<ListedBox>, Error> {
         self.calls.reads.fetch_add(1, Ordering::Relaxed);
         let mut resp = self.read(&format!("{}/boxes", self.base), self.timeout)?;
@@ -141,6 +140,6 @@
 }
 
 fn bytes(resp: &mut Response<ureq::Body>) -> Result<Vec<u8>, Error> {
-    let body = resp.body_mut().with_config().limit(ANSWER_MAX);
+    let body = resp.body_mut().with_config().limit(BODY_MAX_BYTES);
     body.read_to_vec().map_err(|e| Error::Unavailable(e.to_string()))
 }
--- a/tests/holds_at_most_once.rs
+++ b/tests/holds_at_most_once.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 use std::time::SystemTime;
 
-use frostdyke::claims::Key;
-use frostdyke_standin::hold::Hold;
+use frostdyke::claims::IdempotencyKey;
+use frostdyke_standin::hold::HoldPoint;
 use frostdyke_standin::platform;
 use frostdyke_standin::service;
 use nix::sys::signal::Signal;
@@ -76,7 +76,7 @@
     fleet.services[0].set_faults(service::Faults { lose_answers: true, ..Default::default() });
     let reply = fleet.routers[0].send("transfer", "{}", &[]);
     assert_eq!((reply.status, reply.outcome.as_str()), (502, "unknown"));
-    assert_eq!(fleet.services[0].ran().values().sum::<u64>(), 1);
+    assert_eq!(fleet.services[0].run_counts().values().sum::<u64>(), 1);
     assert_eq!(fleet.platform.calls().writes, 0);
 }
 
@@ -210,8 +210,8 @@
     /// Makes everybody's requests stop at this step, or go on.
     fn hold(self, fleet: &Fleet, hold: bool) {
         let at = match self {
-            Step::ClaimUnwritten | Step::Sent => Hold::Before,
-            Step::ClaimWritten | Step::Ran => Hold::After,
+            Step::ClaimUnwritten | Step::Sent => HoldPoint::Before,
+            Step::ClaimWritten | Step::Ran => HoldPoint::After,
         };
         let hold = hold.then_some(at);
         match self {
@@ -227,8 +227,8 @@
 
     fn held(self, fleet: &Fleet) -> u64 {
         match self {
-            Step::ClaimUnwritten | Step::ClaimWritten => fleet.platform.held(),
-            Step::Sent | Step::Ran => fleet.services.iter().map(|s| s.held()).sum(),
+            Step::ClaimUnwritten | Step::ClaimWritten => fleet.platform.held_count(),
+            Step::Sent | Step::Ran => fleet.services.iter().map(|s| s.held_count()).sum(),
         }
     }
 }
@@ -268,7 +268,8 @@
 /// A key whose claims are usually written by the box of this zone.
 fn key_written_in(zone: &str) -> String {
     let home = |key: &str| {
-        let shard = Key::new("alpha", key, SystemTime::now()).expect("a new key").shard();
+        let shard =
+            IdempotencyKey::new("alpha", key, SystemTime::now()).expect("a new key").shard();
         frostdyke::util::rendezvous(&format!("claims/{shard}"), ["zone-0", "zone-1"].into_iter())
     };
     std::iter::repeat_with(new_key).find(|key| home(key) == Some(zone)).expect("endless")
