--- a/src/proxy/engine_placement.rs
+++ b/src/proxy/engine_placement.rs
@@ -142,7 +142,7 @@
     let mut last_denied = None;
     for n in 1..=GROUPS_PER_REQUEST_MAX {
         let home = hub.read(|v| {
-            v.fleet().home(query.service, query.prompt, query.version_filter, query.group)
+            v.registry().home(query.service, query.prompt, query.version_filter, query.group)
         });
         let Some(group) = home.map(|hash| owners.group(hash)) else { break };
         query.group = Some(group);
@@ -292,7 +292,12 @@
     group: EngineGroup,
 ) -> Option<CopySource> {
     let home = hub.read(|v| {
-        v.fleet().home_including_leaving(query.service, query.prompt, query.version_filter, group)
+        v.registry().home_including_leaving(
+            query.service,
+            query.prompt,
+            query.version_filter,
+            group,
+        )
     })?;
     let other_group = owners.group(home);
     let query = PlacementQuery { group: Some(other_group), purpose: Purpose::Lookup, ..query };
@@ -314,7 +319,7 @@
         zone: hub.peers().zone().clone(),
         excluded: excluded_in(query, group),
         version_filter: query.version_filter,
-        latency_target_ms: duration_ms(query.target_latency),
+        target_latency_ms: duration_ms(query.target_latency),
         waited_ms: duration_ms(query.waited),
         source: query.source,
         purpose: query.purpose,
@@ -343,7 +348,7 @@
 ) -> bool {
     let is_stale = hub.read(|view| {
         view.is_barred(&choice.upstream)
-            || !view.fleet().allows_version_filter(&choice.upstream, version_filter)
+            || !view.registry().allows_version_filter(&choice.upstream, version_filter)
     });
     if is_stale {
         let upstream = choice.upstream.as_str();
@@ -385,7 +390,7 @@
         workspace: message.workspace.as_ref(),
         excluded: &message.excluded,
         version_filter: message.version_filter,
-        target_latency: Duration::from_millis(message.latency_target_ms.into()),
+        target_latency: Duration::from_millis(message.target_latency_ms.into()),
         waited: Duration::from_millis(message.waited_ms.into()),
         group: Some(message.group),
         zone: Some(&message.zone),
--- a/tests/fleet_placement.rs
+++ b/tests/fleet_placement.rs
@@ -291,7 +291,7 @@
         zone: sender_box.zone.clone(),
         excluded: Vec::new(),
         version_filter: VersionFilter::Any,
-        latency_target_ms: 900,
+        target_latency_ms: 900,
         waited_ms: 1,
         source: None,
         purpose: query.purpose,
--- a/tests/proxy_backoff.rs
+++ b/tests/proxy_backoff.rs
@@ -156,7 +156,7 @@
     let mut registry = registry();
     registry.back_off(&name("a"), BACKOFF, Duration::ZERO);
     registry.remove(&name("a"));
-    registry.tick(MILLISECOND);
+    registry.expire(MILLISECOND);
     registry.upsert(upstream("a"), None);
     assert!(registry.is_backing_off(&name("a"), BACKOFF - MILLISECOND));
 }
@@ -167,6 +167,6 @@
     let mut registry = registry();
     registry.back_off(&name("a"), BACKOFF, Duration::ZERO);
     registry.remove(&name("a"));
-    registry.tick(BACKOFF);
+    registry.expire(BACKOFF);
     assert_eq!(registry.backoff_count(), 0);
 }
--- a/tests/proxy_behind.rs
+++ b/tests/proxy_behind.rs
@@ -108,7 +108,7 @@
         let addr = ([127, 0, 0, 1 + phase as u8], 80).into();
         let report = UpstreamListReport {
             addr,
-            sees_store: true,
+            reaches_store: true,
             revision: Revision::default(),
             upstreams_digest: 0,
             age: Duration::ZERO,
@@ -185,7 +185,7 @@
                 watcher.update_report();
             }
         }
-        box_.tick(now);
+        box_.expire(now);
         if step % CHECK_STEPS != 0 {
             continue;
         }
@@ -223,7 +223,7 @@
             }
         }
         let old = REPLACED_PER_S * step.saturating_sub(30) / 10;
-        let is_stale = |n: u64| box_.fleet().is_open(&name(n));
+        let is_stale = |n: u64| box_.registry().is_open(&name(n));
         outcome.stale += (old.saturating_sub(100)..old).filter(|n| is_stale(*n)).count();
     }
     // Once changes stop, both must list the same upstreams.
--- a/tests/proxy_draining.rs
+++ b/tests/proxy_draining.rs
@@ -57,7 +57,7 @@
 
 fn is_open(view: &View) -> bool {
     let name = UpstreamName::from("a");
-    let is_open = view.fleet().is_open(&name);
+    let is_open = view.registry().is_open(&name);
     assert!(!is_open || !view.is_barred(&name));
     is_open
 }
@@ -78,7 +78,7 @@
     let mut view = view();
     view.entry_removed(&UpstreamName::from("a"), NOW + SECOND);
     assert!(view.is_barred(&UpstreamName::from("a")));
-    view.tick(NOW + 12 * SECOND);
+    view.expire(NOW + 12 * SECOND);
     view.set_upstream(upstream("a", STARTED_AT_MS), NOW + 12 * SECOND);
     assert!(!is_open(&view));
 }
@@ -89,7 +89,7 @@
     let mut view = view();
     view.enter_era(1, NOW + SECOND);
     view.set_upstreams(all(), NOW + SECOND);
-    view.tick(NOW + 10 * SECOND);
+    view.expire(NOW + 10 * SECOND);
     assert!(!is_open(&view));
 }
 
@@ -126,9 +126,9 @@
 fn an_instance_of_uncertain_order_opens_once_the_draining_one_must_have_ended() {
     let mut view = view();
     view.set_upstream(upstream("a", ANSWERED_AT_MS - 1), NOW + SECOND);
-    view.tick(NOW + 20 * SECOND);
+    view.expire(NOW + 20 * SECOND);
     assert!(!is_open(&view));
-    view.tick(NOW + 31 * SECOND);
+    view.expire(NOW + 31 * SECOND);
     assert!(is_open(&view));
 }
 
@@ -191,8 +191,8 @@
 fn notices_of_removed_upstreams_expire() {
     let mut view = view();
     view.entry_removed(&UpstreamName::from("a"), NOW);
-    view.tick(NOW + 5 * SECOND);
+    view.expire(NOW + 5 * SECOND);
     assert_eq!(view.draining().iter().count(), 1);
-    view.tick(NOW + 60 * SECOND);
+    view.expire(NOW + 60 * SECOND);
     assert_eq!(view.draining().iter().count(), 0);
 }
--- a/tests/proxy_placement.rs
+++ b/tests/proxy_placement.rs
@@ -196,10 +196,26 @@
     }
 }
 
-/// A box learns of a prefill only when it is complete; until then it must estimate what is left.
+/// A box learns 
+<<<<<<< ours
+of
+||||||| base
+fleet
+=======
+registry
+>>>>>>> theirs
+ a 
+<<<<<<< ours
+prefill only when it is complete; until then it must estimate what is left.
 #[test]
 fn the_expected_wait_falls_as_prefill_proceeds() {
-    let mut registry = registry(1);
+    let mut registry = registry
+||||||| base
+fleet
+=======
+registry
+>>>>>>> theirs
+(1);
     send(&mut registry, &prompt(1, 100), 1, 0);
     let at_once = choose(&registry, &prompt(2, 101), 0).expect("there is an engine").wait;
     let later = choose(&registry, &prompt(2, 101), 200).expect("there is an engine").wait;
@@ -352,6 +368,6 @@
         send(&mut registry, &prompt(1, 100 + request), request, 0);
     }
     assert_eq!(choose(&registry, &prompt(1, 900), 1_000), Err(ChoiceError::Full));
-    registry.tick(millis(20_001));
+    registry.expire(millis(20_001));
     assert!(choose(&registry, &prompt(1, 900), 20_001).is_ok());
 }
--- a/tests/proxy_plain.rs
+++ b/tests/proxy_plain.rs
@@ -389,6 +389,6 @@
     let mut registry = registry(1);
     (0..18).for_each(|request| registry.begin_plain(&name(0), request, None, at(1.0)));
     assert!(!admit(&mut registry, 100, 1.5));
-    registry.tick(at(3.1));
+    registry.expire(at(3.1));
     assert!(admit(&mut registry, 101, 3.1), "requests without a reported end expire");
 }
--- a/tests/proxy_view.rs
+++ b/tests/proxy_view.rs
@@ -48,7 +48,7 @@
 }
 
 fn is_open(view: &View, name: &str) -> bool {
-    view.fleet().is_open(&UpstreamName::from(name))
+    view.registry().is_open(&UpstreamName::from(name))
 }
 
 /// Load: boxes with 3,000 upstreams restart one after the other. Each watches the store until it
@@ -139,7 +139,7 @@
     let response = watcher.difference(box_.version(), &box_.digests(now), now);
     box_.apply_snapshot(response, now);
     assert!(is_open(&box_, "a"));
-    box_.tick(now + millis(11_000));
+    box_.expire(now + millis(11_000));
     assert!(is_open(&box_, "a"), "it isn't dropped later either");
 }
 
@@ -173,10 +173,10 @@
     view.store_lost();
     view.store_regained(millis(10_000));
     view.set_upstreams(vec![upstream("b")], millis(10_000));
-    view.tick(millis(11_900));
+    view.expire(millis(11_900));
     assert!(is_open(&view, "a"));
     view.set_upstream(upstream("a"), millis(11_900));
-    view.tick(millis(13_000));
+    view.expire(millis(13_000));
     assert!(is_open(&view, "a"));
 }
 
@@ -187,7 +187,7 @@
     view.store_lost();
     view.store_regained(millis(10_000));
     view.set_upstreams(vec![upstream("b")], millis(10_000));
-    view.tick(millis(12_300));
+    view.expire(millis(12_300));
     assert!(!is_open(&view, "a"));
     assert!(view.take_changes().contains(&Change::Gone(UpstreamName::from("a"))));
 }
@@ -210,7 +210,7 @@
     let mut view = view();
     view.store_lost();
     view.entry_removed(&UpstreamName::from("a"), millis(10_000));
-    view.tick(millis(60_000));
+    view.expire(millis(60_000));
     assert!(is_open(&view, "a"));
 }
 
@@ -287,7 +287,7 @@
 }
 
 fn names(view: &View) -> Vec<&UpstreamName> {
-    view.fleet().listed().filter(|l| !l.leaving).map(|l| &l.name).collect()
+    view.registry().listed().filter(|l| !l.leaving).map(|l| &l.name).collect()
 }
 
 /// Load: 3,000 upstreams, one new and one removed, which a box that doesn't watch the store has
@@ -386,7 +386,7 @@
     view.set_upstreams(vec![upstream("a"), upstream("c")], millis(12_000));
     view.complete_up_to(Revision::new(2, 5));
     for ms in [12_000, 14_000] {
-        view.tick(millis(ms));
+        view.expire(millis(ms));
         assert_eq!(
             [is_open(&view, "a"), is_open(&view, "b"), is_open(&view, "c")],
             [true, true, false],
@@ -394,9 +394,9 @@
         );
     }
     // `b` has not been written again, and `c` has not been removed again.
-    view.tick(millis(14_300));
+    view.expire(millis(14_300));
     assert!(!is_open(&view, "b"));
-    view.tick(millis(16_600));
+    view.expire(millis(16_600));
     assert!(is_open(&view, "c"));
     assert_eq!(view.revision(), Revision::new(2, 5));
 }
@@ -414,7 +414,7 @@
     view.set_upstream(upstream("b"), millis(12_400));
     assert!(is_open(&view, "b"));
     view.entry_removed(&UpstreamName::from("b"), millis(20_000));
-    view.tick(millis(21_000));
+    view.expire(millis(21_000));
     assert!(!is_open(&view, "b"));
 }
 
@@ -469,7 +469,7 @@
         &EvacuatedZones { revision: Revision::new(2, 3), ..EvacuatedZones::default() },
         millis(5_000),
     );
-    view.tick(millis(7_000));
+    view.expire(millis(7_000));
     assert!(view.is_barred(&UpstreamName::from("a")));
     // An order from before the restore, received late.
     view.evacuate(
@@ -477,7 +477,7 @@
         millis(7_100),
     );
     assert!(view.is_barred(&UpstreamName::from("a")));
-    view.tick(millis(7_300));
+    view.expire(millis(7_300));
     assert!(!view.is_barred(&UpstreamName::from("a")));
 }
 
@@ -532,6 +532,6 @@
     view.reported_gone(&UpstreamName::from("c"), millis(0));
     view.reported_listed(upstream("c"), millis(100));
     assert!(is_open(&view, "c"));
-    view.tick(millis(11_000));
+    view.expire(millis(11_000));
     assert!(is_open(&view, "c"));
 }
