--- a/tests/proxy_placement.rs
+++ b/tests/proxy_placement.rs
@@ -196,26 +196,10 @@
     }
 }
 
-/// A box learns 
-<<<<<<< ours
-of
-||||||| base
-fleet
-=======
-registry
->>>>>>> theirs
- a 
-<<<<<<< ours
-prefill only when it is complete; until then it must estimate what is left.
+/// A box learns of a prefill only when it is complete; until then it must estimate what is left.
 #[test]
 fn the_expected_wait_falls_as_prefill_proceeds() {
-    let mut registry = registry
-||||||| base
-fleet
-=======
-registry
->>>>>>> theirs
-(1);
+    let mut registry = registry(1);
     send(&mut registry, &prompt(1, 100), 1, 0);
     let at_once = choose(&registry, &prompt(2, 101), 0).expect("there is an engine").wait;
     let later = choose(&registry, &prompt(2, 101), 200).expect("there is an engine").wait;
--- a/tests/proxy_speed.rs
+++ b/tests/proxy_speed.rs
@@ -39,39 +39,7 @@
     }
 }
 
-/// 
-<<<<<<< ours
-One
-||||||| base
-A fleet of one
-=======
-A registry with one
->>>>>>> theirs
- engine, and 
-<<<<<<< ours
-its
-||||||| base
-what is
-=======
-the requests
->>>>>>> theirs
- 
-<<<<<<< ours
-requests
-||||||| base
-under
-=======
-in
->>>>>>> theirs
- 
-<<<<<<< ours
-in
-||||||| base
-way
-=======
-progress
->>>>>>> theirs
- progress.
+/// One engine, and its requests in progress.
 struct Simulation {
     registry: UpstreamRegistry,
     rng: StdRng,
