--- a/benches/capacity/pool.rs
+++ b/benches/capacity/pool.rs
@@ -85,13 +85,13 @@
         let at = self.next as usize % self.running.len();
         let grant = self.running.swap_remove(at);
         let cost = 50 + self.next % 100;
-        let done = CompletionReport {
+        let report = CompletionReport {
             pool: "llm".into(),
             grant: grant.id,
             cost,
             ending: Ending::Answered,
         };
-        self.pool.handle_completion(&done, self.now, &mut self.actions);
+        self.pool.handle_completion(&report, self.now, &mut self.actions);
         self.submit();
     }
 
--- a/benches/fleet/mod.rs
+++ b/benches/fleet/mod.rs
@@ -119,11 +119,11 @@
     rig.run_for(18 * SECOND);
     let outcome = std::mem::take(&mut rig.outcome);
     let routers = (setup.zones * setup.boxes) as f64;
-    let (who, evaluated) =
+    let (workspaces, evaluated) =
         ([0, 1, 2], if scenario == Scenario::Cut { AFTER_CUT } else { EVALUATED });
     Metrics {
-        gap: outcome.gap(&setup, &who, evaluated.clone()),
-        least_share: outcome.least_share(&who, evaluated),
+        gap: outcome.gap(&setup, &workspaces, evaluated.clone()),
+        least_share: outcome.least_share(&workspaces, evaluated),
         utilisation: outcome.utilisation(EVALUATED),
         bytes_per_request: outcome.bytes as f64 / outcome.requests as f64,
         bytes_per_router_second: outcome.bytes as f64 / routers / 40.0,
--- a/benches/utilisation.rs
+++ b/benches/utilisation.rs
@@ -96,7 +96,8 @@
 /// bytes a second and router.
 fn run(check: &mut BoundCheck, name: &str, setup: Setup, settle_s: u32) -> (Rig, f64) {
     let mut rig = Rig::new(setup);
-    // Grants change routers until all boxes know each other, which is no steady state.
+    // Until all boxes know each other, grants are handed over between dispatchers, which is no
+    // steady state.
     rig.run_for(fleet::SECOND * settle_s);
     let (bytes, requests) = (rig.outcome.bytes, rig.outcome.requests);
     let (kinds, suspicions) = (rig.outcome.kinds.clone(), rig.outcome.suspicions);
--- a/src/claims/writer.rs
+++ b/src/claims/writer.rs
@@ -32,7 +32,7 @@
 const WRITE_INTERVAL_MIN: Duration = Duration::from_millis(55);
 
 /// Attempts of one update when others write the same object.
-const TRIES_MAX: usize = 8;
+const UPDATE_ATTEMPTS_MAX: usize = 8;
 
 /// Interval of the probes after a failure. Claims are refused at once until a probe succeeds.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
@@ -40,13 +40,15 @@
 /// The object read by a probe; it need not exist.
 const PROBE_OBJECT: &str = "frostdyke/claims";
 
-/// How long updates that nobody waits for may be deferred for another update of their object.
+/// How long an update for which no requester waits may be deferred, to be committed together with
+/// a later claim on its object.
 const DEFERRED_DELAY_MAX: Duration = Duration::from_secs(2);
 
 /// Deferred updates kept; further ones are dropped.
 const DEFERRED_UPDATES_MAX: usize = 20_000;
 
-/// One in this many commits prefers an object with overdue updates, however many claims wait.
+/// One in this many commits prefers an object with overdue deferred updates, however many claims
+/// wait.
 const OVERDUE_SELECTION_INTERVAL: u64 = 4;
 
 /// Called with the outcome of a claim.
@@ -54,12 +56,12 @@
 
 /// Hands claims to the writer thread.
 pub struct Writer {
-    tx: Sender<Pending>,
+    tx: Sender<PendingClaim>,
     writes: Arc<AtomicU64>,
-    down: Arc<AtomicBool>,
+    store_down: Arc<AtomicBool>,
 }
 
-struct Pending {
+struct PendingClaim {
     claim: ClaimRequest,
     callback: OutcomeCallback,
     queued_at: Instant,
@@ -82,30 +84,32 @@
     pub fn start(objects: Arc<dyn ObjectStore>) -> Writer {
         let (tx, rx) = channel::bounded(QUEUE_MAX);
         let writes = Arc::new(AtomicU64::new(0));
-        let down = Arc::new(AtomicBool::new(false));
+        let store_down = Arc::new(AtomicBool::new(false));
         let worker = WriterThread {
             objects,
             rx,
             writes: writes.clone(),
-            down: down.clone(),
+            store_down: store_down.clone(),
             cache: HashMap::new(),
             waiting: BTreeMap::new(),
             deferred: BTreeMap::new(),
-            selections: 0,
+            selection_count: 0,
             last_write_at: None,
             last_failure_at: None,
         };
         thread::spawn(move || worker.run());
-        Writer { tx, writes, down }
+        Writer { tx, writes, store_down }
     }
 
-    /// Submits a claim without blocking. While the store can't be reached, keys are refused here,
-    /// so that no request waits for a call to the store.
+    /// Submits a claim without blocking. While the store can't be reached, acquisitions are refused
+    /// here, so that no request waits for a call to the store.
     pub fn submit(&self, claim: ClaimRequest, callback: OutcomeCallback) {
         if claim.op == ClaimOp::Acquire && self.is_store_down() {
             return callback(ClaimOutcome::Unavailable);
         }
-        if let Err(e) = self.tx.try_send(Pending { claim, callback, queued_at: Instant::now() }) {
+        if let Err(e) =
+            self.tx.try_send(PendingClaim { claim, callback, queued_at: Instant::now() })
+        {
             (e.into_inner().callback)(ClaimOutcome::Unavailable);
         }
     }
@@ -117,22 +121,22 @@
 
     /// Whether the last call to the store failed.
     pub fn is_store_down(&self) -> bool {
-        self.down.load(Ordering::Relaxed)
+        self.store_down.load(Ordering::Relaxed)
     }
 }
 
 struct WriterThread {
     objects: Arc<dyn ObjectStore>,
-    rx: Receiver<Pending>,
+    rx: Receiver<PendingClaim>,
     writes: Arc<AtomicU64>,
-    down: Arc<AtomicBool>,
+    store_down: Arc<AtomicBool>,
     /// The objects as last read or written, with their versions.
     cache: HashMap<ClaimObject, (u64, ClaimRecords)>,
     /// Claims whose requesters wait, by object.
-    waiting: BTreeMap<ClaimObject, Vec<Pending>>,
-    /// Updates that nobody waits for, by object.
+    waiting: BTreeMap<ClaimObject, Vec<PendingClaim>>,
+    /// Updates for which no requester waits, by object.
     deferred: BTreeMap<ClaimObject, DeferredUpdates>,
-    selections: u64,
+    selection_count: u64,
     last_write_at: Option<Instant>,
     last_failure_at: Option<Instant>,
 }
@@ -142,7 +146,7 @@
         while self.receive() {
             if self.last_failure_at.is_some() {
                 let waiting = std::mem::take(&mut self.waiting);
-                waiting.into_values().for_each(reject);
+                waiting.into_values().for_each(refuse_all);
                 self.probe();
                 continue;
             }
@@ -158,7 +162,7 @@
         }
     }
 
-    /// Waits for a claim, until the next probe or deferred update may be due. Returns false when
+    /// Waits for a claim, at most until a probe or a deferred update may be due. Returns `false` if
     /// the `Writer` was dropped.
     fn receive(&mut self) -> bool {
         if !self.waiting.is_empty() {
@@ -173,8 +177,8 @@
         true
     }
 
-    /// Queues an acquisition for a response; other updates are deferred.
-    fn enqueue(&mut self, pending: Pending) {
+    /// Queues an acquisition, whose requester waits; defers any other update.
+    fn enqueue(&mut self, pending: PendingClaim) {
         let Some(object) = ClaimObject::for_request(&pending.claim) else {
             return (pending.callback)(ClaimOutcome::Unavailable);
         };
@@ -194,24 +198,25 @@
     }
 
     /// The object to write next: the one with the greatest total waiting time of its claims, so
-    /// that one with many claims goes first and none waits for ever. On every
-    /// [`OVERDUE_SELECTION_INTERVAL`]th call, or when no claims wait, one with overdue updates.
+    /// that one with many claims goes first and none waits for ever. Every
+    /// [`OVERDUE_SELECTION_INTERVAL`]th call prefers the object with the oldest deferred update, if
+    /// that is overdue; the other calls return it when no claims wait.
     fn next_object(&mut self) -> Option<ClaimObject> {
         let overdue = || {
             let oldest = self.deferred.iter().min_by_key(|(_, deferred)| deferred.oldest_at)?;
             (DEFERRED_DELAY_MAX <= oldest.1.oldest_at.elapsed()).then_some(*oldest.0)
         };
-        let waited = |waiting: &[Pending]| -> Duration {
+        let total_wait = |waiting: &[PendingClaim]| -> Duration {
             waiting.iter().map(|p| p.queued_at.elapsed()).sum()
         };
-        let claimed = || {
+        let longest_waiting = || {
             let objects = self.waiting.iter();
-            objects.max_by_key(|(_, waiting)| waited(waiting)).map(|(object, _)| *object)
+            objects.max_by_key(|(_, waiting)| total_wait(waiting)).map(|(object, _)| *object)
         };
-        self.selections += 1;
-        match self.selections.is_multiple_of(OVERDUE_SELECTION_INTERVAL) {
-            true => overdue().or_else(claimed),
-            false => claimed().or_else(overdue),
+        self.selection_count += 1;
+        match self.selection_count.is_multiple_of(OVERDUE_SELECTION_INTERVAL) {
+            true => overdue().or_else(longest_waiting),
+            false => longest_waiting().or_else(overdue),
         }
     }
 
@@ -226,7 +231,7 @@
 
     fn set_store_failed(&mut self, failed: bool) {
         self.last_failure_at = failed.then(Instant::now);
-        self.down.store(failed, Ordering::Relaxed);
+        self.store_down.store(failed, Ordering::Relaxed);
     }
 
     fn wait_write_interval(&self) {
@@ -236,7 +241,12 @@
     }
 
     /// Commits claims and deferred updates of one object, and passes the claims' outcomes on.
-    fn commit(&mut self, object: ClaimObject, pending: Vec<Pending>, deferred: Vec<ClaimRequest>) {
+    fn commit(
+        &mut self,
+        object: ClaimObject,
+        pending: Vec<PendingClaim>,
+        deferred: Vec<ClaimRequest>,
+    ) {
         let claims: Vec<ClaimRequest> = pending.iter().map(|p| p.claim.clone()).collect();
         match self.update(object, &claims, &deferred) {
             Ok(outcomes) => {
@@ -247,13 +257,14 @@
             Err(_) => {
                 self.set_store_failed(true);
                 self.cache.remove(&object);
-                // The claims may have been written nevertheless, although no request will be sent.
+                // The claims may have been written nevertheless. They are released, since their
+                // requests won't be sent.
                 let released =
                     claims.into_iter().map(|c| ClaimRequest { op: ClaimOp::Release, ..c });
                 for claim in released.chain(deferred) {
                     self.defer(object, claim);
                 }
-                reject(pending);
+                refuse_all(pending);
             }
         }
     }
@@ -264,7 +275,7 @@
         claims: &[ClaimRequest],
         deferred: &[ClaimRequest],
     ) -> Result<Vec<ClaimOutcome>, Error> {
-        for _ in 0..TRIES_MAX {
+        for _ in 0..UPDATE_ATTEMPTS_MAX {
             let (version, mut records) = match self.cache.remove(&object) {
                 Some(cached) => cached,
                 None => self.read(object)?,
@@ -276,7 +287,8 @@
             }
             let outcomes = claims.iter().map(|c| records.apply(c, now)).collect();
             if records == before {
-                // Only a fresh read shows that nothing has to be written.
+                // The cached records may be outdated: only a fresh read shows that no write is
+                // needed.
                 let (version, fresh) = self.read(object)?;
                 let same = fresh == before;
                 self.cache.insert(object, (version, fresh));
@@ -320,7 +332,7 @@
     }
 }
 
-fn reject(pending: Vec<Pending>) {
+fn refuse_all(pending: Vec<PendingClaim>) {
     for p in pending {
         (p.callback)(ClaimOutcome::Unavailable);
     }
--- a/src/controller/lease.rs
+++ b/src/controller/lease.rs
@@ -33,8 +33,8 @@
 pub struct LeaseRecord {
     /// The holder: one run of one process.
     pub holder: String,
-    /// Number of this write of the holder. It is unique, so that a record read back can be told
-    /// from an earlier write that took effect late.
+    /// Number of this write of the holder. It is unique, so that a record read back can be
+    /// distinguished from an earlier write that took effect late.
     #[serde(rename = "write")]
     pub write_number: u64,
     /// Whether the holder has released the lease.
--- a/src/dispatch/pool/exchange.rs
+++ b/src/dispatch/pool/exchange.rs
@@ -56,7 +56,7 @@
         &mut self,
         pull: &PullRequest,
         now: Duration,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         // A duplicate request must not take a second ticket for the same slot.
         if self.answered_pulls.contains(&pull.grant) {
@@ -80,7 +80,7 @@
             let charged_cost = self.estimate(&ticket.workspace, &ticket.service);
             let arrival = self.remove_arrival(ticket.id);
             self.publish_waiting(&ticket.workspace);
-            out.push(Action::Decided(Decision {
+            actions.push(Action::Decided(Decision {
                 ticket: ticket.id,
                 router: ticket.router.clone(),
                 pool: self.pool_config.name.clone(),
@@ -95,7 +95,7 @@
                 estimate: charged_cost,
                 waited_ms: waited_ms(arrival, now),
             }));
-            out.push(Action::Send {
+            actions.push(Action::Send {
                 to: ticket.router.clone(),
                 message: Message::Grant(Grant {
                     id: pull.grant,
@@ -121,7 +121,7 @@
             ticket: pulled,
             still_waiting: self.queue.waiting(&pull.workspace),
         };
-        out.push(Action::Send {
+        actions.push(Action::Send {
             to: pull.dispatcher.clone(),
             message: Message::PullResponse(response),
         });
@@ -132,7 +132,7 @@
         &mut self,
         response: PullResponse,
         now: Duration,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let virtual_time = self.ledger.virtual_time(&response.workspace);
         self.remote_zones.set_waiting(
@@ -148,7 +148,7 @@
             if !pending.timed_out {
                 self.upstreams.release_slot(&pending.upstream, Ending::Unused, now);
             }
-            self.fill_slots(now, out);
+            self.fill_slots(now, actions);
             return;
         };
         if pending.timed_out {
@@ -167,7 +167,7 @@
         self.insert_grant(response.grant, granted);
         self.charge(&workspace, charged_cost as i64);
         if let Some(completion) = pending.early_completion {
-            self.handle_completion(&completion, now, out);
+            self.handle_completion(&completion, now, actions);
         }
     }
 
@@ -176,12 +176,12 @@
         &mut self,
         report: &DispatcherReport,
         now: Duration,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         self.remote_zones.record_report(report, self.ledger.total_charged(), now);
         self.zones_to_sync.remove(&report.zone);
         for router in &report.lost_routers {
-            self.forget_router(router, now, out);
+            self.forget_router(router, now, actions);
         }
         for workspace in self.ledger.drop_assumed(&report.zone) {
             self.update_virtual_time(&workspace);
@@ -203,24 +203,24 @@
         if self.can_lift(now) {
             self.cap_debts();
         }
-        self.fill_slots(now, out);
+        self.fill_slots(now, actions);
     }
 
-    /// Sends the changes to the dispatchers of other zones and to the standby of this one. `others`
-    /// names each zone with the box expected to dispatch there.
+    /// Sends the changes to the dispatchers of other zones and to the standby of this one.
+    /// `receivers` names each zone with the box expected to dispatch there.
     pub fn send_reports(
         &mut self,
-        others: &[(ZoneName, BoxName)],
+        receivers: &[(ZoneName, BoxName)],
         now: Duration,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         if !self.tuning.exchange_enabled {
             return;
         }
-        self.set_zones_to_sync(others);
+        self.set_zones_to_sync(receivers);
         let idle = self.idle_slots();
         let version = self.ledger.version();
-        for (zone, expected_dispatcher) in others {
+        for (zone, expected_dispatcher) in receivers {
             let has_waiting = !self.queue.is_empty();
             let interval = self.tuning.exchange_interval;
             let remote = self.remote_zones.get_or_add(zone, expected_dispatcher);
@@ -284,7 +284,7 @@
                 lost_routers,
                 ..self.build_report(since, merged_version, idle, others)
             };
-            out.push(Action::Send { to, message: Message::DispatcherReport(Box::new(report)) });
+            actions.push(Action::Send { to, message: Message::DispatcherReport(Box::new(report)) });
         }
     }
 
@@ -344,7 +344,7 @@
         &mut self,
         workspace: &WorkspaceName,
         now: Duration,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let Some((zone, to)) = self.remote_zones.take_pull_target(workspace) else { return };
         let upstream =
@@ -367,7 +367,7 @@
             any_workspace: self.queue.is_empty(),
             forwarded: false,
         };
-        out.push(Action::Send { to, message: Message::PullRequest(pull) });
+        actions.push(Action::Send { to, message: Message::PullRequest(pull) });
     }
 
     pub(super) fn expire_pulls(&mut self, now: Duration) {
@@ -383,12 +383,12 @@
     }
 
     /// On the first call after the start, records which zones have yet to report.
-    pub(super) fn set_zones_to_sync(&mut self, others: &[(ZoneName, BoxName)]) {
+    pub(super) fn set_zones_to_sync(&mut self, receivers: &[(ZoneName, BoxName)]) {
         if self.knows_zones_to_sync {
             return;
         }
         self.knows_zones_to_sync = true;
-        let zones = others.iter().map(|(zone, _)| zone);
+        let zones = receivers.iter().map(|(zone, _)| zone);
         self.zones_to_sync = zones.filter(|z| **z != self.zone).cloned().collect();
     }
 
--- a/src/dispatch/pool/grants.rs
+++ b/src/dispatch/pool/grants.rs
@@ -71,7 +71,7 @@
         &mut self,
         report: &CompletionReport,
         now: Duration,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         if let Some(pending) = self.pending_pulls.get_mut(&report.grant) {
             pending.early_completion = Some(report.clone());
@@ -84,7 +84,7 @@
             self.estimate_mut(&granted.workspace, &granted.service).record(cost);
         }
         self.charge(&granted.workspace, cost as i64 - granted.charged_cost as i64);
-        self.fill_slots(now, out);
+        self.fill_slots(now, actions);
     }
 
     /// Adopts grants that an earlier dispatcher gave.
@@ -113,7 +113,7 @@
         router: &BoxName,
         grants: &[GrantId],
         now: Duration,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         self.unanswered_checks.remove(router);
         for &id in grants {
@@ -122,7 +122,7 @@
                 self.charge(&granted.workspace, -(granted.charged_cost as i64));
             }
         }
-        self.fill_slots(now, out);
+        self.fill_slots(now, actions);
     }
 
     /// Releases those grants in a range that their router doesn't use, except young ones that may
@@ -134,7 +134,7 @@
         last: GrantId,
         used: &[GrantId],
         now: Duration,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let used: FxHashSet<&GrantId> = used.iter().collect();
         let unused = |(id, granted): &(&GrantId, &ActiveGrant)| {
@@ -146,20 +146,25 @@
         let mut grants: Vec<GrantId> =
             self.grants.iter().filter(unused).map(|(&id, _)| id).collect();
         grants.sort();
-        self.release_unused(router, &grants, now, out);
+        self.release_unused(router, &grants, now, actions);
     }
 
     /// Handles the death of a router in this zone, and has it reported to the other zones.
-    pub fn record_lost_router(&mut self, router: &BoxName, now: Duration, out: &mut Vec<Action>) {
+    pub fn record_lost_router(
+        &mut self,
+        router: &BoxName,
+        now: Duration,
+        actions: &mut Vec<Action>,
+    ) {
         self.lost_routers.retain(|(_, at)| now < *at + LOST_ROUTER_RETENTION);
         if self.lost_routers.iter().all(|(known, _)| known != router) {
             self.lost_routers.push((router.clone(), now));
         }
-        self.forget_router(router, now, out);
+        self.forget_router(router, now, actions);
     }
 
     /// Removes the tickets and grants of a dead router.
-    pub fn forget_router(&mut self, router: &BoxName, now: Duration, out: &mut Vec<Action>) {
+    pub fn forget_router(&mut self, router: &BoxName, now: Duration, actions: &mut Vec<Action>) {
         let tickets: Vec<TicketId> =
             self.queue.tickets().filter(|t| t.router == *router).map(|t| t.id).collect();
         for id in tickets {
@@ -172,7 +177,7 @@
                 self.upstreams.release_slot(&granted.upstream, Ending::Cancelled, now);
             }
         }
-        self.fill_slots(now, out);
+        self.fill_slots(now, actions);
     }
 
     /// The expected cost of a request of this workspace and service, in the pool's unit.
@@ -187,7 +192,7 @@
         workspace: &WorkspaceName,
         why: SelectionReason,
         now: Duration,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let floor = self.floor();
         let waiting_workspaces = self.queue.workspace_count();
@@ -211,7 +216,7 @@
         self.virtual_time = self.virtual_time.max(self.ledger.known_virtual_time(workspace));
         let charged_cost = self.estimate(workspace, &ticket.service);
         self.mean_charged_cost += MEAN_GAIN * (charged_cost as f64 - self.mean_charged_cost);
-        out.push(Action::Decided(Decision {
+        actions.push(Action::Decided(Decision {
             ticket: ticket.id,
             router: ticket.router.clone(),
             pool: self.pool_config.name.clone(),
@@ -239,10 +244,10 @@
         self.insert_grant(id, granted);
         self.charge(workspace, charged_cost as i64);
         self.publish_waiting(workspace);
-        self.send_grant(id, out);
+        self.send_grant(id, actions);
     }
 
-    pub(super) fn send_grant(&self, id: GrantId, out: &mut Vec<Action>) {
+    pub(super) fn send_grant(&self, id: GrantId, actions: &mut Vec<Action>) {
         let granted = &self.grants[&id];
         let Some(ticket) = granted.ticket else { return };
         let grant = Grant {
@@ -252,7 +257,7 @@
             dispatcher: BoxName::none(),
             charged_cost: granted.charged_cost,
         };
-        out.push(Action::Send { to: granted.router.clone(), message: Message::Grant(grant) });
+        actions.push(Action::Send { to: granted.router.clone(), message: Message::Grant(grant) });
     }
 
     pub(super) fn next_grant_id(&mut self) -> GrantId {
@@ -263,7 +268,7 @@
     pub(super) fn insert_grant(&mut self, id: GrantId, granted: ActiveGrant) {
         *self.running.entry(granted.workspace.clone()).or_default() += 1;
         if let Some(ticket) = granted.ticket {
-            self.by_ticket.insert(ticket, id);
+            self.grants_by_ticket.insert(ticket, id);
         }
         let workspace = granted.workspace.clone();
         self.grants.insert(id, granted);
@@ -273,7 +278,7 @@
     pub(super) fn remove_grant(&mut self, id: GrantId, now: Duration) -> Option<ActiveGrant> {
         let granted = self.grants.remove(&id)?;
         if let Some(ticket) = granted.ticket {
-            self.by_ticket.remove(&ticket);
+            self.grants_by_ticket.remove(&ticket);
         }
         let was_full = self.is_at_running_limit(&granted.workspace);
         let running = self.running.get_mut(&granted.workspace).expect("counted at its start");
@@ -289,7 +294,7 @@
         Some(granted)
     }
 
-    pub(super) fn check_grants(&mut self, now: Duration, out: &mut Vec<Action>) {
+    pub(super) fn check_grants(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if now < self.last_check_at + CHECK_INTERVAL {
             return;
         }
@@ -298,11 +303,11 @@
         let lost: Vec<BoxName> = lost.map(|(router, _)| router.clone()).collect();
         for router in lost {
             self.unanswered_checks.remove(&router);
-            self.forget_router(&router, now, out);
+            self.forget_router(&router, now, actions);
         }
         for (to, message) in self.check_requests(now) {
             *self.unanswered_checks.entry(to.clone()).or_default() += 1;
-            out.push(Action::Send { to, message });
+            actions.push(Action::Send { to, message });
         }
     }
 
--- a/src/dispatch/pool/mod.rs
+++ b/src/dispatch/pool/mod.rs
@@ -75,16 +75,19 @@
     upstreams: Upstreams,
     remote_zones: RemoteZones,
     arrivals: FxHashMap<TicketId, Arrival>,
-    by_expiry: BTreeSet<(Duration, TicketId)>,
+    tickets_by_expiry: BTreeSet<(Duration, TicketId)>,
     grants: FxHashMap<GrantId, ActiveGrant>,
-    by_ticket: FxHashMap<TicketId, GrantId>,
+    grants_by_ticket: FxHashMap<TicketId, GrantId>,
+    /// Pull requests to other zones, by the id of the offered grant.
     pending_pulls: FxHashMap<GrantId, PendingPull>,
-    /// The latest pull requests answered, to recognize duplicates.
+    /// The latest pull requests of other zones, to recognize duplicates.
     answered_pulls: VecDeque<GrantId>,
+    /// Number of grants of each workspace.
     running: FxHashMap<WorkspaceName, u32>,
     estimates: FxHashMap<WorkspaceName, FxHashMap<ServiceName, Estimate>>,
+    /// Greatest virtual time at which this dispatcher, or one that reported to it, made a grant.
     virtual_time: VirtualTime,
-    /// Grants of this dispatcher have greater ids.
+    /// The ids of this dispatcher's grants are greater than this.
     first_grant: u64,
     next_grant: u64,
     grants_since_starved: u32,
@@ -95,14 +98,14 @@
     /// Mean weight of all workspaces.
     mean_weight: f64,
     last_check_at: Duration,
-    /// Per router: consecutive checks without an answer.
+    /// Consecutive checks that each router has left unanswered.
     unanswered_checks: FxHashMap<BoxName, u32>,
     /// Routers of this zone found dead, and when, to be reported to the other zones.
     lost_routers: Vec<(BoxName, Duration)>,
-    /// Zones not heard from since this dispatcher started, once the zones are known.
+    /// Zones that have not reported since this dispatcher started, once the zones are known.
     zones_to_sync: BTreeSet<ZoneName>,
     knows_zones_to_sync: bool,
-    /// From then on workspaces are lifted even though some zone hasn't reported.
+    /// Until then, workspaces are lifted to the floor only if all zones have reported.
     lift_allowed_at: Duration,
 }
 
@@ -110,7 +113,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Estimate {
     cost: f64,
-    /// Whether any request has ended.
+    /// Whether any request was answered in full.
     has_completed: bool,
 }
 
@@ -137,6 +140,7 @@
     upstream: UpstreamName,
     sent_at: Duration,
     timed_out: bool,
+    /// The end of the pulled request, if reported before the response to the pull arrived.
     early_completion: Option<CompletionReport>,
 }
 
@@ -162,9 +166,9 @@
             upstreams: Upstreams::default(),
             remote_zones: RemoteZones::default(),
             arrivals: FxHashMap::default(),
-            by_expiry: BTreeSet::new(),
+            tickets_by_expiry: BTreeSet::new(),
             grants: FxHashMap::default(),
-            by_ticket: FxHashMap::default(),
+            grants_by_ticket: FxHashMap::default(),
             pending_pulls: FxHashMap::default(),
             answered_pulls: VecDeque::new(),
             running: FxHashMap::default(),
@@ -189,14 +193,19 @@
     }
 
     /// Applies a new configuration.
-    pub fn configure(&mut self, cfg: &Arc<CatalogRevision>, now: Duration, out: &mut Vec<Action>) {
+    pub fn configure(
+        &mut self,
+        cfg: &Arc<CatalogRevision>,
+        now: Duration,
+        actions: &mut Vec<Action>,
+    ) {
         if let Some(pool_config) = cfg.pool(&self.pool_config.name) {
             self.pool_config = pool_config.clone();
         }
         self.cfg = cfg.clone();
         self.mean_weight = mean_weight(cfg);
         self.upstreams.configure(cfg.upstreams(&self.pool_config.name, &self.zone));
-        self.fill_slots(now, out);
+        self.fill_slots(now, actions);
     }
 
     pub fn name(&self) -> &PoolName {
@@ -223,16 +232,16 @@
     }
 
     /// Registers a ticket. Idempotent: a ticket that has a grant gets the same grant again.
-    pub fn submit(&mut self, ticket: Ticket, now: Duration, out: &mut Vec<Action>) {
-        if let Some(&id) = self.by_ticket.get(&ticket.id) {
-            self.send_grant(id, out);
+    pub fn submit(&mut self, ticket: Ticket, now: Duration, actions: &mut Vec<Action>) {
+        if let Some(&id) = self.grants_by_ticket.get(&ticket.id) {
+            self.send_grant(id, actions);
             return;
         }
         if self.queue.contains(ticket.id) {
             return;
         }
         let workspace = ticket.workspace.clone();
-        // A workspace that also waits elsewhere isn't newly active, so it isn't lifted.
+        // A workspace that waits in another zone isn't newly active, so it isn't lifted.
         if self.queue.waiting(&workspace) == 0
             && self.remote_zones.zones_of(&workspace).next().is_none()
         {
@@ -240,12 +249,12 @@
         }
         let expires_at = now + Duration::from_millis(ticket.deadline_ms);
         self.arrivals.insert(ticket.id, Arrival { at: now, expires_at });
-        self.by_expiry.insert((expires_at, ticket.id));
+        self.tickets_by_expiry.insert((expires_at, ticket.id));
         let virtual_time = self.ledger.virtual_time(&workspace);
         self.queue.push(ticket, virtual_time, now);
         self.check_running_limit(&workspace);
         self.publish_waiting(&workspace);
-        self.fill_slots(now, out);
+        self.fill_slots(now, actions);
     }
 
     /// Removes a ticket that is no longer wanted.
@@ -257,22 +266,22 @@
     }
 
     /// Handles everything that is due at `now`.
-    pub fn tick(&mut self, now: Duration, out: &mut Vec<Action>) {
+    pub fn tick(&mut self, now: Duration, actions: &mut Vec<Action>) {
         self.upstreams.tick(now);
         self.remote_zones.expire(now);
         self.expire_tickets(now);
         self.expire_pulls(now);
-        self.check_grants(now, out);
-        self.fill_slots(now, out);
+        self.check_grants(now, actions);
+        self.fill_slots(now, actions);
     }
 
     /// Grants free slots as long as there is work.
-    pub fn fill_slots(&mut self, now: Duration, out: &mut Vec<Action>) {
+    pub fn fill_slots(&mut self, now: Duration, actions: &mut Vec<Action>) {
         while self.upstreams.has_free() {
             match self.choose_next(now) {
                 None => return,
-                Some(NextWork::Local(workspace, why)) => self.grant(&workspace, why, now, out),
-                Some(NextWork::Remote(workspace)) => self.send_pull(&workspace, now, out),
+                Some(NextWork::Local(workspace, why)) => self.grant(&workspace, why, now, actions),
+                Some(NextWork::Remote(workspace)) => self.send_pull(&workspace, now, actions),
             }
         }
     }
@@ -315,16 +324,16 @@
 
     fn remove_arrival(&mut self, id: TicketId) -> Option<Arrival> {
         let arrival = self.arrivals.remove(&id)?;
-        self.by_expiry.remove(&(arrival.expires_at, id));
+        self.tickets_by_expiry.remove(&(arrival.expires_at, id));
         Some(arrival)
     }
 
     fn expire_tickets(&mut self, now: Duration) {
-        while let Some(&(at, id)) = self.by_expiry.first()
+        while let Some(&(at, id)) = self.tickets_by_expiry.first()
             && at <= now
         {
             self.cancel(id);
-            self.by_expiry.remove(&(at, id));
+            self.tickets_by_expiry.remove(&(at, id));
         }
     }
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -53,7 +53,7 @@
     pub name: BoxName,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Number of this start of the box; later starts have greater numbers.
+    /// Number of this run of the box; later runs have greater numbers.
     pub incarnation: u64,
 }
 
@@ -93,17 +93,19 @@
     cfg: Arc<CatalogRevision>,
     members: Members,
     tuning: Tuning,
+    /// The dispatchers that run on this box, and the standby copies of others.
     pools: BTreeMap<PoolName, PoolDispatcher>,
     /// The dispatching box of each pool in this zone.
     dispatcher_boxes: BTreeMap<PoolName, BoxName>,
     live_boxes: Vec<BoxName>,
     /// Whether roles must be recomputed even if the set of live boxes is unchanged.
     roles_stale: bool,
-    leaving_boxes: BTreeSet<BoxName>,
+    /// Boxes and upstreams that the box list marks as leaving.
+    listed_leaving: BTreeSet<BoxName>,
     incarnations: BTreeMap<BoxName, u64>,
     admission: Admission,
     waiting: FxHashMap<TicketId, WaitingRequest>,
-    /// Grants and completions to resend, the earliest first.
+    /// Grants and completion reports to resend, the earliest first.
     undelivered: VecDeque<UndeliveredMessage>,
     running: FxHashMap<TicketId, RunningRequest>,
     next_ticket: u64,
@@ -134,7 +136,7 @@
             dispatcher_boxes: BTreeMap::new(),
             live_boxes: vec![id.name.clone()],
             roles_stale: true,
-            leaving_boxes: BTreeSet::new(),
+            listed_leaving: BTreeSet::new(),
             incarnations: BTreeMap::new(),
             admission: Admission::default(),
             waiting: FxHashMap::default(),
@@ -188,14 +190,14 @@
     /// The box that usually writes the claims of a shard; `None` if it is this one.
     pub fn claims_writer(&self, shard: u64, now: Duration) -> Option<BoxName> {
         let role = format!("claims/{shard}");
-        let elsewhere = self.members.owners_in_other_zones(&role);
-        let zones = elsewhere.iter().map(|(zone, _)| zone).chain([&self.identity.zone]);
-        let home = util::rendezvous(&role, zones)?;
-        if *home == self.identity.zone {
+        let other_owners = self.members.owners_in_other_zones(&role);
+        let zones = other_owners.iter().map(|(zone, _)| zone).chain([&self.identity.zone]);
+        let home_zone = util::rendezvous(&role, zones)?;
+        if *home_zone == self.identity.zone {
             let owner = self.members.owner(&role, now);
             return (*owner != self.identity.name).then(|| owner.clone());
         }
-        elsewhere.iter().find(|(zone, _)| zone == home).map(|(_, name)| name.clone())
+        other_owners.iter().find(|(zone, _)| zone == home_zone).map(|(_, name)| name.clone())
     }
 
     /// Whether requests can be served, which requires a configuration.
@@ -219,8 +221,9 @@
     }
 
     /// Records the cost of a running request so far, in its pool's unit. Its dispatcher is notified
-    /// only when the cost exceeds the charged cost by a factor, so the number of messages grows
-    /// with the logarithm of the cost. Returns the cost above which this must be called again.
+    /// only when the cost exceeds the charged cost by `PROGRESS_FACTOR`, so the number of
+    /// messages grows with the logarithm of the cost. Returns the cost above which this must be
+    /// called again.
     pub fn record_progress(&mut self, id: TicketId, cost: u64, now: Duration) -> u64 {
         let Some(running) = self.running.get_mut(&id) else { return cost };
         if cost <= running.grant.charged_cost * PROGRESS_FACTOR {
@@ -241,13 +244,13 @@
     /// Ends a running request.
     pub fn finish(&mut self, id: TicketId, cost: u64, ending: Ending, now: Duration) {
         let Some(running) = self.running.remove(&id) else { return };
-        let done = CompletionReport {
+        let report = CompletionReport {
             pool: running.ticket.pool.clone(),
             grant: running.grant.id,
             cost,
             ending,
         };
-        self.send(running.grant.dispatcher, Message::CompletionReport(done));
+        self.send(running.grant.dispatcher, Message::CompletionReport(report));
         self.deliver_loopback(now);
     }
 
@@ -269,9 +272,9 @@
     pub fn set_box_list(&mut self, boxes: &[ListedBox], now: Duration) {
         self.members.update_box_list(boxes, now);
         // Upstreams are in the box list, too, under their own names.
-        self.leaving_boxes = boxes.iter().filter(|b| b.leaving).map(|b| b.name.clone()).collect();
+        self.listed_leaving = boxes.iter().filter(|b| b.leaving).map(|b| b.name.clone()).collect();
         for pool in self.pools.values_mut() {
-            pool.upstreams_mut().set_listed_leaving(&self.leaving_boxes);
+            pool.upstreams_mut().set_listed_leaving(&self.listed_leaving);
         }
         self.refresh_roles(now);
         self.deliver_loopback(now);
@@ -362,10 +365,10 @@
                 continue;
             }
             pool.tick(now, &mut actions);
-            let mut others = self.members.owners_in_other_zones(name);
-            let successor = self.members.standby(name, now);
-            others.extend(successor.map(|b| (self.identity.zone.clone(), b.clone())));
-            pool.send_reports(&others, now, &mut actions);
+            let mut receivers = self.members.owners_in_other_zones(name);
+            let standby = self.members.standby(name, now);
+            receivers.extend(standby.map(|b| (self.identity.zone.clone(), b.clone())));
+            pool.send_reports(&receivers, now, &mut actions);
         }
         self.perform(actions);
         self.deliver_loopback(now);
@@ -395,8 +398,8 @@
     /// Handles the messages of this box to itself until none are left.
     fn deliver_loopback(&mut self, now: Duration) {
         while let Some(message) = self.loopback.pop_front() {
-            let me = self.identity.name.clone();
-            self.handle(&me, message, now);
+            let own_name = self.identity.name.clone();
+            self.handle(&own_name, message, now);
         }
     }
 }
--- a/src/node/receive.rs
+++ b/src/node/receive.rs
@@ -48,13 +48,13 @@
                     pool.record_progress(grant, cost);
                 }
             }
-            Message::CompletionReport(done) => self.handle_done(done, now),
+            Message::CompletionReport(report) => self.handle_completion(report, now),
             Message::RunningGrants { pool, router, grants } => {
                 let router = if router.is_none() { from } else { &router };
                 self.with_pool(&pool, |pool, _| pool.adopt_grants(router, &grants, now));
             }
             Message::GrantCheckRequest { pool, grants, digest } => {
-                self.handle_check(from, pool, &grants, digest)
+                self.handle_grant_check(from, pool, &grants, digest)
             }
             Message::GrantsInUse { pool, first, last, grants } => {
                 self.with_pool(&pool, |pool, actions| {
@@ -66,17 +66,17 @@
                     pool.release_unused(from, &grants, now, actions)
                 });
             }
-            Message::DispatcherReport(summary) => self.handle_summary(from, *summary, now),
+            Message::DispatcherReport(report) => self.handle_dispatcher_report(from, *report, now),
             Message::StandbyAck { pool, zone, replica, version } => {
                 self.with_pool(&pool, |pool, _| pool.record_standby_ack(&zone, &replica, version));
             }
-            Message::PullRequest(pull) => self.handle_pull(pull, now),
-            Message::PullResponse(pulled) => {
-                self.with_pool(&pulled.pool.clone(), |pool, actions| {
-                    pool.handle_pull_response(pulled, now, actions)
+            Message::PullRequest(request) => self.handle_pull_request(request, now),
+            Message::PullResponse(response) => {
+                self.with_pool(&response.pool.clone(), |pool, actions| {
+                    pool.handle_pull_response(response, now, actions)
                 });
             }
-            // Claims need the store; the process handles them.
+            // Claims need the store; the hub handles them outside the node.
             Message::ClaimRequest(_) | Message::ClaimResponse { .. } => {}
             Message::ConfigurationRequest { revision } => {
                 self.handle_configuration_request(from, revision)
@@ -109,7 +109,7 @@
         if ticket.router.is_none() {
             ticket.router = from.clone();
         }
-        // A ticket for a service that this box doesn't know yet is registered again later.
+        // Ignored while the service isn't known here: the router registers the ticket again later.
         let Some(service) = self.cfg.service(&ticket.service) else { return };
         ticket.pool = service.pool.clone();
         if self.is_dispatcher(&ticket.pool) {
@@ -117,8 +117,8 @@
             self.with_pool(&name, |pool, actions| pool.submit(ticket, now, actions));
             return;
         }
-        // The sender's view of the zone differs. The box that is the dispatcher in this box's view
-        // may agree with it.
+        // The sender considers this box the dispatcher, but this box considers another one to be
+        // it. The ticket is forwarded there, once.
         if let Some(dispatcher) = self.dispatcher_boxes.get(&ticket.pool).cloned()
             && !ticket.forwarded
         {
@@ -144,26 +144,26 @@
         }
         // A second grant for the same ticket, or one for a request that no longer waits.
         let Some(pool) = self.pool_of(&grant) else { return };
-        let done = CompletionReport { pool, grant: grant.id, cost: 0, ending: Ending::Unused };
-        self.send(grant.dispatcher, Message::CompletionReport(done));
+        let report = CompletionReport { pool, grant: grant.id, cost: 0, ending: Ending::Unused };
+        self.send(grant.dispatcher, Message::CompletionReport(report));
     }
 
-    fn handle_done(&mut self, done: CompletionReport, now: Duration) {
-        if self.pools.contains_key(&done.pool) {
-            self.with_pool(&done.pool.clone(), |pool, actions| {
-                pool.handle_completion(&done, now, actions)
+    fn handle_completion(&mut self, report: CompletionReport, now: Duration) {
+        if self.pools.contains_key(&report.pool) {
+            self.with_pool(&report.pool.clone(), |pool, actions| {
+                pool.handle_completion(&report, now, actions)
             });
             return;
         }
         // The role was handed over and the sender doesn't know it yet.
-        if let Some(dispatcher) = self.dispatcher_boxes.get(&done.pool).cloned()
+        if let Some(dispatcher) = self.dispatcher_boxes.get(&report.pool).cloned()
             && dispatcher != self.identity.name
         {
-            self.send(dispatcher, Message::CompletionReport(done));
+            self.send(dispatcher, Message::CompletionReport(report));
         }
     }
 
-    fn handle_check(
+    fn handle_grant_check(
         &mut self,
         from: &BoxName,
         pool: PoolName,
@@ -189,49 +189,54 @@
         self.send(from.clone(), Message::GrantsNotInUse { pool, grants });
     }
 
-    fn handle_summary(&mut self, from: &BoxName, summary: DispatcherReport, now: Duration) {
+    fn handle_dispatcher_report(
+        &mut self,
+        from: &BoxName,
+        report: DispatcherReport,
+        now: Duration,
+    ) {
         // A report in this box's own name would make it request work from itself.
-        if summary.dispatcher == self.identity.name {
+        if report.dispatcher == self.identity.name {
             return;
         }
-        let is_own_zone = summary.zone == self.identity.zone;
-        let is_dispatcher = self.is_dispatcher(&summary.pool);
+        let is_own_zone = report.zone == self.identity.zone;
+        let is_dispatcher = self.is_dispatcher(&report.pool);
         if !is_own_zone && !is_dispatcher {
-            if let Some(dispatcher) = self.dispatcher_boxes.get(&summary.pool).cloned()
-                && !summary.forwarded
+            if let Some(dispatcher) = self.dispatcher_boxes.get(&report.pool).cloned()
+                && !report.forwarded
             {
-                let forwarded = DispatcherReport { forwarded: true, ..summary };
+                let forwarded = DispatcherReport { forwarded: true, ..report };
                 self.send(dispatcher, Message::DispatcherReport(Box::new(forwarded)));
             }
             return;
         }
-        let name = summary.pool.clone();
+        let name = report.pool.clone();
         let Some(pool) = self.pool_or_insert(&name) else { return };
         let mut actions = Vec::new();
-        pool.handle_report(&summary, now, &mut actions);
+        pool.handle_report(&report, now, &mut actions);
         self.perform(actions);
         if is_own_zone && !is_dispatcher {
             let ack = Message::StandbyAck {
-                pool: summary.pool,
-                zone: summary.zone,
-                replica: summary.replica,
-                version: summary.version,
+                pool: report.pool,
+                zone: report.zone,
+                replica: report.replica,
+                version: report.version,
             };
             self.send(from.clone(), ack);
         }
     }
 
-    fn handle_pull(&mut self, pull: PullRequest, now: Duration) {
-        if self.is_dispatcher(&pull.pool) {
-            self.with_pool(&pull.pool.clone(), |pool, actions| {
-                pool.handle_pull_request(&pull, now, actions)
+    fn handle_pull_request(&mut self, request: PullRequest, now: Duration) {
+        if self.is_dispatcher(&request.pool) {
+            self.with_pool(&request.pool.clone(), |pool, actions| {
+                pool.handle_pull_request(&request, now, actions)
             });
             return;
         }
-        if let Some(dispatcher) = self.dispatcher_boxes.get(&pull.pool).cloned()
-            && !pull.forwarded
+        if let Some(dispatcher) = self.dispatcher_boxes.get(&request.pool).cloned()
+            && !request.forwarded
         {
-            self.send(dispatcher, Message::PullRequest(PullRequest { forwarded: true, ..pull }));
+            self.send(dispatcher, Message::PullRequest(PullRequest { forwarded: true, ..request }));
         }
     }
 
@@ -242,17 +247,23 @@
         }
     }
 
-    fn handle_configuration(&mut self, from: &BoxName, v: u64, c: Catalog, now: Duration) {
-        if v <= self.cfg.number {
+    fn handle_configuration(
+        &mut self,
+        from: &BoxName,
+        revision: u64,
+        catalog: Catalog,
+        now: Duration,
+    ) {
+        if revision <= self.cfg.number {
             return;
         }
-        match CatalogRevision::new(v, c) {
+        match CatalogRevision::new(revision, catalog) {
             Ok(revision) => self.configure(revision, now),
             Err(faults) => {
                 let fault = faults.first().map(ToString::to_string).unwrap_or_default();
                 let from = from.clone();
                 self.outputs.push(Output::LogChange(Change::InvalidConfiguration {
-                    revision: v,
+                    revision,
                     from,
                     fault,
                 }));
--- a/src/node/roles.rs
+++ b/src/node/roles.rs
@@ -59,7 +59,7 @@
     /// The dispatcher or standby copy of a pool on this box, created on first use.
     pub(super) fn pool_or_insert(&mut self, name: &PoolName) -> Option<&mut PoolDispatcher> {
         if !self.pools.contains_key(name) {
-            let cell = ReplicaId {
+            let replica = ReplicaId {
                 name: self.identity.name.clone(),
                 incarnation: self.next_replica_incarnation,
             };
@@ -67,11 +67,11 @@
             let mut pool = PoolDispatcher::new(
                 name,
                 &self.identity.zone,
-                cell,
+                replica,
                 self.cfg.clone(),
                 self.tuning,
             )?;
-            pool.upstreams_mut().set_listed_leaving(&self.leaving_boxes);
+            pool.upstreams_mut().set_listed_leaving(&self.listed_leaving);
             self.pools.insert(name.clone(), pool);
         }
         self.pools.get_mut(name)
@@ -167,16 +167,16 @@
     }
 
     /// Records the incarnation of a box. A new incarnation has lost the requests of the previous
-    /// one, so what those held is released.
+    /// one, so their tickets and grants are removed.
     pub(super) fn update_incarnation(&mut self, name: &BoxName, now: Duration) {
         let Some(incarnation) = self.members.incarnation(name) else { return };
         let previous = self.incarnations.insert(name.clone(), incarnation);
-        if previous.is_some_and(|b| b != incarnation) {
+        if previous.is_some_and(|known| known != incarnation) {
             self.release_router(name, now);
         }
     }
 
-    /// Releases what a router that is gone held.
+    /// Removes the tickets and grants of a router that has stopped.
     pub(super) fn release_router(&mut self, name: &BoxName, now: Duration) {
         let mut actions = Vec::new();
         for pool in self.pools.values_mut() {
--- a/src/node/waiting.rs
+++ b/src/node/waiting.rs
@@ -18,7 +18,7 @@
 /// Initial wait before a ticket without a grant is registered again; doubled each time.
 const RESEND_BACKOFF_MIN: Duration = Duration::from_secs(4);
 
-/// Most grants and completions kept for resending.
+/// Most grants and completion reports kept for resending.
 const UNDELIVERED_MAX: usize = 4096;
 
 /// Wait before tickets are registered again after messages to their dispatcher were lost.
@@ -38,7 +38,7 @@
     backoff: Duration,
 }
 
-/// A grant or completion that its receiver likely didn't get.
+/// A grant or completion report that its receiver likely didn't get.
 #[derive(Debug)]
 pub(super) struct UndeliveredMessage {
     at: Duration,
@@ -76,7 +76,7 @@
     }
 
     /// Records that messages to a box were likely lost. Tickets registered there are registered
-    /// again soon; grants and completions are resent, since their slots would stay occupied
+    /// again soon; grants and completion reports are resent, since their slots would stay occupied
     /// otherwise.
     pub fn messages_lost(&mut self, name: &BoxName, messages: Vec<Message>, now: Duration) {
         let at = now + RESEND_AFTER_LOSS;
@@ -167,8 +167,8 @@
         while self.undelivered.front().is_some_and(|u| u.at <= now) {
             let undelivered = self.undelivered.pop_front().expect("just seen");
             let to = match &undelivered.message {
-                Message::CompletionReport(done) => {
-                    self.current_dispatcher(&undelivered.to, &done.pool)
+                Message::CompletionReport(report) => {
+                    self.current_dispatcher(&undelivered.to, &report.pool)
                 }
                 _ => undelivered.to,
             };
--- a/src/router/hub.rs
+++ b/src/router/hub.rs
@@ -63,7 +63,7 @@
     pub charged_cost: u64,
 }
 
-/// The result for a waiting request.
+/// The assignment of a waiting request, or why it was refused.
 pub type AssignmentResult = Result<Assignment, Refusal>;
 
 /// The node of this process, with what is needed to perform its outputs.
@@ -81,7 +81,7 @@
 struct Inner {
     node: Node,
     pending_assignments: HashMap<TicketId, oneshot::Sender<AssignmentResult>>,
-    /// Calls of other boxes that are not responded to yet.
+    /// Calls of other boxes whose response is held back for the next message to them.
     pending_responses: HashMap<BoxName, VecDeque<oneshot::Sender<Vec<Message>>>>,
 }
 
@@ -123,14 +123,14 @@
         &self.history
     }
 
-    /// Starts the claims, stored in `objects`.
+    /// Starts the idempotency claims, which are stored in `objects`.
     pub fn start_claims(self: &Arc<Hub>, objects: Arc<dyn ObjectStore>) {
         let claims = Claims::new(objects, Box::new(HubClaimTransport(Arc::downgrade(self))));
         // Called once, at the start.
         let _ = self.claims.set(claims);
     }
 
-    /// The claims, once started.
+    /// The idempotency claims; `None` until they are started.
     pub fn claims(&self) -> Option<&Arc<Claims>> {
         self.claims.get()
     }
@@ -143,7 +143,7 @@
         self.update(|node, _| node.new_ticket_id())
     }
 
-    /// Queues a request for a grant, which the receiver gets.
+    /// Queues a request for a grant. The returned receiver gets the result.
     pub fn submit(&self, ticket: Ticket) -> Result<oneshot::Receiver<AssignmentResult>, Refusal> {
         let (tx, rx) = oneshot::channel();
         let id = ticket.id;
@@ -224,7 +224,7 @@
         replies
     }
 
-    /// Sends a message in a pending response to a call of that box, or else in a call.
+    /// Sends a message in the response to a pending call of that box, or else in a new call.
     fn send(&self, inner: &mut Inner, to: &BoxName, message: Message) {
         let mut messages = vec![message];
         while let Some(tx) = inner.pending_responses.get_mut(to).and_then(VecDeque::pop_front) {
@@ -236,8 +236,8 @@
         }
         let Some(message) = messages.pop() else { return };
         if let Some(this) = self.weak_self.upgrade() {
-            let inbox: Arc<dyn ConnectionHandler> = this;
-            self.connections.send(to, message, &inbox);
+            let handler: Arc<dyn ConnectionHandler> = this;
+            self.connections.send(to, message, &handler);
         }
     }
 
@@ -321,9 +321,9 @@
 
     fn handle_claim(&self, claims: &Claims, from: &BoxName, claim: ClaimRequest) {
         let (this, from, attempt) = (self.weak_self.clone(), from.clone(), claim.attempt);
-        let wants = claim.op == ClaimOp::Acquire;
+        let expects_response = claim.op == ClaimOp::Acquire;
         claims.handle_request(claim, move |outcome| {
-            if let Some(hub) = this.upgrade().filter(|_| wants) {
+            if let Some(hub) = this.upgrade().filter(|_| expects_response) {
                 let mut inner = hub.inner.lock().expect("no panic under lock");
                 hub.send(&mut inner, &from, Message::ClaimResponse { attempt, outcome });
             }
@@ -380,8 +380,8 @@
 }
 
 fn deliver_assignment(inner: &mut Inner, ticket: TicketId, result: AssignmentResult) {
-    // The request may have been dropped just now; it finds out that it was granted when it
-    // withdraws its ticket.
+    // The receiver is gone if the request was dropped just now. `WaitingGuard` then reports the
+    // grant as unused.
     if let Some(tx) = inner.pending_assignments.remove(&ticket) {
         let _ = tx.send(result);
     }
@@ -411,9 +411,9 @@
     let mut workspaces: Vec<WorkspaceStatus> = pool.queue().workspaces().map(status).collect();
     workspaces.sort_by_key(|w| w.virtual_time);
     workspaces.truncate(STATUS_WORKSPACES_MAX);
-    let upstreams = pool.upstreams().states().map(|(name, aside)| UpstreamStatus {
+    let upstreams = pool.upstreams().states().map(|(name, reason)| UpstreamStatus {
         upstream: name.clone(),
-        unavailable_reason: aside.map(|a| format!("{a:?}").to_lowercase()),
+        unavailable_reason: reason.map(|r| format!("{r:?}").to_lowercase()),
     });
     PoolStatus {
         pool: pool.name().clone(),
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -122,9 +122,9 @@
         zone: cfg.identity.zone.clone(),
         incarnation: util::new_incarnation(),
     };
-    let links = PeerConnections::new(&id.name, &cfg.secret, traffic);
+    let connections = PeerConnections::new(&id.name, &cfg.secret, traffic);
     let node = Node::new(id, Tuning::default(), GossipSettings::default());
-    let hub = Hub::new(node, links, metrics.clone(), log);
+    let hub = Hub::new(node, connections, metrics.clone(), log);
     hub.update(|node, now| node.set_box_list(&cfg.seeds, now));
     hub
 }
@@ -165,7 +165,7 @@
 }
 
 /// Waits for SIGTERM or SIGINT, then for all requests to end. The port stays open meanwhile, so
-/// that callers that the balancer still sends here are told that their request did not run.
+/// that callers that the balancer still sends here get a response that their request did not run.
 async fn wait_for_stop(hub: Arc<Hub>, mut signals: Signals, stop: watch::Sender<bool>) {
     signals.next().await;
     info!(hub.log(), "stopping"; "running" => hub.read(|node, _| node.running_count()));
--- a/src/router/refusal.rs
+++ b/src/router/refusal.rs
@@ -172,7 +172,7 @@
         }
     }
 
-    /// The outcome that the caller is told.
+    /// The outcome stated to the caller.
     pub fn outcome(&self) -> Outcome {
         match self {
             RequestError::UpstreamFailed(_)
--- a/src/router/request_handler.rs
+++ b/src/router/request_handler.rs
@@ -56,7 +56,7 @@
 const HOP_BY_HOP: [header::HeaderName; 4] =
     [header::CONNECTION, header::TRANSFER_ENCODING, header::UPGRADE, header::TRAILER];
 
-/// What all requests of the router share.
+/// State shared by all requests of the router.
 pub struct RouterContext {
     pub hub: Arc<Hub>,
     /// The threads that send requests to upstreams.
@@ -82,7 +82,7 @@
         claim: None,
         last_failure: None,
     };
-    // A request that was sent once doesn't become "not run" because its next attempt wasn't sent.
+    // If the last attempt wasn't sent but an earlier one may have been, the earlier error holds.
     let result =
         handler.run().await.map_err(|error| match (error.outcome(), handler.last_failure.take()) {
             (Outcome::NotRun, Some(earlier)) => earlier,
@@ -100,7 +100,7 @@
     body: Bytes,
     trace: RequestTrace,
     claim: Option<ClaimGuard>,
-    /// Why the last attempt failed of which a byte may have been sent.
+    /// The error of the latest attempt of which a byte may have been sent.
     last_failure: Option<RequestError>,
 }
 
@@ -153,7 +153,7 @@
             }
         });
         let result = rx.await.unwrap_or(Err(ClaimOutcome::Unavailable));
-        let attempt = result.map_err(|v| match v {
+        let attempt = result.map_err(|outcome| match outcome {
             ClaimOutcome::Ran => RequestError::DuplicateRan,
             ClaimOutcome::HeldByOther => RequestError::DuplicateElsewhere,
             ClaimOutcome::Acquired | ClaimOutcome::Unavailable | ClaimOutcome::Full => unavailable,
@@ -331,7 +331,7 @@
         Ok(SendOutcome::Responded(resp))
     }
 
-    /// The state to resume the response if it breaks off; `None` if the service's upstreams can't.
+    /// The state to resume the response if it breaks off; `None` if the upstreams don't support it.
     fn stream_resume(&self, upstream_request: &UpstreamRequest) -> Option<StreamResume> {
         let path = self.request.resume_path.as_deref()?;
         let (workspace, pool) = (&self.request.workspace, &self.request.pool);
@@ -373,12 +373,12 @@
         headers
     }
 
-    fn set_attempt_outcome(&mut self, ending: &str) {
-        self.trace.set_attempt_outcome(ending);
+    fn set_attempt_outcome(&mut self, outcome: &str) {
+        self.trace.set_attempt_outcome(outcome);
     }
 }
 
-/// Collects what is recorded of a request when it ends.
+/// Collects the record of a request, which is added to the history when the request ends.
 pub struct RequestTrace {
     hub: Arc<Hub>,
     /// The id that the caller gets.
@@ -427,9 +427,9 @@
     }
 
     /// Sets how the last attempt ended, or its current state.
-    pub fn set_attempt_outcome(&mut self, ending: &str) {
+    pub fn set_attempt_outcome(&mut self, outcome: &str) {
         if let Some(attempt) = self.attempts.last_mut() {
-            attempt.outcome = ending.to_owned();
+            attempt.outcome = outcome.to_owned();
         }
     }
 
@@ -481,7 +481,7 @@
             return;
         }
         if !self.hub.withdraw(self.id) {
-            // The grant arrived just now.
+            // The grant has arrived in the meantime.
             self.hub.finish(self.id, 0, Ending::Unused);
         }
     }
