--- a/src/proxy/message.rs
+++ b/src/proxy/message.rs
@@ -160,7 +160,7 @@
     /// Which versions may be chosen.
     pub version_filter: VersionFilter,
     /// The route's target latency, in milliseconds.
-    pub target_latency_ms: u32,
+    pub latency_target_ms: u32,
     /// Time for which the request has waited, in milliseconds.
     pub waited_ms: u32,
     /// An engine of another group that has part of the prompt cached.
--- a/src/proxy/plain_placement.rs
+++ b/src/proxy/plain_placement.rs
@@ -45,7 +45,7 @@
     /// The versions that may serve it.
     pub version_filter: VersionFilter,
     /// The route's target latency, in milliseconds.
-    pub target_latency_ms: u32,
+    pub latency_target_ms: u32,
     /// How long the request has already waited, in milliseconds.
     pub waited_ms: u32,
 }
@@ -116,7 +116,7 @@
         workspace: message.workspace.as_ref(),
         excluded: &message.excluded,
         version_filter: message.version_filter,
-        target_latency: Duration::from_millis(message.target_latency_ms.into()),
+        target_latency: Duration::from_millis(message.latency_target_ms.into()),
         waited: Duration::from_millis(message.waited_ms.into()),
         zone: &message.zone,
         sender: Some(from),
@@ -167,7 +167,7 @@
         zone: query.zone.clone(),
         excluded: query.excluded.iter().take(engine_placement::EXCLUDED_MAX).cloned().collect(),
         version_filter: query.version_filter,
-        target_latency_ms: engine_placement::duration_ms(query.target_latency),
+        latency_target_ms: engine_placement::duration_ms(query.target_latency),
         waited_ms: engine_placement::duration_ms(query.waited),
     }
 }
--- a/tests/fleet_placement.rs
+++ b/tests/fleet_placement.rs
@@ -288,7 +288,7 @@
         zone: asker.zone.clone(),
         excluded: Vec::new(),
         version_filter: VersionFilter::Any,
-        target_latency_ms: 900,
+        latency_target_ms: 900,
         waited_ms: 1,
         source: None,
         purpose: query.purpose,
