--- a/src/fleet/evacuated.rs
+++ b/src/fleet/evacuated.rs
@@ -3,7 +3,7 @@
 //!
 //! The whole state is a handful of zone names. Each heartbeat carries it along with the revision of
 //! the store that it is valid for, and the highest revision wins. It thus reaches every box without
-//! being requested, also a box that starts meanwhile.
+//! being requested, including a box that starts meanwhile.
 
 use std::collections::BTreeSet;
 
--- a/src/fleet/owners.rs
+++ b/src/fleet/owners.rs
@@ -181,7 +181,8 @@
     cores_max * CORES_RATIO_MIN <= cores
 }
 
-/// Returns the number of groups, as a power of two, that comes nearest to [`ENGINES_PER_GROUP`].
+/// Returns the binary logarithm of the number of groups whose size comes nearest to
+/// [`ENGINES_PER_GROUP`].
 fn group_bits(engines: usize) -> u32 {
     let groups = (engines as f64 / ENGINES_PER_GROUP).max(1.0);
     (groups.log2().round() as u32).min(GROUP_BITS_MAX)
--- a/src/fleet/quarantine.rs
+++ b/src/fleet/quarantine.rs
@@ -14,7 +14,7 @@
 
 use crate::fleet::fingerprint::Fingerprint;
 
-/// Number of crashes under a request at which it is held back.
+/// A request is held back once this many upstreams have crashed while running it.
 pub const CRASHES_MAX: usize = 3;
 
 /// How long a crash counts against a request. A request crashes at most [`CRASHES_MAX`] upstreams
--- a/src/fleet/rollout.rs
+++ b/src/fleet/rollout.rs
@@ -19,7 +19,7 @@
 use crate::names::VersionName;
 
 /// Share of requests that the new version gets at the first two stages, as multiples of the allowed
-/// exposure. Ending at the earliest possible times, both stages together use two thirds of the
+/// exposure. If they end at the earliest possible times, both stages together use two thirds of the
 /// exposure.
 const CANARY_FACTOR: f64 = 0.5;
 const WIDENED_FACTOR: f64 = 2.5;
--- a/src/fleet/rollout/regression.rs
+++ b/src/fleet/rollout/regression.rs
@@ -16,7 +16,7 @@
 /// seconds.
 const BUCKETS: usize = 32;
 
-/// A response is slow if its time is this many buckets above the third quartile of the old
+/// A response is slow if its time is at least this many buckets above the third quartile of the old
 /// version's.
 const SLOW_BUCKETS: usize = 3;
 
@@ -32,7 +32,7 @@
 const BAD_RATE_MIN: f64 = 0.02;
 
 /// Sum of log likelihood ratios at which a version counts as worse. A good version reaches it less
-/// than once in `e` to the power of this many responses.
+/// often than once in `exp(CUSUM_THRESHOLD)` responses.
 const CUSUM_THRESHOLD: f64 = 6.0;
 
 /// Routes with less than this share of the old version's responses don't delay a roll-out.
--- a/src/fleet/store_watch.rs
+++ b/src/fleet/store_watch.rs
@@ -10,8 +10,8 @@
 use crate::fleet::owners;
 use crate::fleet::owners::BROADCAST_BOXES_MAX;
 
-/// Boxes of a zone that watch. The store may reject single boxes: where it rejects one in three,
-/// one zone in 27 has no watcher that is served until other boxes take over.
+/// Boxes of a zone that watch. The store may reject individual boxes: where it rejects one in
+/// three, one zone in 27 has no watcher that is served until other boxes take over.
 const WATCHERS_PER_ZONE: usize = 3;
 
 /// Another box starts to watch when no box of the zone has reported for this long that it reaches
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -54,7 +54,7 @@
 use crate::web;
 use crate::web::BodyError;
 
-/// Attempts that did not reach an upstream after which a request is refused.
+/// A request is refused after this many attempts that did not reach an upstream.
 const UNSENT_ATTEMPTS_MAX: u32 = 4;
 
 /// Maximum number of sends of one request, including those that upstreams did not run.
@@ -88,7 +88,7 @@
     pub body: Bytes,
     /// Computed on first use by [`RequestContext::fingerprint`].
     pub fingerprint: OnceLock<Fingerprint>,
-    /// When the head had arrived, by the hub's clock.
+    /// When the head arrived, by the hub's clock.
     pub arrived: Duration,
     /// When the response must be complete, by the hub's clock.
     pub deadline: Duration,
@@ -321,7 +321,7 @@
         self.broken_sends += 1;
         reachability::mark_unreachable(&self.hub, &upstream);
         placed.close(Some(Health::Broken));
-        // An upstream that leaves ends without being crashed by a request.
+        // An upstream that is leaving stops without having been crashed by a request.
         if has_restarted || self.hub.read(|view| view.registry().is_open(&upstream)) {
             let fingerprint = self.fingerprint();
             suspects::connection_broken(
--- a/src/proxy/rollouts.rs
+++ b/src/proxy/rollouts.rs
@@ -1,5 +1,5 @@
 //! Roll-outs of new versions at this box: choosing the version for each request, recording the
-//! outcomes of responses, and if this box evaluates the roll-out, raising its stage.
+//! outcomes of responses, and, if this box evaluates the roll-out, raising its stage.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -43,11 +43,11 @@
 /// Number of boxes of a small fleet that evaluate a roll-out.
 const EVALUATING_BOXES: usize = 2;
 
-/// Most outcomes that wait to be reported.
+/// Maximum number of outcomes that wait to be reported.
 const UNREPORTED_MAX: usize = 2000;
 
-/// A response whose first chunk had not arrived when its request ended counts as this slow, if the
-/// request had waited for at least this time.
+/// If a request ends before the first chunk of its response has arrived, the time that it waited
+/// counts as the time to the first chunk, provided that it is at least this long.
 const FIRST_CHUNK_WAIT_MIN: Duration = Duration::from_millis(1000);
 
 /// Seed that makes the hash for the choice of a version independent of other hashes of the same id.
@@ -103,7 +103,7 @@
         self.has_rollouts.load(Ordering::Relaxed)
     }
 
-    /// Returns to which versions of a service the request of this id may go.
+    /// Returns which versions of a service may serve the request with this id.
     pub fn version_filter(&self, service: &str, id: &str, now: Duration) -> VersionFilter {
         if !self.has_rollouts() {
             return VersionFilter::Any;
@@ -303,9 +303,9 @@
     }
 }
 
-/// Whether this box evaluates the roll-out and raises its stage: the owner of the service and its
-/// standby, or the first two boxes of a small fleet. Both receive the same outcomes, and the stage
-/// is the greater of their results, so neither waits for the other.
+/// Whether this box evaluates the roll-out and raises its stage. The evaluators are the owner of
+/// the service and its standby, or the first two boxes of a small fleet. Both receive the same
+/// outcomes, and the stage is the greater of their results, so neither waits for the other.
 fn is_evaluator(hub: &Hub, service: &ServiceName) -> bool {
     match plain_placement::owners(hub, service) {
         Some(owners) => owners.boxes().any(|ip| ip == hub.peers().own_ip()),
--- a/src/proxy/routing_table.rs
+++ b/src/proxy/routing_table.rs
@@ -44,7 +44,7 @@
     pub aim: Duration,
     /// The services among which requests are split, with their weights.
     pub targets: Vec<(ServiceName, u32)>,
-    /// Most upstreams that may run the same request.
+    /// Maximum number of upstreams that may run the same request.
     pub max_upstreams: u32,
     /// Whether requests need no key.
     pub anonymous: bool,
@@ -94,9 +94,9 @@
 /// Limits on what callers may send, and the capacity of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Most bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub head_bytes: usize,
-    /// Most bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: usize,
     /// Time within which a request's head must have arrived.
     pub head_timeout: Duration,
@@ -160,7 +160,7 @@
 }
 
 impl Route {
-    /// Chooses the service for a request by weight; `draw` must be the same for each attempt of it.
+    /// Chooses the service for a request by weight; `draw` must be the same for all its attempts.
     pub fn target(&self, draw: u64) -> Option<&ServiceName> {
         let total: u64 = self.targets.iter().map(|(_, w)| u64::from(*w)).sum();
         let mut point = draw.checked_rem(total)?;
--- a/src/proxy/stream_relay.rs
+++ b/src/proxy/stream_relay.rs
@@ -189,8 +189,8 @@
             _ => None,
         };
         let Some(until) = until else { return Pin::new(&mut source.body).poll_frame(cx) };
-        // Polls without a waker, so that bytes that arrive until then wake no task. The connection
-        // may need a second poll: the first one makes it read.
+        // Polls without a waker, so that bytes that arrive before `until` wake no task. The
+        // connection may need a second poll: the first one makes it read.
         let mut no_wake = Context::from_waker(Waker::noop());
         for _ in 0..2 {
             if let Poll::Ready(frame) = Pin::new(&mut source.body).poll_frame(&mut no_wake) {
@@ -241,7 +241,7 @@
         self.events.take_partial()
     }
 
-    /// Resumes a stream that has broken off at another upstream, or aborts it.
+    /// Tries to resume a broken stream at another upstream; if that fails, the stream is aborted.
     fn handle_break(&mut self, e: &upstream_connections::Error) {
         let Some(mut ctx) = self.ctx.take() else { return };
         if let State::Relaying(source) = std::mem::replace(&mut self.state, State::Ended) {
--- a/src/proxy/suspects.rs
+++ b/src/proxy/suspects.rs
@@ -46,7 +46,7 @@
 /// to the crash: a busy box notices late.
 const CRASH_ATTRIBUTION_WINDOW: Duration = Duration::from_millis(1500);
 
-/// Most broken requests that wait for proof at a time.
+/// Maximum number of broken requests that wait for proof at a time.
 const WAITING_MAX: usize = 4096;
 
 /// Suspects in one message, so that they fit a datagram: at most 65 bytes each.
@@ -57,7 +57,7 @@
 const SAVE_RETRY_MIN: Duration = Duration::from_millis(500);
 const SAVE_RETRY_MAX: Duration = Duration::from_secs(8);
 
-/// Most suspects that a box saves in the store.
+/// Maximum number of suspects that a box saves in the store.
 const SAVED_MAX: usize = 256;
 
 /// A list from the store may be some seconds old and lack recent suspects, so it is loaded a second
@@ -134,8 +134,8 @@
         self.waiting.iter().filter(is_match).count()
     }
 
-    /// Takes the broken requests of an upstream; those after which it has answered only for a newer
-    /// instance.
+    /// Takes the broken requests of an upstream. Those after which it has answered are taken only
+    /// if `is_newer_instance`.
     fn take_waiting(
         &mut self,
         upstream: &UpstreamName,
@@ -194,8 +194,8 @@
         self.to_save.notify_one();
     }
 
-    /// Saves all suspects again after the store was restored from an older copy, which may lack
-    /// them.
+    /// Saves again the suspects that this box has saved, after the store was restored from an older
+    /// copy, which may lack them.
     pub fn save_again(&self) {
         let saved = self.with(|inner| std::mem::take(&mut inner.saved));
         self.schedule_save(saved.into_iter().collect());
@@ -267,8 +267,8 @@
     suspect_broken_requests(hub, name, true);
 }
 
-/// Records that an upstream answers: only a connection broke there, unless a newer instance turns
-/// out to answer.
+/// Records that an upstream answers: only connections broke, unless it turns out that a newer
+/// instance answers.
 pub fn upstream_answered(hub: &Hub, name: &UpstreamName) {
     hub.suspects().with(|inner| {
         inner.crashed.remove(name);
@@ -346,7 +346,7 @@
     hub.metrics().held_back(by);
 }
 
-/// Requests from other boxes the requests that they hold back and this one doesn't, until the
+/// Fetches from other boxes the requests that they hold back and this one doesn't, until the
 /// process ends. This box may have been cut off, or have started since.
 pub async fn catch_up(hub: Arc<Hub>) {
     loop {
--- a/src/proxy/upstream_connections.rs
+++ b/src/proxy/upstream_connections.rs
@@ -65,18 +65,18 @@
 const IDLE_CONNECTIONS_MAX: usize = 32;
 
 /// Fraction of an upstream's connections that is divided among the boxes known to this one. The
-/// rest is for boxes that have just started: a fifth more are known everywhere within some
+/// rest is for boxes that have just started, up to a fifth more: all boxes know of them within some
 /// heartbeats.
 const KNOWN_BOXES_FRACTION: f64 = 0.83;
 
-/// Fraction of an upstream's connections reserved at most for requests that its owner has placed,
+/// Largest fraction of an upstream's connections that is reserved for requests placed by its owner,
 /// apart from those divided among boxes. Half of it per owner: two boxes may consider themselves
 /// owners at the same time.
 const OWNER_PLACED_FRACTION: f64 = 0.35;
 
-/// With fewer connections to divide than boxes, this many standard deviations of the number of
-/// boxes that draw a connection are left unused: more boxes than connections draw one at one in
-/// 10,000 upstreams.
+/// If there are fewer connections to divide than boxes, the number of boxes that draw a connection
+/// is expected to stay this many standard deviations below the number of connections. More boxes
+/// than connections then draw one at only one in 10,000 upstreams.
 const DRAW_MARGIN_DEVIATIONS: f64 = 4.0;
 
 /// Minimum number of boxes that a box assumes: it may be partitioned from the others, or may not
@@ -140,16 +140,16 @@
     pub admission_limit: u32,
     /// Boxes that are alive or were lately.
     pub boxes: usize,
-    /// A uniform number of this box for the upstream, which decides whether it gets one of too few
-    /// connections.
+    /// A uniformly distributed number for this box and upstream, which decides whether the box gets
+    /// one of too few connections.
     pub draw: u32,
 }
 
 impl ConnectionQuota {
-    /// The quota is this box's even part of the connections. Requests that the upstream's owner has
-    /// placed (`is_placed`) have connections beside these parts: they are at most its slots and a
-    /// few that wait, so a box that has many of them may open a connection for each. The sum over
-    /// all boxes always stays below what the upstream accepts.
+    /// The quota is this box's equal share of the connections. Requests that the upstream's owner
+    /// has placed (`is_placed`) have further connections: there are at most as many as its slots
+    /// and a few that wait, so a box that has many of them may open a connection for each. The sum
+    /// over all boxes always stays below what the upstream accepts.
     pub fn new(inputs: QuotaInputs, is_placed: bool) -> ConnectionQuota {
         let connections = f64::from(inputs.connections);
         let placed = (connections * OWNER_PLACED_FRACTION / 2.0) as u32;
@@ -390,7 +390,7 @@
         let mut by_addr = self.by_addr.lock().expect("no panic under lock");
         let idle: Vec<IdleConnection> =
             by_addr.values_mut().flat_map(|upstream| std::mem::take(&mut upstream.idle)).collect();
-        // The counts take the lock.
+        // Dropping an `OpenCount` takes the lock.
         drop(by_addr);
         idle.into_iter().for_each(IdleConnection::close);
     }
@@ -456,7 +456,7 @@
         let busy =
             upstream.busy.iter().filter(|(opened_at_ms, _)| *opened_at_ms <= restarted_at_ms);
         let busy: Vec<Arc<RestartFlag>> = busy.filter_map(|(_, flag)| flag.upgrade()).collect();
-        // The counts take the lock.
+        // Dropping an `OpenCount` takes the lock.
         drop(by_addr);
         for flag in &busy {
             flag.is_set.store(true, Ordering::Relaxed);
@@ -486,7 +486,7 @@
             old.extend(upstream.idle.extract_if(.., is_old));
         }
         by_addr.retain(|_, u| u.open != 0 || !u.idle.is_empty());
-        // The counts take the lock.
+        // Dropping an `OpenCount` takes the lock.
         drop(by_addr);
         old.into_iter().for_each(IdleConnection::close);
     }
@@ -509,7 +509,7 @@
                 return None;
             }
             let connection = idle.remove(at);
-            // The counts take the lock.
+            // Dropping an `OpenCount` takes the lock.
             drop(by_addr);
             if let Some(conn) = connection.into_busy() {
                 return Some(conn);
@@ -572,7 +572,7 @@
     }
 }
 
-/// Sets the socket options that detect a peer which is gone without closing the connection.
+/// Sets the socket options that detect a peer that is gone without having closed the connection.
 pub fn set_tcp_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let sock = SockRef::from(stream);
--- a/src/proxy/view.rs
+++ b/src/proxy/view.rs
@@ -110,7 +110,7 @@
     /// Zones whose evacuation a restored store lacks, and until when they are still treated as
     /// evacuated.
     evacuation_held_until: BTreeMap<ZoneName, Duration>,
-    /// Upstreams that have announced themselves that they are draining.
+    /// Upstreams that have themselves announced that they are draining.
     draining: draining::DrainNotices,
     /// Removed upstreams. A new instance may have the same name.
     removed: BTreeMap<UpstreamName, Removed>,
@@ -284,7 +284,7 @@
         self.history.complete_up_to(revision);
     }
 
-    /// Returns what a box lacks that has a configuration of this version and all changes of
+    /// Returns what is missing on a box that has a configuration of this version and all changes of
     /// upstreams up to a revision; `None` if that is too long ago.
     pub fn changes_since(
         &self,
@@ -307,8 +307,8 @@
         })
     }
 
-    /// Returns what a box lacks that has a configuration of this version and a list with these
-    /// digests.
+    /// Returns what is missing on a box that has a configuration of this version and a list with
+    /// these digests.
     pub fn difference(&self, version: u64, theirs: &Digests, now: Duration) -> Snapshot {
         let mut all = self.snapshot(now);
         let buckets = Digests::of(all.upstreams.iter()).differing(theirs);
@@ -429,7 +429,7 @@
         self.registry.mark_cold(&name, cold_for, now);
     }
 
-    /// Returns when the instance of an upstream started that this box knows or last knew.
+    /// Returns the start time of the instance of an upstream that this box knows or last knew.
     fn started_at_ms(&self, name: &UpstreamName) -> Option<u64> {
         let removed = || self.removed.get(name)?.started_at_ms;
         self.registry.get(name).map_or_else(removed, |known| known.started_at_ms)
@@ -524,7 +524,7 @@
         }
     }
 
-    /// Upstreams that have announced themselves that they are draining.
+    /// Upstreams that have themselves announced that they are draining.
     pub fn draining(&self) -> &draining::DrainNotices {
         &self.draining
     }
@@ -584,7 +584,7 @@
         let is_changes = snapshot.buckets.as_ref().is_some_and(BTreeSet::is_empty);
         let eq_ignoring_cold_for = is_changes && self.registry.listed().next().is_some();
         let is_useful = !snapshot.upstreams.is_empty() || eq_ignoring_cold_for;
-        // An upstream that the sender doesn't know yet isn't gone.
+        // An older list lacks upstreams that are new; they aren't gone.
         if snapshot.revision < self.revision() {
             return;
         }
--- a/src/proxy/warm_up.rs
+++ b/src/proxy/warm_up.rs
@@ -86,8 +86,8 @@
     }
 }
 
-/// Loads the state of a group's engines from the other one of owner and standby. If that one has
-/// none, the owner queries the engines.
+/// Loads the state of a group's engines: the owner from the standby, the standby from the owner. If
+/// the other box has none, the owner queries the engines.
 async fn learn_group(
     hub: Arc<Hub>,
     engines: Arc<dyn EngineClient>,
