--- a/src/proxy/adapter.rs
+++ b/src/proxy/adapter.rs
@@ -116,8 +116,8 @@
 }
 
 impl Verdict {
-    /// Whether the response is certain to come from the intended upstream: it carries the id of the
-    /// request and what a response with this status must have.
+    /// Whether the response certainly comes from the intended upstream: it carries the id of the
+    /// request, isn't misdirected, and if successful is signed or says that the request never ran.
     pub fn is_authentic(&self, status: StatusCode) -> bool {
         let has_proof = self.signed || self.not_run || !status.is_success();
         self.matches_request && !self.misdirected && has_proof
@@ -242,7 +242,7 @@
 
 /// Queries engines about their state.
 pub trait EngineClient: Send + Sync {
-    /// The prompt parts that the engine at `addr` has cached, in no order.
+    /// The prompt parts that the engine at `addr` has cached, in no particular order.
     fn cached_parts(
         &self,
         addr: std::net::SocketAddr,
@@ -268,8 +268,8 @@
     Rejected(String),
 }
 
-/// Stores reports of requests that may crash upstreams, which must outlive the boxes. Any box may
-/// write them. They may be lost when the store is restored from an older copy.
+/// Stores reports of requests that may crash upstreams. The reports must outlive the boxes. Any box
+/// may write them. They may be lost when the store is restored from an older copy.
 pub trait SuspectStore: Send + Sync {
     /// Saves a request that is held back. One that is already saved is left unchanged.
     fn save(&self, suspect: &SuspectReport) -> BoxFuture<'static, Result<(), StoreError>>;
--- a/src/proxy/box_api.rs
+++ b/src/proxy/box_api.rs
@@ -1,5 +1,5 @@
-//! HTTP endpoints other than the callers': readiness for the load balancer, and for other boxes and
-//! the on-call engineer this box's state and metrics. Also the client by which boxes fetch that
+//! HTTP endpoints other than the callers': readiness for the load balancer, and this box's state
+//! and metrics for other boxes and the on-call engineer. Also the client by which boxes fetch that
 //! state.
 
 use std::net::SocketAddr;
@@ -32,19 +32,20 @@
 /// Path of the full state of a box, as JSON.
 const SNAPSHOT_PATH: &str = "/v1/snapshot";
 
-/// Path of the state that the asking box lacks, coded by postcard. Followed by the version of that
-/// box's configuration and the digests of its upstreams.
+/// Path of the state that the asking box lacks, encoded with postcard. Followed by the version of
+/// that box's configuration and the digests of its upstreams.
 const DIFFERENCE_PATH: &str = "/v1/difference";
 
-/// Path of the changes that the asking box lacks, coded by postcard. Followed by the version of
+/// Path of the changes that the asking box lacks, encoded with postcard. Followed by the version of
 /// that box's configuration and the revision of the store up to which its list of upstreams is
 /// complete.
 const CHANGES_PATH: &str = "/v1/changes";
 
-/// Path of what a box has learned of engines, coded by postcard. Optionally followed by a group.
+/// Path of what a box has learned about engines, encoded with postcard. Optionally followed by a
+/// group.
 const LEARNED_PATH: &str = "/v1/learned";
 
-/// Path of the requests that a box holds back, coded by postcard.
+/// Path of the requests that a box holds back, encoded with postcard.
 const HELD_PATH: &str = "/v1/held";
 
 /// Path of the metrics.
@@ -59,7 +60,7 @@
     /// The box gave no complete response in time.
     #[error(transparent)]
     NoAnswer(#[from] http_client::Error),
-    /// The box refused.
+    /// The box responded with another status than 200.
     #[error("response status {0}")]
     Status(StatusCode),
     /// The response can't be decoded.
@@ -100,7 +101,7 @@
     }
 }
 
-/// Fetches what another box has learned of engines, or of those of one group.
+/// Fetches what another box has learned about engines, or about those of one group.
 pub async fn fetch_learned(
     addr: SocketAddr,
     group: Option<EngineGroup>,
@@ -219,7 +220,7 @@
     resp
 }
 
-/// Encodes by postcard: with some thousand prompt parts for each engine, JSON would be four times
+/// Encodes with postcard: with some thousand prompt parts for each engine, JSON would be four times
 /// as long.
 fn postcard_response<T: Serialize>(value: &T) -> Response<Bytes> {
     match postcard::to_stdvec(value) {
--- a/src/proxy/capacity.rs
+++ b/src/proxy/capacity.rs
@@ -2,7 +2,7 @@
 //! chunks.
 //!
 //! What a stream costs is known only roughly, so the stream limit is found by additive increase and
-//! multiplicative decrease: it falls while the box is overloaded, and rises while it isn't.
+//! multiplicative decrease: while reached, it falls if the box is overloaded and rises if not.
 
 use std::time::Duration;
 
@@ -14,8 +14,8 @@
 /// Weight of the newest delay in the moving average: the last two ticks make up half of it.
 const DELAY_WEIGHT: f64 = 0.3;
 
-/// Factor of the limit for each tick at which the box is overloaded. Streams last some twenty
-/// ticks, so the running ones end in about the time in which this halves the limit.
+/// Factor of the limit for each tick at which it is reached and the box is overloaded. Streams last
+/// some twenty ticks, so the running ones end in about the time in which this halves the limit.
 const DECREASE_FACTOR: f64 = 0.96;
 
 /// For each tick at which the limit is reached and the box isn't overloaded, the limit rises by
@@ -29,8 +29,8 @@
 /// A box that has reached its limit is full until its streams fall below this fraction of it.
 const NOT_FULL_FRACTION: f64 = 0.6;
 
-/// The limit never falls below this fraction of its initial value: so few streams don't overload
-/// the box, and delays have another cause.
+/// The limit never falls below this fraction of its initial value: that few streams don't overload
+/// the box, so any delays have another cause.
 const LIMIT_MIN_FRACTION: f64 = 0.5;
 
 /// Lower bound of the initial stream limit: the streams of one caller.
@@ -80,7 +80,7 @@
 
 /// Returns until when further chunks of a stream wait, so that several are read and written
 /// together: each receive and each send call costs as much as all other work on a chunk. `None`
-/// while the box has few streams for its limit, or if chunks may not be delayed.
+/// while the box has few streams relative to its limit, or if chunks may not be delayed.
 pub fn coalesce_until(
     streams: usize,
     streams_max: usize,
@@ -119,7 +119,7 @@
         let streams = streams as f64;
         let is_reached = self.limit * REACHED_FRACTION <= streams;
         self.is_full = is_reached || (self.is_full && self.limit * NOT_FULL_FRACTION <= streams);
-        // With fewer streams, delays have another cause than their number.
+        // With fewer streams, delays aren't due to the number of streams.
         if is_reached {
             self.limit = match self.is_overloaded() {
                 true => (self.limit * DECREASE_FACTOR).max(self.limit_min),
--- a/src/proxy/connection_limiter.rs
+++ b/src/proxy/connection_limiter.rs
@@ -1,4 +1,4 @@
-//! Limits which new connections an overloaded box accepts.
+//! Limits the new connections that an overloaded box admits.
 //!
 //! A caller that is rejected at once tries another box in time; one that waits for a response, or
 //! whose connection is not accepted, loses a second. Only as many connections are admitted as the
@@ -9,7 +9,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Requests that a whole core can have between the connection and the send at a time. Starting one
+/// Requests per core that may be between connecting and being sent upstream at a time. Starting one
 /// takes less than half of a request's 0.7 ms of processor time (bench `cost`), so the last of them
 /// waits for some 0.1 s, a sixth of the shortest usual target latency of a first token.
 const STARTING_PER_CORE: f64 = 300.0;
--- a/src/proxy/connection_rejecter.rs
+++ b/src/proxy/connection_rejecter.rs
@@ -33,7 +33,7 @@
 
 /// Time for which the rest of the request is read after the response: closing a connection with
 /// unread bytes resets it, and the caller loses the response. Many round trips, for bodies longer
-/// than a window.
+/// than a TCP window.
 const READ_REST_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Size of the read buffer in bytes, which holds most requests whole.
@@ -171,7 +171,7 @@
     }
 }
 
-/// Returns how many bytes of a request follow its first ones; `usize::MAX` if unknown.
+/// Returns how many bytes of a request are still to come after `bytes`; `usize::MAX` if unknown.
 fn bytes_left(bytes: &[u8]) -> usize {
     let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
     let mut req = httparse::Request::new(&mut headers);
--- a/src/proxy/engine_placement.rs
+++ b/src/proxy/engine_placement.rs
@@ -39,8 +39,8 @@
 /// of a healthy box under load.
 const OWNER_RESPONSE_TIMEOUT: Duration = Duration::from_millis(40);
 
-/// A timer that fires later than this shows that this process was stalled; the response may already
-/// have arrived.
+/// A timer that fires late by this much shows that this process was stalled; the response may
+/// already have arrived.
 const STALL_THRESHOLD: Duration = Duration::from_millis(10);
 
 /// A box that did not respond isn't asked again for this long, the time in which the other boxes
@@ -411,7 +411,7 @@
     hub.peers().send_now(from, &Message::PlacementResponse(PlacementResponse { request, result }));
 }
 
-/// Delivers an owner's response to the task that awaits it. If none does any more, the request
+/// Delivers an owner's response to the task that awaits it. If no task does any longer, the request
 /// isn't sent, so its placement is cancelled.
 pub fn handle_response(hub: &Hub, response: PlacementResponse, from: IpAddr) {
     let PlacementResponse { request, result } = response;
--- a/src/proxy/gossip.rs
+++ b/src/proxy/gossip.rs
@@ -130,7 +130,8 @@
     }
 }
 
-/// Sends recent updates about other boxes, if there are any; to be called every [`GOSSIP_INTERVAL`].
+/// Sends recent updates about other boxes, if there are any; to be called every
+/// [`GOSSIP_INTERVAL`].
 ///
 /// [`GOSSIP_INTERVAL`]: crate::fleet::members::GOSSIP_INTERVAL
 pub fn send_gossip(hub: &Hub) {
--- a/src/proxy/history.rs
+++ b/src/proxy/history.rs
@@ -2,8 +2,9 @@
 //! is slightly behind is sent only these.
 //!
 //! Boxes that watch the store receive a change at times that differ by up to a second, so while
-//! upstreams come and go no two lists are the same. By its revision a list that is behind can be
-//! told from one that differs otherwise, and the changes are a small part of the difference.
+//! upstreams come and go no two lists are the same. The revision tells a list that is only behind
+//! from one that differs for another reason, and the changes are a small part of the difference
+//! that [`crate::proxy::digests`] would find.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,7 +21,7 @@
 pub struct History {
     /// The list is complete up to this revision; the default before the first complete list.
     revision: Revision,
-    /// Changes before this revision are no longer known.
+    /// Changes up to this revision may no longer be known.
     floor: Revision,
     changed: BTreeMap<UpstreamName, Stamp>,
 }
--- a/src/proxy/hub.rs
+++ b/src/proxy/hub.rs
@@ -128,7 +128,7 @@
         hub
     }
 
-    /// The HTTP headers of callers and upstreams.
+    /// The adapter for the HTTP headers of callers and upstreams.
     pub fn header_adapter(&self) -> &dyn HeaderAdapter {
         &*self.header_adapter
     }
@@ -233,14 +233,14 @@
         self.connections.load(Ordering::Relaxed)
     }
 
-    /// Most connections from callers that may be open at once.
+    /// Maximum number of connections from callers that may be open at a time.
     pub fn connections_max(&self) -> usize {
         self.connections_max
     }
 
-    /// Whether to close callers' connections after the answer, so that the load balancer can assign
-    /// new ones to other boxes: more of them are open than this box needs. Being full is no reason
-    /// to close them: callers reuse open connections, and only new ones go to other boxes.
+    /// Whether to close callers' connections after the response, so that the load balancer can
+    /// assign new ones to other boxes: more of them are open than this box needs. Being full is no
+    /// reason to close them: callers reuse open connections, and only new ones go to other boxes.
     pub fn should_close_connections(&self) -> bool {
         self.connections_max / 2 < self.connections()
     }
@@ -258,12 +258,12 @@
         self.streams.load(Ordering::Relaxed)
     }
 
-    /// Most streams that this box forwards at a time.
+    /// Maximum number of streams that this box forwards at a time.
     pub fn streams_max(&self) -> usize {
         self.streams_max.load(Ordering::Relaxed)
     }
 
-    /// Sets how many streams this box forwards at a time.
+    /// Sets how many streams this box may forward at a time.
     pub fn set_streams_max(&self, max: usize) {
         self.streams_max.store(max, Ordering::Relaxed);
     }
@@ -395,8 +395,8 @@
         ConnectionQuota::new(QuotaInputs { connections, admission_limit, boxes, draw }, is_placed)
     }
 
-    /// Whether this box backs off from an upstream, or its slow start after a backoff admits no
-    /// more requests for now.
+    /// Whether this box backs off from an upstream, or the upstream's slow start after a backoff
+    /// admits no more requests for now.
     pub fn is_backing_off(&self, upstream: &UpstreamName) -> bool {
         let now = self.now();
         self.read(|view| view.registry().is_backing_off(upstream, now))
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -169,7 +169,7 @@
         ShutdownPhase::Refusing => refusal::response(Refusal::Stopping),
         ShutdownPhase::Running | ShutdownPhase::Closing => request::serve(hub.clone(), req).await,
     };
-    // Closes the connection, so that the caller's next one leads to another box.
+    // Closes the connection, so that the caller's next one goes to another box.
     if *shutdown.borrow() != ShutdownPhase::Running || hub.should_close_connections() {
         resp.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
--- a/src/proxy/message.rs
+++ b/src/proxy/message.rs
@@ -1,5 +1,5 @@
-//! Messages that boxes send to each other in datagrams, coded by postcard: variants and fields are
-//! identified by their order.
+//! Messages that boxes send to each other in datagrams, encoded with postcard: variants and fields
+//! are identified by their order.
 
 use std::net::IpAddr;
 
@@ -33,15 +33,15 @@
 pub enum Message {
     /// A heartbeat.
     Heartbeat(HeartbeatMessage),
-    /// A request is being sent to an engine.
+    /// A request is being sent to an upstream.
     Placed {
-        /// The engine.
+        /// The upstream.
         upstream: UpstreamName,
         /// Identifies the attempt to send it.
         request: u64,
         /// The prompt.
         prompt: PromptMessage,
-        /// Prompt tokens that the engine must compute, as far as the sender knows.
+        /// Prompt tokens that an engine must compute, as far as the sender knows.
         prefill_tokens: u32,
         /// Prompt tokens whose cache entries are copied from another engine.
         copied_tokens: u32,
@@ -57,9 +57,9 @@
         /// Tokens that would have been charged.
         tokens: u64,
     },
-    /// An engine has returned the first token for a request.
+    /// An upstream has returned the first token, or the first chunk if its service is plain.
     FirstToken {
-        /// The engine.
+        /// The upstream.
         upstream: UpstreamName,
         /// Identifies the attempt to send it.
         request: u64,
@@ -68,7 +68,7 @@
     },
     /// A request has ended.
     Ended {
-        /// The engine.
+        /// The upstream.
         upstream: UpstreamName,
         /// Identifies the attempt to send it.
         request: u64,
@@ -89,7 +89,7 @@
     PlacementRequest(PlacementRequest),
     /// Asks the owner of a plain service to place a request.
     PlainPlacementRequest(PlainPlacementRequest),
-    /// The owner's decision on either request.
+    /// The owner's decision on either kind of request.
     PlacementResponse(PlacementResponse),
     /// Tokens that workspaces requested and were granted at the sender.
     ShareUsage(Vec<ShareUsage>),
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -1,7 +1,7 @@
 //! The proxy: the process on each box that forwards callers' requests to upstreams.
 //!
-//! It watches routes, workspaces and upstreams through a [`adapter::StoreWatcher`], translates the
-//! headers of callers and upstreams through a [`adapter::HeaderAdapter`], and notifies the other
+//! It watches routes, workspaces and upstreams through an [`adapter::StoreWatcher`], translates the
+//! headers of callers and upstreams through an [`adapter::HeaderAdapter`], and notifies the other
 //! boxes by datagrams of the requests that it sends. Everything runs on one thread.
 
 pub mod adapter;
@@ -87,14 +87,14 @@
 /// Time between checks of the settings file, which may change without a signal.
 const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Shortest duration of a shutdown. The balancer sends new callers until it has seen two failed
-/// probes, a second each; the port stays open for them.
+/// Shortest duration of a shutdown. The load balancer sends new callers until it has seen two
+/// failed probes, a second each; the port stays open for them.
 const SHUTDOWN_MIN: Duration = Duration::from_millis(2600);
 
 /// The process exits at the latest this long before the end of its time to stop.
 const SHUTDOWN_RESERVE: Duration = Duration::from_millis(400);
 
-/// A box that has rejected connections reports that it isn't ready for this long: the balancer
+/// For this long after rejecting connections, a box reports that it isn't ready: the load balancer
 /// needs two failed probes, a second each, to send new connections elsewhere.
 const NOT_READY_AFTER_REJECTION: Duration = Duration::from_millis(2200);
 
@@ -276,7 +276,7 @@
     hub.clock().wake();
 }
 
-/// Gives the cold engines of groups that are new to this box nothing until [`cold::RATE_WINDOW`]
+/// Sends nothing to the cold engines of groups that are new to this box until [`cold::RATE_WINDOW`]
 /// has passed, since this box doesn't know what other boxes have just sent to them.
 fn hold_cold_engines(hub: &Hub, groups: &BTreeSet<EngineGroup>, before: &BTreeSet<EngineGroup>) {
     let until = hub.now() + cold::RATE_WINDOW;
--- a/src/proxy/notices.rs
+++ b/src/proxy/notices.rs
@@ -2,10 +2,10 @@
 //! backoff.
 //!
 //! Notices arrive before the store lists the same, and are the only source while the store is
-//! unavailable. Draining is final and concerns all boxes: a box that receives it sends it to those
-//! that place requests there, and the owner among them broadcasts it, so each box receives one
-//! message however many boxes received the notice. A backoff concerns only the box that receives
-//! it.
+//! unavailable. Draining is final and concerns all boxes: a box that receives it sends it to the
+//! boxes that place the upstream's requests, and the owner among them broadcasts it, so each box
+//! receives one message however many boxes received the notice. A backoff concerns only the box
+//! that receives it.
 
 use std::net::IpAddr;
 use std::time::Duration;
@@ -30,7 +30,7 @@
 pub struct ReceivedNotice<'a> {
     /// The upstream.
     pub upstream: &'a UpstreamName,
-    /// When the instance that was sent the request had started, if known.
+    /// When the instance to which the request was sent was started, if known.
     pub started_at_ms: Option<u64>,
     /// The id of the request; empty for a query by this box itself.
     pub request: &'a str,
@@ -45,8 +45,8 @@
 pub enum WithholdReason {
     /// The upstream is draining or gone, or its zone is evacuated.
     Closed,
-    /// This box backs off from the upstream, or its slow start after a backoff admits no more
-    /// requests for now.
+    /// This box backs off from the upstream, or the upstream's slow start after a backoff admits no
+    /// more requests for now.
     Backoff,
 }
 
--- a/src/proxy/peers.rs
+++ b/src/proxy/peers.rs
@@ -66,7 +66,7 @@
 /// be off without a request having to wait.
 const BATCH_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The part of a box's report on itself that changes.
+/// The part of this box's report on itself that changes.
 #[derive(Clone, Debug)]
 pub(super) struct OwnState {
     pub(super) version: u64,
@@ -193,7 +193,7 @@
         let boxes: Vec<Candidate> = others.into_iter().chain([me]).collect();
         let mut derived = self.derived.lock().expect("no panic under lock");
         (derived.live_count, derived.known_count) = (live, known);
-        // Each box is hashed for each group, and usually nothing has changed.
+        // Computing the owners hashes each box for each group, and usually nothing has changed.
         if derived.boxes == boxes && derived.engines == engines {
             return false;
         }
@@ -300,7 +300,7 @@
                 () = self.urgent_pending.notified() => {}
                 () = self.deferred_pending.notified() => {
                     let most = (DEFERRED_PER_BOX * self.live_count() as u32).min(DEFERRED_MAX);
-                    // The time-out or an urgent message, whichever comes first.
+                    // The timeout or an urgent message, whichever comes first.
                     let _ = tokio::time::timeout(most, self.urgent_pending.notified()).await;
                 }
             }
--- a/src/proxy/placed_request.rs
+++ b/src/proxy/placed_request.rs
@@ -25,7 +25,7 @@
 use crate::proxy::request::RequestContext;
 use crate::proxy::rollouts::JudgedResponse;
 
-/// Adds one to a counter until it is dropped.
+/// Increments a counter, and decrements it when dropped.
 #[derive(Debug)]
 pub struct CountGuard(Arc<AtomicUsize>);
 
--- a/src/proxy/proxy_metrics.rs
+++ b/src/proxy/proxy_metrics.rs
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Renders all metrics as a page in Prometheus' format.
+    /// Renders all metrics as a page in the Prometheus format.
     pub fn render(&self) -> Vec<u8> {
         self.metrics.render()
     }
