--- a/src/claims/mod.rs
+++ b/src/claims/mod.rs
@@ -3,9 +3,9 @@
 //!
 //! Before such a request is sent, its key is *claimed*: a conditional update writes a record into
 //! an object of the platform's store. A router that finds a record of another attempt doesn't send
-//! the request. Safety rests on the store alone. That one box usually writes for all others, per
-//! part of the keys (a shard), only saves writes, because it commits the claims of many requests in
-//! one update.
+//! the request. Safety rests on the store alone. For each part of the keys (a shard), one box
+//! usually writes for all others; this only saves writes, because it commits the claims of many
+//! requests in one update.
 //!
 //! Keys are UUIDs of version 7, which contain their time of creation. A key older than
 //! [`KEY_AGE_MAX`] is refused, so its record may be deleted some time after that. The records of a
@@ -218,8 +218,8 @@
         response.ok()?.ok()
     }
 
-    /// Reports that the request of an attempt was answered, or that it did not run. Retried until
-    /// the store has accepted it.
+    /// Reports that the request of an attempt was answered, or that it did not run. The box
+    /// that writes the report retries until the store has accepted it.
     pub fn resolve(&self, key: IdempotencyKey, attempt: u64, ran: bool) {
         let op = if ran { ClaimOp::MarkRan } else { ClaimOp::Release };
         let claim = new_request(key, attempt, op);
--- a/src/claims/records.rs
+++ b/src/claims/records.rs
@@ -13,7 +13,7 @@
 use crate::claims::KEY_AGE_MAX;
 use crate::claims::LOCAL_ATTEMPT_BIT;
 
-/// Records in one object. Keeps it below the platform's limit of a megabyte.
+/// Most records in one object, which keeps it below the platform's limit of a megabyte.
 pub const RECORDS_MAX: usize = 12_000;
 
 /// The content of an object.
@@ -51,8 +51,8 @@
     }
 
     fn acquire(&mut self, claim: &ClaimRequest, now: u64) -> ClaimOutcome {
-        // The object holds records that are older by the whole ring; every router refuses their
-        // keys by now.
+        // The object still holds the records of its previous turn in the ring; every router refuses
+        // their keys by now.
         if self.minute < claim.minute() {
             *self = ClaimRecords { minute: claim.minute(), records: BTreeMap::new() };
         }
--- a/src/dispatch/ledger.rs
+++ b/src/dispatch/ledger.rs
@@ -37,12 +37,12 @@
 /// Service received, divided by the workspace's weight, in thousandths of the pool's cost unit.
 pub type VirtualTime = i64;
 
-/// Identifies the counters of one dispatcher during one run of its box.
+/// Identifies the counters of one dispatcher, from its start to its end.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaId {
     #[serde(rename = "b")]
     pub name: BoxName,
-    /// Distinguishes the runs of that box.
+    /// Distinguishes the dispatchers that the box has started, in this run and in others.
     #[serde(rename = "i")]
     pub incarnation: u64,
 }
@@ -113,7 +113,7 @@
         &self.own_replica
     }
 
-    /// The version of the own replica, which grows with every change.
+    /// The version of this dispatcher's replica, which grows with every change.
     pub fn version(&self) -> u64 {
         self.version
     }
@@ -129,7 +129,7 @@
         self.accounts.get(workspace).map_or(0, |a| a.service + a.offset)
     }
 
-    /// The sum of all charges ever made to the own replica.
+    /// The sum of all charges ever made to this dispatcher's replica.
     pub fn total_charged(&self) -> VirtualTime {
         self.total_charged
     }
@@ -157,7 +157,8 @@
         assumed.into_keys().collect()
     }
 
-    /// Charges `amount` to the own replica. It is negative where an estimate was too high.
+    /// Charges `amount` to this dispatcher's replica. It is negative where an estimate was too
+    /// high.
     pub fn charge(&mut self, workspace: &WorkspaceName, amount: VirtualTime) {
         if amount == 0 {
             return;
@@ -186,7 +187,7 @@
         }
     }
 
-    /// The entries of the own replica that changed after version `since`.
+    /// The entries of this dispatcher's replica that changed after version `since`.
     pub fn changes_since(&self, since: u64) -> Vec<CounterEntry> {
         self.by_version.range(since + 1..).map(|(_, w)| self.to_counter_entry(w)).collect()
     }
@@ -238,7 +239,7 @@
         true
     }
 
-    /// The own entry of a workspace, moved to a new version.
+    /// This dispatcher's entry of a workspace, moved to a new version.
     fn update_entry(&mut self, workspace: &WorkspaceName) -> &mut OwnEntry {
         self.version += 1;
         let entry = self.own_entries.entry(workspace.clone()).or_default();
--- a/src/dispatch/pool/decision.rs
+++ b/src/dispatch/pool/decision.rs
@@ -15,7 +15,7 @@
 /// An action that the caller carries out for the dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send a message to a box, possibly the own one.
+    /// Send a message to a box, possibly this one.
     Send { to: BoxName, message: Message },
     /// Log and record a decision.
     Decided(Decision),
--- a/src/dispatch/pool/exchange.rs
+++ b/src/dispatch/pool/exchange.rs
@@ -44,7 +44,7 @@
 /// Pull requests remembered to recognize duplicates.
 const ANSWERED_PULLS_MAX: usize = 256;
 
-/// Longest time between reports to another zone, which shows that this dispatcher is alive.
+/// Longest time between reports to another zone, which show that this dispatcher is alive.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Shortest time between reports of new work to a zone with idle slots.
@@ -233,8 +233,8 @@
             }
             let has_changes = version != remote.last_sent_version
                 || (idle == 0) != (remote.last_sent_idle_slots == 0);
-            // Each zone is sent a dead router once; a zone that misses it finds out by its next
-            // check.
+            // A dead router is reported to each zone once; a zone that misses the report finds out
+            // by its next check.
             let last_sent_at = remote.last_sent_at;
             let is_new = |at: &Duration| last_sent_at.is_none_or(|sent_at| sent_at < *at);
             let lost_routers: Vec<BoxName> = self
@@ -288,7 +288,7 @@
         }
     }
 
-    /// Records that the standby has merged the own replica up to `version`.
+    /// Records that the standby has merged this dispatcher's replica up to `version`.
     pub fn record_standby_ack(&mut self, zone: &ZoneName, replica: &ReplicaId, version: u64) {
         if replica == self.ledger.replica()
             && let Some(remote) = self.remote_zones.get_mut(zone)
--- a/src/dispatch/pool/grants.rs
+++ b/src/dispatch/pool/grants.rs
@@ -351,9 +351,9 @@
 }
 
 impl Estimate {
-    /// Raises the estimate for a running request that has cost at least `cost`. Only until the
-    /// first request has ended, when running ones are the only evidence; later this would count
-    /// long requests twice.
+    /// Raises the estimate for a running request that has cost at least `cost`, as long as none has
+    /// been answered and running ones are the only evidence; later this would count long requests
+    /// twice.
     fn raise_to(&mut self, cost: u64) {
         if !self.has_completed {
             self.cost = self.cost.max(cost as f64);
--- a/src/dispatch/pool/order.rs
+++ b/src/dispatch/pool/order.rs
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Lifts workspaces that are behind the furthest one ahead by more than the pool's debt cap.
+    /// Lifts workspaces that are behind the one furthest ahead by more than the pool's debt cap.
     pub(super) fn cap_debts(&mut self) {
         let local = self.queue.furthest_ahead().map(|(_, w)| self.ledger.known_virtual_time(w));
         let remote =
--- a/src/dispatch/queue.rs
+++ b/src/dispatch/queue.rs
@@ -1,7 +1,7 @@
 //! The waiting tickets of one pool, ordered by the virtual time of their workspaces.
 //!
-//! All operations cost O(log n) in the number of waiting workspaces. A ticket that is removed from
-//! the middle of its workspace's queue is skipped when it reaches the front.
+//! Operations cost O(log n) in the number of waiting workspaces, unless stated otherwise. A ticket
+//! that is removed from the middle of its workspace's queue is skipped when it reaches the front.
 
 use std::collections::BTreeSet;
 use std::collections::VecDeque;
--- a/src/dispatch/remote_zones.rs
+++ b/src/dispatch/remote_zones.rs
@@ -28,20 +28,20 @@
 pub struct RemoteZone {
     /// The box believed to be the dispatcher there.
     pub dispatcher: BoxName,
-    /// Version of the own replica that it has merged.
+    /// Version of this dispatcher's replica that it has merged.
     pub acknowledged_version: u64,
     pub last_report_at: Duration,
     /// When this dispatcher last sent a report there.
     pub last_sent_at: Option<Duration>,
-    /// Version of the own replica in that report.
+    /// Version of this dispatcher's replica in that report.
     pub last_sent_version: u64,
     /// Free slots there for which no work waits.
     pub idle_slots: u32,
     /// For the standby of this dispatcher: the versions of other replicas sent to it.
     pub relayed_versions: FxHashMap<ReplicaId, u64>,
-    /// Total charge of the own replica when the zone last reported.
+    /// Total charge of this dispatcher's replica when the zone last reported.
     pub charged_at_report: VirtualTime,
-    /// Own idle slots in the report last sent there.
+    /// This dispatcher's idle slots in the report last sent there.
     pub last_sent_idle_slots: u32,
     /// Replica of the dispatcher there, once it has reported.
     pub replica: Option<ReplicaId>,
@@ -76,7 +76,7 @@
     }
 
     /// Records the sender of a report and what it acknowledges. `charged` is the total charge of
-    /// the own replica.
+    /// this dispatcher's replica.
     pub fn record_report(
         &mut self,
         report: &DispatcherReport,
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Records how many tickets of a workspace wait in a zone. A zone that is unknown yet is left
-    /// out, since its dispatcher isn't known either.
+    /// Records how many tickets of a workspace wait in a zone. A zone that isn't known yet is
+    /// ignored, since its dispatcher isn't known either.
     pub fn set_waiting(
         &mut self,
         zone: &ZoneName,
@@ -150,7 +150,7 @@
 
     /// An upper bound on the growth of a workspace's virtual time since the zones where it waits
     /// last reported: as if they had served it alone, at the rate at which this dispatcher serves
-    /// all. `charged` is the total charge of the own replica.
+    /// all. `charged` is the total charge of this dispatcher's replica.
     pub fn staleness(&self, workspace: &str, charged: VirtualTime) -> VirtualTime {
         let zones = self.zones_of(workspace).filter_map(|z| self.zones.get(z));
         zones.map(|z| charged - z.charged_at_report).max().unwrap_or(0)
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -280,7 +280,7 @@
         self.deliver_loopback(now);
     }
 
-    /// Applies a configuration, unless it is older than the current one.
+    /// Applies a configuration if it is newer than the current one.
     pub fn configure(&mut self, revision: CatalogRevision, now: Duration) {
         if revision.number <= self.cfg.number {
             return;
--- a/src/node/receive.rs
+++ b/src/node/receive.rs
@@ -117,8 +117,8 @@
             self.with_pool(&name, |pool, actions| pool.submit(ticket, now, actions));
             return;
         }
-        // The sender considers this box the dispatcher, but this box considers another one to be
-        // it. The ticket is forwarded there, once.
+        // The sender considers this box the dispatcher, but this box considers another one the
+        // dispatcher. The ticket is forwarded there, once.
         if let Some(dispatcher) = self.dispatcher_boxes.get(&ticket.pool).cloned()
             && !ticket.forwarded
         {
--- a/src/peer/connection.rs
+++ b/src/peer/connection.rs
@@ -1,4 +1,4 @@
-//! Persistent connections to other routers, one per box, by `jsonrpsee` over WebSocket.
+//! Persistent connections to other routers, one per box, with `jsonrpsee` over WebSocket.
 //!
 //! Messages that arise during a call are batched into the next one. The response to a call carries
 //! the messages that the other side has for this one. The response to a call that registers a
--- a/src/peer/member.rs
+++ b/src/peer/member.rs
@@ -96,7 +96,7 @@
 }
 
 impl Members {
-    /// A table that contains only the own box.
+    /// A table that contains only this box.
     pub fn new(
         own_name: &BoxName,
         zone: &ZoneName,
@@ -138,14 +138,14 @@
         self.listed.get(name).map(|b| b.peer)
     }
 
-    /// The own box and those of its zone with a recent heartbeat, except leaving ones.
+    /// This box and those of its zone with a recent heartbeat, except leaving ones.
     pub fn live(&self, now: Duration) -> impl Iterator<Item = &BoxName> {
         let others = self.states.iter().filter(move |(_, state)| self.is_live(state, now));
         let own = (!self.own_heartbeat.leaving).then_some(&self.own_name);
         own.into_iter().chain(others.map(|(name, _)| name))
     }
 
-    /// The box of the own zone that has the role `key`. A leaving box gives its roles up, unless it
+    /// The box of this zone that has the role `key`. A leaving box gives its roles up, unless it
     /// is the last one alive.
     pub fn owner(&self, key: &str, now: Duration) -> &BoxName {
         util::rendezvous(key, self.live(now)).unwrap_or(&self.own_name)
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -211,7 +211,7 @@
     /// Version of the receiver's replica that the sender has merged.
     #[serde(rename = "k")]
     pub merged_version: u64,
-    /// Virtual time of the sender's last grant.
+    /// Greatest virtual time at which the sender, or one that reported to it, made a grant.
     #[serde(rename = "v")]
     pub virtual_time: i64,
     /// Free slots for which the sender has no work.
@@ -410,7 +410,7 @@
     PullRequest(PullRequest),
     #[serde(rename = "Q")]
     PullResponse(PullResponse),
-    /// Claims an idempotency key; the receiver writes for many boxes.
+    /// Changes the record of an idempotency key; the receiver writes for many boxes.
     #[serde(rename = "M")]
     ClaimRequest(ClaimRequest),
     /// The outcome of an attempt's claim.
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -87,7 +87,7 @@
     loop {
         let (stream, _) = match listener.accept().await {
             Ok(accepted) => accepted,
-            // For example out of file descriptors: others may be closed meanwhile.
+            // For example, no file descriptors are left; some may be closed during the pause.
             Err(_) => {
                 tokio::time::sleep(ACCEPT_PAUSE).await;
                 continue;
--- a/src/placement/admit.rs
+++ b/src/placement/admit.rs
@@ -24,8 +24,8 @@
 use crate::placement::upstream::COPY_TOKENS_MIN;
 use crate::proxy::adapter::Prompt;
 
-/// A workspace that exceeds its share by this fraction is admitted only where it need not wait at
-/// all.
+/// While the engines are saturated, a workspace that exceeds its share by this fraction is admitted
+/// only where it need not wait at all.
 const SHARE_EXCESS_MAX: f64 = 0.5;
 
 /// A workspace that has used less than this fraction of its share may go to any free engine. Other
@@ -33,7 +33,7 @@
 /// recomputing those parts reduces the capacity of all.
 const ANY_ENGINE_SHARE_MAX: f64 = 0.85;
 
-/// What a box is asked to do that owns the engines or is their standby.
+/// What the owner of the engines, or their standby, is asked to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Purpose {
     /// Place the request, unless a large shared part of the prompt would have to be prefilled. An
@@ -181,9 +181,9 @@
 
 /// Returns the longest acceptable wait for an engine where the engines are saturated, and where
 /// they are idle. The wait is limited, not the time to the first token, so that long prompts are
-/// refused no more often than short ones. A workspace beyond its share yields to the others as the
-/// engines saturate, the earlier the further it is beyond; while engines are idle it waits like any
-/// other.
+/// refused no more often than short ones. As the engines saturate, a workspace beyond its share may
+/// wait less, the more so the further it is beyond; while they are idle, it may wait like any other
+/// until it exceeds its share by `SHARE_EXCESS_MAX`.
 pub fn wait_limits(
     tuning: Tuning,
     target_latency: Duration,
--- a/src/placement/choice.rs
+++ b/src/placement/choice.rs
@@ -33,7 +33,7 @@
     pub wait_max: Duration,
     /// The longest acceptable wait where they are idle; never less than `wait_max`.
     pub wait_max_idle: Duration,
-    /// Whether any engine within that wait is acceptable, or only the one with the lowest cost.
+    /// Whether any engine with an acceptable wait will do, or only the one with the lowest cost.
     pub any_engine: bool,
     /// The engines that may be chosen; `None` allows all of the service.
     pub group: Option<EngineGroup>,
@@ -108,7 +108,8 @@
     NotCached,
     /// Only a lookup was requested.
     LookupOnly,
-    /// At every engine with room the wait would be too long.
+    /// The wait would be too long at every upstream with room, or at the one with the lowest cost
+    /// if no other will do.
     Busy { wait: Duration },
 }
 
--- a/src/placement/engine.rs
+++ b/src/placement/engine.rs
@@ -75,8 +75,8 @@
     running_tokens: u64,
     /// When the last completed prefill ended, in seconds.
     last_prefill_end: f64,
-    /// Seconds of prefill placed here, less those that the engine was allowed since then; as of
-    /// `load_updated`.
+    /// Seconds of prefill placed here, less those that [`Tuning::prefill_share`] has allowed since;
+    /// as of `load_updated`.
     load: f64,
     load_updated: Duration,
     slowdown: SlowdownFactor,
@@ -105,8 +105,8 @@
     pub fn new(limits: EngineLimits) -> Engine {
         Engine {
             limits,
-            // Running requests use memory only for their output, which is small compared with
-            // prompts.
+            // The cache may take all memory: running requests need more only for their output,
+            // which is small compared with prompts.
             cache: PrefixCache::new(limits.memory_tokens),
             pending: VecDeque::new(),
             requests: FxHashMap::default(),
--- a/src/placement/plain.rs
+++ b/src/placement/plain.rs
@@ -1,5 +1,5 @@
 //! Admission for plain services, which run no model: tracks the requests at each upstream, predicts
-//! the wait of another one, and decides whether to admit it.
+//! how long a further one would wait, and decides whether to admit it.
 //!
 //! An upstream's own queue may be longer than callers wait; once it is full, no request is answered
 //! in time. The box that counts the requests of all boxes therefore admits only those that can be
--- a/src/placement/registry/index.rs
+++ b/src/placement/registry/index.rs
@@ -15,7 +15,7 @@
 use crate::util::mix_bits;
 
 /// Number of ring positions tried for each key; the engine nearest to its position is taken. With
-/// this many, each engine gets at most some 5 % more than its even part (multi-probe consistent
+/// this many, each engine gets at most some 5 % more than an even share (multi-probe consistent
 /// hashing, Appleton and O'Reilly, 2015).
 const HASH_PROBES: u64 = 21;
 
--- a/src/placement/registry/plain.rs
+++ b/src/placement/registry/plain.rs
@@ -28,7 +28,7 @@
         let rank = |u: &&&Upstream| {
             let running = u.plain.running();
             let time = u.plain.wait(u.listed.slots) + u.plain.processing_time();
-            // Averages always differ a little.
+            // Compared in steps, because averages always differ a little.
             let time_steps = time.as_millis() / PLAIN_TIME_STEP.as_millis();
             (time_steps, running, u.listed.zone != *query.zone)
         };
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Requests that may be placed at an upstream at once, over all boxes.
+    /// Requests that may be placed at an upstream at once by all boxes together.
     pub fn admission_limit(&self, name: &UpstreamName) -> u32 {
         let Some(upstream) = self.upstreams.get(name) else { return 0 };
         let slots = upstream.listed.slots;
--- a/src/placement/registry/reachability.rs
+++ b/src/placement/registry/reachability.rs
@@ -33,13 +33,14 @@
         self.upstreams.get_mut(name).is_some_and(|u| u.record_connect_failure(now))
     }
 
-    /// Number of upstreams that get no requests since they may be unreachable.
+    /// Number of upstreams that get no requests because they may be unreachable.
     pub fn unverified_count(&self) -> usize {
         self.unverified.len()
     }
 
-    /// Upstreams to which it is time to try to connect. Each is returned once until
-    /// [`UpstreamRegistry::record_connect_failure`] is called for it, or for the longest interval.
+    /// Upstreams to which it is time to try to connect. Each is returned again only after the pause
+    /// that [`UpstreamRegistry::record_connect_failure`] sets or, without a call of that, after the
+    /// longest interval.
     pub fn take_due_probes(&mut self, now: Duration) -> Vec<UpstreamListing> {
         let upstreams = &mut self.upstreams;
         let due = self.unverified.iter().filter_map(|name| {
--- a/src/placement/registry/selection.rs
+++ b/src/placement/registry/selection.rs
@@ -25,8 +25,8 @@
 
 /// Engines count as saturated when their mean wait reaches this fraction of the longest accepted
 /// one. At a third, workspaces beyond their share took too much from the others: three small fleets
-/// served 0.892, 0.908 and 0.898 with a tenth and 0.890, 0.903, 0.896 with a third, 0.873, 0.901,
-/// 0.893 with all of it.
+/// served 0.892, 0.908 and 0.898 with a tenth, 0.890, 0.903 and 0.896 with a third, and 0.873,
+/// 0.901 and 0.893 with all of it.
 const SATURATED_WAIT_SHARE: f64 = 0.1;
 
 /// Below this saturation any engine may be chosen: copying shared parts then takes capacity from no
--- a/src/placement/share.rs
+++ b/src/placement/share.rs
@@ -11,7 +11,7 @@
 
 use crate::names::WorkspaceName;
 
-/// Steps of a window, after which old counts expire.
+/// Steps in a window; counts expire by whole steps.
 const WINDOW_STEPS: u32 = 8;
 
 /// The window divided by this is the recent window, which limits a workspace that requests more
@@ -143,7 +143,7 @@
         self.remembered.insert(request, counted);
     }
 
-    /// Reverts what was counted for a request that runs nowhere by that decision. Otherwise a
+    /// Reverts what was counted for a request by a decision that was not used. Otherwise a
     /// workspace served by boxes that get decisions too late would be limited to a fraction of its
     /// share.
     pub fn revert(&mut self, request: u64, now: Duration) {
@@ -210,7 +210,7 @@
         self.sums.add(workspace, tokens);
     }
 
-    /// Reverts a count of time `at`, unless it has expired.
+    /// Reverts a count made at `at`, unless it has expired.
     fn revert(
         &mut self,
         workspace: &WorkspaceName,
--- a/src/placement/speed.rs
+++ b/src/placement/speed.rs
@@ -11,8 +11,8 @@
 
 use crate::placement::tuning::Tuning;
 
-/// The estimates: seconds per thousand tokens, per million pairs and per prompt, and the fixed
-/// time.
+/// Number of estimates: seconds per thousand tokens, per million pairs and per prompt, and the
+/// fixed time.
 const PARAMETERS: usize = 4;
 
 /// Index of the fixed time.
@@ -26,7 +26,7 @@
 const DRIFT_PER_S: f64 = 0.05;
 
 /// Noise of the times to first tokens: in seconds, for a step in progress when a prompt arrives,
-/// and relative to the expected time, for what other boxes have sent meanwhile.
+/// and relative to the expected time, for requests that other boxes have sent meanwhile.
 const NOISE_S: f64 = 0.01;
 const NOISE_SHARE: f64 = 0.2;
 
@@ -37,8 +37,8 @@
 /// An estimate stays within this factor of its initial value, above and below.
 const BOUND_FACTOR: f64 = 16.0;
 
-/// Half-life of what is known of a single engine, in seconds. An engine that turns slow is to be
-/// avoided within about a second, in which half a dozen first tokens come.
+/// Half-life of the measurements of a single engine, in seconds. An engine that becomes slow must
+/// be avoided within about a second, in which half a dozen first tokens arrive.
 const SLOWDOWN_HALF_LIFE_S: f64 = 1.5;
 
 /// Seconds of work at the service's speed that the estimate for a single engine starts with.
--- a/src/placement/tuning.rs
+++ b/src/placement/tuning.rs
@@ -15,9 +15,9 @@
     pub per_prompt: Duration,
     /// Initial time from the end of prefill to the first token, without any backlog.
     pub first_token_overhead: Duration,
-    /// Fraction of its time that an engine may spend on prefill in the long run. During a prefill
-    /// chunk, running requests get one token in the time of a dozen; without pauses between prompts
-    /// they would miss their deadlines.
+    /// Fraction of its time that an engine may spend on prefill in the long run. While a chunk is
+    /// prefilled, each running request gets one token in the time that otherwise yields a dozen;
+    /// without pauses between prompts, running requests would miss their deadlines.
     pub prefill_share: f64,
     /// Weight of prefill time in the cost. Above one, since prefill blocks other requests, and
     /// since prefilling shared parts again is charged for.
@@ -35,7 +35,7 @@
 }
 
 impl Default for Tuning {
-    /// Values of the engines that the users describe; docs/DESIGN.md explains the weights.
+    /// Values for the engines that the users describe; docs/DESIGN.md explains the weights.
     fn default() -> Tuning {
         Tuning {
             tokens_per_ms: 51.1,
--- a/src/placement/upstream.rs
+++ b/src/placement/upstream.rs
@@ -19,7 +19,7 @@
 use crate::proxy::adapter::Prompt;
 use crate::proxy::adapter::UpstreamListing;
 
-/// Fewest tokens worth a copy: twice those that are prefilled in the time of its setup.
+/// Fewest tokens worth a copy: twice as many as are prefilled while a copy is set up.
 pub const COPY_TOKENS_MIN: u32 = 400;
 
 /// Preference for an upstream in the same zone, since bytes between zones are charged for.
@@ -99,9 +99,9 @@
 /// State of an upstream that may be unreachable.
 #[derive(Clone, Copy, Debug)]
 struct Unverified {
-    /// Whether this box noticed it, or received a report.
+    /// Whether this box noticed it; otherwise another box reported it.
     is_local: bool,
-    /// Failed attempts to connect since then.
+    /// Failed attempts to connect since it was marked.
     failures: u32,
     /// When to try next.
     probe_at: Duration,
@@ -138,7 +138,7 @@
         self.unverified.is_some()
     }
 
-    /// Whether it may have placed requests outstanding.
+    /// Whether requests placed on it may be unfinished.
     pub(super) fn is_busy(&self) -> bool {
         self.plain.running() != 0 || self.engine.as_ref().is_some_and(Engine::is_busy)
     }
@@ -186,8 +186,9 @@
         unverified.is_local && unverified.failures == 1
     }
 
-    /// Whether it is time to try to connect. Returns true once until
-    /// [`Upstream::record_connect_failure`] is called, or for the longest interval.
+    /// Whether it is time to try to connect. Returns true again only after the pause that
+    /// [`Upstream::record_connect_failure`] sets or, without a call of that, after the longest
+    /// interval.
     pub(super) fn take_due_probe(&mut self, now: Duration) -> bool {
         let Some(unverified) = self.unverified.as_mut().filter(|u| u.probe_at <= now) else {
             return false;
