--- a/src/proxy/view.rs
+++ b/src/proxy/view.rs
@@ -582,8 +582,8 @@
         }
         // An empty list of changes confirms what was reported one by one.
         let is_changes = snapshot.buckets.as_ref().is_some_and(BTreeSet::is_empty);
-        let eq_ignoring_cold_for = is_changes && self.registry.listed().next().is_some();
-        let is_useful = !snapshot.upstreams.is_empty() || eq_ignoring_cold_for;
+        let is_unchanged = is_changes && self.registry.listed().next().is_some();
+        let is_useful = !snapshot.upstreams.is_empty() || is_unchanged;
         // An older list lacks upstreams that are new; they aren't gone.
         if snapshot.revision < self.revision() {
             return;
