--- a/src/proxy/adapter.rs
+++ b/src/proxy/adapter.rs
@@ -195,11 +195,11 @@
         /// The revision of the store after them.
         revision: Revision,
     },
-    /// All rollout orders, as of a revision of the store.
+    /// All roll-out orders, as of a revision of the store.
     AllRollouts(Vec<RolloutEntry>, Revision),
-    /// A rollout order was added, changed, completed or removed.
+    /// A roll-out order was added, changed, completed or removed.
     RolloutChanged(RolloutEntry),
-    /// A rollout order that can't be parsed, and has no effect.
+    /// A roll-out order that can't be parsed, and has no effect.
     InvalidRollout {
         /// The service, if that can be parsed.
         service: Option<ServiceName>,
@@ -281,9 +281,9 @@
     fn delete(&self, fingerprint: &Fingerprint) -> BoxFuture<'static, Result<(), StoreError>>;
 }
 
-/// Reports the progress of rollouts where the operator reads it.
+/// Reports the progress of roll-outs where the operator reads it.
 pub trait RolloutReporter: Send + Sync {
-    /// Writes the state of the rollout of `target`, unless another one was ordered meanwhile or it
+    /// Writes the state of the roll-out of `target`, unless another one was ordered meanwhile or it
     /// has already ended. An `outcome` of `None` means that it is in progress. Returns the outcome
     /// that the store has then, if any.
     fn report(
--- a/tests/proxy_behind.rs
+++ b/tests/proxy_behind.rs
@@ -1,6 +1,6 @@
 //! Synchronization of boxes that don't watch the platform's store, simulated without a network.
 //!
-//! Load: a rollout with 300 boxes and 3,000 upstreams. 43 upstreams are replaced each second, one
+//! Load: a roll-out with 300 boxes and 3,000 upstreams. 43 upstreams are replaced each second, one
 //! by one. The three boxes of a zone that watch the store receive each change at different times,
 //! up to a second late, and forward it in datagrams, some of which are lost.
 
