--- a/src/proxy/capacity.rs
+++ b/src/proxy/capacity.rs
@@ -36,7 +36,7 @@
 /// Lower bound of the initial stream limit: the streams of one caller.
 const INITIAL_LIMIT_MIN: f64 = 16.0;
 
-/// Initial stream limit of a whole core: in the grown wallet fleet, boxes of 0.12 cores were
+/// Initial stream limit of a whole core: in a fleet whose boxes have 0.12 cores each, they were
 /// overloaded at some 400 streams and healthy at 200.
 const INITIAL_LIMIT_PER_CORE: f64 = 2500.0;
 
