--- a/src/proxy/gossip.rs
+++ b/src/proxy/gossip.rs
@@ -31,12 +31,14 @@
 const DATAGRAMS_PER_YIELD: usize = 64;
 
 /// Boxes that learn of a new configuration at the same time spread their requests for it over this
-/// time.
+/// time. The store delivers it to each box at about the same time; a box that has received it
+/// meanwhile doesn't request it.
 const REQUEST_SPREAD: Duration = Duration::from_millis(150);
 
-/// The store delivers a new configuration to each box at about the same time; another box is asked
-/// for it only if it has not arrived after this.
-const REQUEST_DELAY: Duration = Duration::from_millis(300);
+/// Time between checks whether to request a newer configuration or changes of upstreams from
+/// another box. A report of a newer configuration causes a check earlier, within
+/// [`REQUEST_SPREAD`].
+const CATCH_UP_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Time between requests for changes of upstreams. Changes are also sent by datagrams, so only lost
 /// ones wait for this. A third of the time within which all boxes must know that an upstream
@@ -178,7 +180,7 @@
     let mut requested_at = None;
     loop {
         // The next tick or a newer configuration, whichever comes first.
-        let due = aligned_timer::next_tick(REQUEST_DELAY);
+        let due = aligned_timer::next_tick(CATCH_UP_INTERVAL);
         if tokio::time::timeout_at(due, hub.peers().newer_configuration.notified()).await.is_ok() {
             // Many boxes learn of a configuration at the same time; their requests are spread.
             let fraction = rand::rng().random_range(0.0..1.0);
