--- a/src/proxy/message.rs
+++ b/src/proxy/message.rs
@@ -50,7 +50,8 @@
         /// The box that forwards the request, if it isn't the one that sends this message.
         sender: Option<IpAddr>,
     },
-    /// A request was refused because the engines could not serve it in time.
+    /// A box of a small fleet refused a request, for any cause. Its tokens count as requested by
+    /// the workspace, not as admitted.
     Refused {
         /// The workspace that would have been charged.
         workspace: WorkspaceName,
